--- a/wheatstile/decisions/balancer.py
+++ b/wheatstile/decisions/balancer.py
@@ -12,7 +12,7 @@
 
 from wheatstile import interface as api
 from wheatstile.decisions import admission, endpoint_list, exploration, health, rebalancing, requests
-from wheatstile.decisions.state import BalancerState, Connection, Server, Timer
+from wheatstile.decisions.state import BalancerState, Connection, Server
 
 
 class Balancer:
@@ -96,21 +96,21 @@
             connection.load = event.load
 
     def _on_timer(self, event: api.TimerFired) -> None:
-        timer, due, connection_id = [*event.token.split(":", 2), "", ""][:3]  # an id may hold a colon
-        if timer == Timer.SLOT:
+        token = event.token
+        if token.kind is api.TimerKind.EXPLORATION_SLOT:
             exploration.on_slot(self.state)
-        elif timer == Timer.LOAD_CHECK and not connection_id:
+        elif token.kind is api.TimerKind.LOAD_CHECK:
             rebalancing.on_load_check_due(self.state)
-        elif timer == Timer.WATCH_ENDPOINTS:
+        elif token.kind is api.TimerKind.WATCH_ENDPOINTS:
             self.state.actions.append(api.WatchEndpoints())
-        elif connection := self.state.connections.get(connection_id):
-            self._on_connection_timer(timer, due, connection)
+        elif connection := self.state.connections.get(token.connection_id):
+            self._on_connection_timer(token, connection)
 
-    def _on_connection_timer(self, timer: str, due: str, connection: Connection) -> None:
-        if timer == Timer.CANDIDATES:
-            if due == str(connection.next_decision_at_us):  # else a later timer was set
+    def _on_connection_timer(self, token: api.TimerToken, connection: Connection) -> None:
+        if token.kind is api.TimerKind.CANDIDATE_TIMEOUT:
+            if token.due_us == connection.next_decision_at_us:  # else a later timer was set
                 requests.choose_candidate(self.state, connection, is_expired=True)
         elif connection in self.state.established:
-            is_check = timer == Timer.LOAD_CHECK
+            is_check = token.kind is api.TimerKind.REPEATED_LOAD_CHECK
             callback = rebalancing.on_load_read if is_check else rebalancing.rebalance
             self.state.check_server_of(connection, callback)
--- a/wheatstile/decisions/endpoint_list.py
+++ b/wheatstile/decisions/endpoint_list.py
@@ -2,7 +2,7 @@
 
 from wheatstile import interface as api
 from wheatstile.decisions import slow_start
-from wheatstile.decisions.state import BalancerState, Timer
+from wheatstile.decisions.state import BalancerState
 
 INITIAL_BACKOFF_US = 1_000_000
 MAX_BACKOFF_US = 8_000_000
@@ -14,7 +14,7 @@
     state.discovery_backoff_us = INITIAL_BACKOFF_US
     if state.settings.poll_endpoints:
         spread_us = min(START_SPREAD_US, state.settings.poll_interval_us * 3 // 4)
-        state.set_jittered_timer(spread_us, Timer.WATCH_ENDPOINTS)
+        state.set_jittered_timer(spread_us, api.TimerKind.WATCH_ENDPOINTS)
 
 
 def on_failure(state: BalancerState) -> None:
@@ -22,7 +22,7 @@
     jittered_us = int(state.discovery_backoff_us * (0.5 + state.random.random()))
     longest_us = min(MAX_BACKOFF_US, 2 * state.settings.poll_interval_us)
     state.discovery_backoff_us = min(2 * state.discovery_backoff_us, longest_us)
-    state.set_timer(jittered_us, Timer.WATCH_ENDPOINTS)
+    state.set_timer(jittered_us, api.TimerKind.WATCH_ENDPOINTS)
 
 
 def on_update(state: BalancerState, event: api.EndpointUpdate) -> None:
--- a/wheatstile/decisions/exploration.py
+++ b/wheatstile/decisions/exploration.py
@@ -8,7 +8,8 @@
 
 from wheatstile.decisions import selection
 from wheatstile.decisions.load import load_of
-from wheatstile.decisions.state import BalancerState, Connection, Exploration, Timer
+from wheatstile.decisions.state import BalancerState, Connection, Exploration
+from wheatstile.interface import TimerKind
 
 SLOT_US = 4_000_000  # long enough for a move to show in reports that are seconds late
 BETA = 0.75  # the middle of the range for which the paper proves convergence
@@ -31,12 +32,12 @@
 
 def start(state: BalancerState) -> None:
     """Set the phase of the slots."""
-    state.set_jittered_timer(SLOT_US, Timer.SLOT)
+    state.set_jittered_timer(SLOT_US, TimerKind.EXPLORATION_SLOT)
 
 
 def on_slot(state: BalancerState) -> None:
     """Odd slots explore, even ones compare."""
-    state.set_timer(SLOT_US, Timer.SLOT)
+    state.set_timer(SLOT_US, TimerKind.EXPLORATION_SLOT)
     state.slot += 1
     state.expire_migrations()
     if not state.health_checks_enabled or len(state.ready) < 2:  # noqa: PLR2004
--- a/wheatstile/decisions/rebalancing.py
+++ b/wheatstile/decisions/rebalancing.py
@@ -1,7 +1,8 @@
 """Rebalancing: connections move away from servers that are overloaded while the fleet has room."""
 
 from wheatstile.decisions import load
-from wheatstile.decisions.state import BalancerState, Connection, Server, Timer
+from wheatstile.decisions.state import BalancerState, Connection, Server
+from wheatstile.interface import TimerKind
 
 US_PER_MS = 1000
 REBALANCE_INTERVAL_US = 1_000_000  # to see in late reports what the last one did
@@ -14,7 +15,7 @@
     """Begin the load checks, if no latencies are reported."""
     state.load_check_interval_us = LOAD_CHECK_INTERVAL_US
     if state.health_checks_enabled and not state.settings.reports_message_latency:
-        state.set_jittered_timer(LOAD_CHECK_INTERVAL_US, Timer.LOAD_CHECK)
+        state.set_jittered_timer(LOAD_CHECK_INTERVAL_US, TimerKind.LOAD_CHECK)
 
 
 def on_endpoints_changed(state: BalancerState) -> None:
@@ -24,7 +25,7 @@
 
 def on_load_check_due(state: BalancerState) -> None:
     """Read a server, drawn by what its connections here ask of it."""
-    state.set_timer(state.load_check_interval_us, Timer.LOAD_CHECK)
+    state.set_timer(state.load_check_interval_us, TimerKind.LOAD_CHECK)
     state.load_check_interval_us = min(state.load_check_interval_us * 3 // 2, MAX_LOAD_CHECK_INTERVAL_US)
     if state.established:
         weights = [1.0 + connection.load for connection in state.established]
@@ -52,7 +53,7 @@
     if is_late and server.rebalanced_until_us <= state.now_us:
         server.rebalanced_until_us = state.now_us + REBALANCE_INTERVAL_US
         # All balancers are told in the same instant: asking at once they would fill the server.
-        state.set_jittered_timer(REBALANCE_INTERVAL_US / 2, Timer.REBALANCE, f"::{connection.id}")
+        state.set_jittered_timer(REBALANCE_INTERVAL_US / 2, TimerKind.REBALANCE, connection.id)
 
 
 def on_load_read(state: BalancerState, connection: Connection) -> None:
@@ -68,12 +69,12 @@
     server.rebalanced_until_us = state.now_us + REBALANCE_INTERVAL_US
     state.load_check_interval_us = LOAD_CHECK_INTERVAL_US
     if load.load_of(state, server) >= load.UNREACHABLE_LOAD:
-        state.set_timer(REBALANCE_INTERVAL_US // 2, Timer.REBALANCE, f"::{connection.id}")
+        state.set_timer(REBALANCE_INTERVAL_US // 2, TimerKind.REBALANCE, connection.id)
         return
     rebalance(state, connection)
     connections = state.connections_at(server)
     if load.load_of(state, server) > load.SEVERE_OVERLOAD_THRESHOLD and connections:
-        state.set_timer(REBALANCE_INTERVAL_US, Timer.LOAD_CHECK, f"::{connections[0].id}")
+        state.set_timer(REBALANCE_INTERVAL_US, TimerKind.REPEATED_LOAD_CHECK, connections[0].id)
 
 
 def rebalance(state: BalancerState, connection: Connection) -> None:
--- a/wheatstile/decisions/requests.py
+++ b/wheatstile/decisions/requests.py
@@ -97,7 +97,8 @@
     state.begin_attempt(connection, server)
     limit_us = remaining_us // 2 if connection.attempts < state.settings.max_attempts else remaining_us
     timeout_us = max(limit_us, min(connection.service_class.latency_objective_us, remaining_us))
-    state.actions.append(api.StartAttempt(connection.id, server.endpoint.name, timeout_us))
+    send_before_us = connection.repeat_window_end_us
+    state.actions.append(api.StartAttempt(connection.id, server.endpoint.name, timeout_us, send_before_us))
 
 
 def _answer(state: BalancerState, connection: Connection) -> None:
--- a/wheatstile/decisions/state.py
+++ b/wheatstile/decisions/state.py
@@ -2,7 +2,6 @@
 
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass, field, replace
-from enum import StrEnum
 from random import Random
 from typing import TypeAlias
 from zlib import crc32
@@ -11,18 +10,7 @@
 from wheatstile.decisions.lookup_table import WeightedLookupTable
 from wheatstile.decisions.token_bucket import AdaptiveTokenBucket
 
-
-class Timer(StrEnum):
-    """What a timer is for; the first part of its token."""
-
-    SLOT = "slot"
-    WATCH_ENDPOINTS = "list"
-    LOAD_CHECK = "look"
-    CANDIDATES = "hold"
-    REBALANCE = "relief"
-
-
-_CANDIDATES = Timer.CANDIDATES  # looked up once, as each request sets this timer
+_CANDIDATE_TIMEOUT = api.TimerKind.CANDIDATE_TIMEOUT  # looked up once, as each request sets this timer
 
 
 @dataclass(slots=True, eq=False)
@@ -82,10 +70,18 @@
     load: float = 1.0  # on its server, as last reported
     first_forwarded: FirstForward | None = None
 
+    @property
+    def repeat_window_end_us(self) -> int | None:
+        """When a repeat stops being harmless; None if that time is not limited."""
+        first = self.first_forwarded
+        if first is None or self.service_class.idempotency is api.Idempotency.IDEMPOTENT:
+            return None
+        return first.at_us + int(self.service_class.repeat_window_us)
+
     def is_past_repeat_window(self, now_us: int) -> bool:
         """Whether an attempt may have run and a repeat would not be discarded any more."""
-        first = self.first_forwarded
-        return first is not None and now_us - first.at_us >= self.service_class.repeat_window_us
+        end_us = self.repeat_window_end_us
+        return end_us is not None and now_us >= end_us
 
 
 @dataclass(slots=True, eq=False)
@@ -131,13 +127,13 @@
         """Whether servers can be asked for their load."""
         return self.settings.health_checks_enabled and bool(self.settings.load_metrics)
 
-    def set_timer(self, delay_us: int, timer: Timer, suffix: str = "") -> None:
-        """Ask for a timer; the suffix is `:DUE:CONNECTION` for those of one connection."""
-        self.actions.append(api.SetTimer(delay_us, timer + suffix))
+    def set_timer(self, delay_us: int, kind: api.TimerKind, connection_id: str = "", due_us: int = 0) -> None:
+        """Request a timer."""
+        self.actions.append(api.SetTimer(delay_us, api.TimerToken(kind, connection_id, due_us)))
 
-    def set_jittered_timer(self, longest_us: float, timer: Timer, suffix: str = "") -> None:
-        """A timer within this time, drawn evenly."""
-        self.set_timer(1 + int(self.random.random() * longest_us), timer, suffix)
+    def set_jittered_timer(self, longest_us: float, kind: api.TimerKind, connection_id: str = "") -> None:
+        """Request a timer with a delay drawn uniformly from 0 to this time."""
+        self.set_timer(1 + int(self.random.random() * longest_us), kind, connection_id)
 
     def follow(self, event: api.EndpointUpdate) -> Iterator[tuple[Server, api.Endpoint, bool]]:
         """Take the list or its changes.
@@ -226,7 +222,7 @@
         """
         delay_us = max(1, min(delay_us, connection.deadline_us - self.now_us))
         connection.next_decision_at_us = self.now_us + delay_us
-        self.set_timer(delay_us, _CANDIDATES, f":{connection.next_decision_at_us}:{connection.id}")
+        self.set_timer(delay_us, _CANDIDATE_TIMEOUT, connection.id, connection.next_decision_at_us)
 
     def forget(self, id: str) -> None:
         """Drop a connection that is over, or whose client has left."""
--- a/wheatstile/interface/__init__.py
+++ b/wheatstile/interface/__init__.py
@@ -1,8 +1,8 @@
 """The interface of the decision module: its settings, its events and its actions.
 
-Everything here speaks of load balancing (servers, connections, drains, health checks) and nothing of any wire
-protocol. All times are integers on one clock that the host chooses and that never goes back; the unit stands
-in the name (`_us`: microseconds).
+It uses the terms of load balancing (server, connection, drain, health check) and of no wire protocol. All
+times are integers on one clock, which the host chooses and which never goes back; each name ends in the unit
+(`_us`: microseconds).
 """
 
 from wheatstile.interface.actions import (
@@ -45,6 +45,7 @@
     ServiceClass,
     Settings,
 )
+from wheatstile.interface.timers import TimerKind, TimerToken
 
 __all__ = [
     "Action",
@@ -76,5 +77,7 @@
     "ShutdownStarted",
     "StartAttempt",
     "TimerFired",
+    "TimerKind",
+    "TimerToken",
     "WatchEndpoints",
 ]
--- a/wheatstile/interface/actions.py
+++ b/wheatstile/interface/actions.py
@@ -3,56 +3,59 @@
 from dataclasses import dataclass
 from typing import TypeAlias
 
+from wheatstile.interface.timers import TimerToken
+
 
 @dataclass(slots=True)
 class StartAttempt:
-    """Try to set the connection up at this server. A time-out of 0: until the client's time is out."""
+    """Try to set the connection up at this server."""
 
     id: str
     server: str
-    timeout_us: int = 0
+    timeout_us: int = 0  # 0: until the client's deadline
+    send_before_us: int | None = None  # end of the idempotency key's window; None: no limit
 
 
 @dataclass(slots=True)
 class Reject:
-    """Final answer: turned away, and a retry is harmless (after this time, unless it is 0)."""
+    """Final answer: rejected; a retry by the client is harmless."""
 
     id: str
-    retry_after_us: int = 0
+    retry_after_us: int = 0  # how long the client should wait; 0: it is told no time
 
 
 @dataclass(slots=True)
 class Fail:
-    """Final answer: failed, with no promise about effects."""
+    """Final answer: failed; the request may have had an effect."""
 
     id: str
 
 
 @dataclass(slots=True)
 class Migrate:
-    """Close an open connection politely; its client comes again, to this balancer or another."""
+    """Ask the client of an open connection to reconnect, to this balancer or another."""
 
     id: str
 
 
 @dataclass(slots=True)
 class CheckHealth:
-    """Ask a server for its load."""
+    """Request a load report from a server."""
 
     server: str
 
 
 @dataclass(slots=True)
 class SetTimer:
-    """Fire a timer after this time."""
+    """Fire a timer after this delay."""
 
     delay_us: int
-    token: str
+    token: TimerToken
 
 
 @dataclass(slots=True)
 class WatchEndpoints:
-    """Ask for the changes of the list of servers from now on."""
+    """Watch the list of servers for changes from now on."""
 
 
 Action: TypeAlias = StartAttempt | Reject | Fail | Migrate | CheckHealth | SetTimer | WatchEndpoints
--- a/wheatstile/interface/endpoint.py
+++ b/wheatstile/interface/endpoint.py
@@ -5,29 +5,29 @@
 
 from wheatstile.interface.enumerations import DeduplicationScope, EndpointState
 
-_READY = EndpointState.READY  # looked up once: the access to a member takes 0.25 us in Python 3.11
+_READY = EndpointState.READY  # cached: access to an enumeration's member is slow in Python 3.11
 LoadReport: TypeAlias = dict[str, float]
-"""The figures of a server's load report by their names in `LoadMetric`; each is finite and 0 or more."""
+"""The figures of a server's load report by `LoadMetric`; each is finite and 0 or more."""
 
 
 @dataclass(slots=True)
 class Endpoint:
-    """One server in the list of servers."""
+    """One server as discovery lists it."""
 
     name: str
     state: EndpointState
     zone: str = ""
     cell: int = 0
     weight: float = 1.0
-    started_at_us: int = 0  # when its process last started; 0: long ago
+    started_at_us: int = 0  # start of its process, on the module's clock; 0: long ago
 
     @property
     def is_ready(self) -> bool:
-        """Whether it may get something new."""
+        """Whether it accepts new connections."""
         return self.state == _READY
 
     def shares_scope(self, other: "Endpoint", scope: DeduplicationScope) -> bool:
-        """Whether these two servers discard each other's repeats."""
+        """Whether both servers recognize the same idempotency key as a repeat."""
         match scope:
             case DeduplicationScope.ALL:
                 return True
--- a/wheatstile/interface/events.py
+++ b/wheatstile/interface/events.py
@@ -5,6 +5,7 @@
 
 from wheatstile.interface.endpoint import Endpoint, LoadReport
 from wheatstile.interface.enumerations import AttemptOutcome, EndpointUpdateKind
+from wheatstile.interface.timers import TimerToken
 
 
 @dataclass(slots=True)
@@ -17,15 +18,15 @@
 
 @dataclass(slots=True)
 class Request:
-    """A client wants a connection. It has to get exactly one final answer."""
+    """A client requests a connection. It has to get exactly one final answer."""
 
     id: str
     service_class: str
     expires_in_us: int
-    key: str = ""  # of the client
+    key: str = ""  # identifies the client across reconnections; empty: unknown
     tenant: str = ""
-    midflow: bool = False  # packets of a connection that some server may still hold
-    reconnecting: bool = False  # the client comes again after a break or a migration
+    midflow: bool = False  # packets of a connection that a server may still have open
+    reconnecting: bool = False  # the client reconnects after a broken connection or a migration
     client_retry: bool = False
     load_hint: float = 0.0
     affinity_group: str = ""  # connections of one group share work at a server
@@ -61,13 +62,13 @@
     server: str
     outcome: AttemptOutcome
     elapsed_us: int = 0
-    closed: bool = False  # the client has its final answer, or has left
+    closed: bool = False  # the client has its final answer, or has disconnected
     report: LoadReport | None = None
 
 
 @dataclass(slots=True)
 class ClientDisconnected:
-    """The client has left and needs no answer."""
+    """The client has disconnected and needs no answer."""
 
     id: str
 
@@ -93,7 +94,7 @@
 
 @dataclass(slots=True)
 class MessageLatencyChanged:
-    """Messages at this connection's server now take so long."""
+    """The latency of messages at this connection's server has changed."""
 
     id: str
     server: str
@@ -102,14 +103,14 @@
 
 @dataclass(slots=True)
 class TimerFired:
-    """A timer that the module has set is due."""
+    """A timer that the module has set has fired."""
 
-    token: str
+    token: TimerToken
 
 
 @dataclass(slots=True)
 class ShutdownStarted:
-    """This balancer ends within seconds: whoever waits for an answer has to get it now."""
+    """This balancer exits within seconds: every waiting request has to be answered now."""
 
 
 Event: TypeAlias = (
--- a/wheatstile/net/decision_loop.py
+++ b/wheatstile/net/decision_loop.py
@@ -80,13 +80,6 @@
         """Have the module decide by these settings from its next event on."""
         self.balancer.configure(settings)
 
-    def repeat_window(self, service: str) -> int | None:
-        """Microseconds after an attempt that may have run within which one may follow; None: no limit."""
-        service_class = self.balancer.settings.classes.get(service)
-        if service_class is None or service_class.idempotency is not api.Idempotency.IDEMPOTENCY_KEY:
-            return None
-        return service_class.deduplication_window_us
-
     def dispatch(self, event: api.Event) -> None:
         """Hand the module an event and carry out its actions.
 
--- a/wheatstile/net/session_setup.py
+++ b/wheatstile/net/session_setup.py
@@ -34,10 +34,8 @@
         self._session = session
         self._decisions = session.decisions
         self._context = context
-        # Taken once: a reload may take the class away meanwhile.
+        # Read once, since a reload may remove the class later.
         self._max_wait_ms = context.max_wait_ms(session.request)
-        self._repeat_window_us = session.decisions.repeat_window(session.request.service_class)
-        self._repeat_until_us: int | None = None  # nothing is sent then or later
 
     async def run(self) -> bytes | None:
         """Return the client's final answer; None once the session is established.
@@ -76,12 +74,13 @@
                 continue  # given up on before it was sent: the answer is the next action
             timeout_s = (action.timeout_us or self._max_wait_ms * 1000) / 1e6
             start_us = self._decisions.now()
-            result = await self._run_attempt(action.server, session.request.line_with_wait, timeout_s)
+            result = await self._run_attempt(
+                action.server, session.request.line_with_wait, timeout_s, action.send_before_us
+            )
             elapsed_us = self._decisions.now() - start_us
             if result.established:
                 self._on_established(action.server, result, elapsed_us)
                 return None
-            self._start_repeat_window(start_us, result.outcome)
             self._on_attempt_ended(action.server, result, elapsed_us)
             if result.outcome is api.AttemptOutcome.OK:
                 return result.line
@@ -96,13 +95,6 @@
             event = api.Established(session.id, session.attempt_number, server, elapsed_us)
             self._decisions.dispatch(event)
 
-    def _start_repeat_window(self, start_us: int, outcome: api.AttemptOutcome) -> None:
-        """Bound the time of further attempts, once one may have run that servers forget after a while."""
-        if self._repeat_window_us is None or self._repeat_until_us is not None:
-            return
-        if outcome.may_have_run:
-            self._repeat_until_us = start_us + self._repeat_window_us
-
     def _on_attempt_ended(self, server: str, result: AttemptResult, elapsed_us: int) -> None:
         session = self._session
         closed = result.outcome is api.AttemptOutcome.OK
@@ -137,11 +129,16 @@
         )
 
     async def _run_attempt(
-        self, server: str, open_line: OpenLineProvider, timeout_s: float, reopening: bool = False
+        self,
+        server: str,
+        open_line: OpenLineProvider,
+        timeout_s: float,
+        send_before_us: int | None = None,
+        reopening: bool = False,
     ) -> AttemptResult:
-        """Run one attempt. The one before it was closed when it ended, so that there are never two.
+        """Runs one attempt. The attempt before it was closed when it ended, so that there are never two.
 
-        Nothing is sent past the repeat window, however long the connection took to come up.
+        Nothing is sent at or after `send_before_us`, however long the connection took to come up.
         """
         session = self._session
         session.client.check_waiting()
@@ -151,7 +148,7 @@
 
         def line_if_still_wanted(wait_ms: int) -> bytes | None:
             session.client.check_waiting()
-            if session.answer_decided.is_set() or self._repeat_window_is_over():
+            if session.answer_decided.is_set() or self._is_past(send_before_us):
                 return None
             return open_line(wait_ms)
 
@@ -162,8 +159,8 @@
         self._decisions.counters[f"attempts_{result.label}"] += 1
         return result
 
-    def _repeat_window_is_over(self) -> bool:
-        return self._repeat_until_us is not None and self._decisions.now() >= self._repeat_until_us
+    def _is_past(self, time_us: int | None) -> bool:
+        return time_us is not None and self._decisions.now() >= time_us
 
     async def _unless_answered(self, attempt: asyncio.Task[AttemptResult]) -> AttemptResult:
         """Return the attempt's result, unless the module decides the final answer meanwhile: then stop it."""
--- a/wheatstile/simulator/__init__.py
+++ b/wheatstile/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The same decisions on a simulator's wire, on standard input and output. No other room imports this."""
+"""Runs the decision module on the simulator's wire. No other package imports it."""
