--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Costs:
-    """What one size costs: the median time of each kind of event, and the memory of the whole."""
+    """The median time of each kind of event, and the memory of the whole, for one size."""
 
     decision_s: float
     report_s: float
@@ -51,10 +51,15 @@
     costs: Costs
 
 
-def median_s(work: Callable[[int], object], repetitions: int) -> float:
-    """Return the median time of one call, in seconds; `work` gets the call's number."""
+def median_s(
+    work: Callable[[int], object],
+    repetitions: int,
+    prepare: Callable[[int], object] = lambda _: None,
+) -> float:
+    """Returns the median time of one call of `work`, in seconds; both functions get the call's number."""
     durations_s = []
     for index in range(repetitions):
+        prepare(index)
         started_s = time.perf_counter()
         work(index)
         durations_s.append(time.perf_counter() - started_s)
@@ -77,7 +82,7 @@
         """Return the costs, each over so many repetitions."""
         return Costs(
             decision_s=median_s(self._decide, repetitions),
-            report_s=median_s(self._report_load, repetitions),
+            report_s=median_s(self._report_load, repetitions, self._begin_check),
             update_s=median_s(self._update_endpoint, repetitions),
             memory_bytes=self._memory_bytes,
         )
@@ -90,10 +95,15 @@
         assert any(isinstance(action, api.StartAttempt) for action in self._harness.log)
         self._harness.dispatch(api.ClientDisconnected(request_id))
 
+    def _begin_check(self, index: int) -> None:
+        """Puts a health check in flight, for `_report_load`."""
+        balancer = self._harness.balancer
+        server = balancer.endpoints.servers[self._names[index % len(self._names)]]
+        balancer.health_checks.check(server, lambda _: None, next(iter(balancer.connections.established)))
+
     def _report_load(self, index: int) -> None:
-        """Return the answer to one health check."""
+        """Answers one health check."""
         server = self._names[index % len(self._names)]
-        self._harness.balancer.servers[server].is_being_checked = True  # as if it had been requested
         self._harness.dispatch(api.HealthCheckResult(server, api.AttemptOutcome.OK, 1000, {"load": 0.4}))
 
     def _update_endpoint(self, index: int) -> None:
--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_admission.py
@@ -3,9 +3,9 @@
 from support.balancer_harness import SECOND_US, BalancerHarness, of_type
 
 from wheatstile import interface as api
-from wheatstile.decisions import admission
 from wheatstile.decisions.admission import INITIAL_RATE
-from wheatstile.decisions.load import LOAD_REPORT_TTL_US, OVERLOAD_THRESHOLD
+from wheatstile.decisions.fleet_load import LOAD_REPORT_TTL_US
+from wheatstile.decisions.server_load import OVERLOAD_THRESHOLD
 
 FINAL = (api.Reject, api.Fail)
 
@@ -41,7 +41,7 @@
     """Restarting balancers handed on a thousand connections a second, and most misses were set up anew."""
     for pace, sent in ((INITIAL_RATE, 40), (1.0, 1)):
         harness = BalancerHarness(*"abcd")
-        harness.balancer.state.setup_limiter.rate = pace
+        harness.balancer.setup_limiter.bucket.rate = pace
         for index in range(40):
             harness.request(f"r{index}", key=f"k{index}", midflow=True)
         assert len(of_type(harness.log, api.StartAttempt)) == sent
@@ -65,13 +65,12 @@
         harness = BalancerHarness("a", "b", fleet_size=200)
         for index in range(number):
             harness.connect(f"c{index}", "a")
-        harness.balancer.state.setup_limiter.rate, harness.balancer.state.setup_limiter.updated_at_us = (
-            1.0,
-            harness.balancer.state.now_us,
-        )
-        harness.balancer.state.now_us += SECOND_US
-        admission.try_acquire(harness.balancer.state)
-        grown.append(harness.balancer.state.setup_limiter.rate - 1.0)
+        limiter = harness.balancer.setup_limiter
+        limiter.bucket.rate = 1.0
+        limiter.bucket.updated_at_us = harness.now
+        harness.balancer.context.begin(harness.now + SECOND_US)
+        limiter.try_acquire()
+        grown.append(limiter.bucket.rate - 1.0)
     assert grown[0] < 4
     assert 50 < grown[1] < 70
 
--- a/tests/decisions/test_fleet.py
+++ b/tests/decisions/test_fleet.py
@@ -8,7 +8,7 @@
 from support.fleet_model import FleetModel
 
 from wheatstile import interface as api
-from wheatstile.decisions.load import LOAD_REPORT_TTL_US
+from wheatstile.decisions.fleet_load import LOAD_REPORT_TTL_US
 
 WARM = [f"w{number}" for number in range(6)]
 WARM_HOLDS, WARM_AFTER = 12, 23 * SECOND_US
--- a/tests/decisions/test_health.py
+++ b/tests/decisions/test_health.py
@@ -9,7 +9,9 @@
     """Fifty balancers that asked at once filled the server's probe room, and each moved all it had there."""
     harness = BalancerHarness("a", "b", "c", loads={"a": 0.6, "b": 0.4, "c": 0.4})
     harness.connect("c0", "a")
-    harness.balancer.servers["a"].load, harness.balancer.servers["a"].message_latency_ms = 0.6, 500.0
+    load = harness.balancer.endpoints.servers["a"].load
+    load.record_report({"load": 0.6}, harness.now)
+    load.record_message_latency(500.0)
     moves = []
     for _ in range(2):
         harness.dispatch(api.MessageLatencyChanged("c0", "a", 400.0))
@@ -27,7 +29,7 @@
     """A hung server's probe room fills up with probes that it never answers."""
     harness = BalancerHarness("a", "b", "c")
     harness.connect("c0", "a")
-    harness.balancer.servers["a"].load = 0.6
+    harness.balancer.endpoints.servers["a"].load.record_report({"load": 0.6}, harness.now)
     harness.dispatch(api.MessageLatencyChanged("c0", "a", 4000.0))
     while not harness.probes:
         harness.run_to_next_timer()
@@ -67,8 +69,8 @@
         harness = BalancerHarness("a", "b")
         harness.dispatch(api.Request("r", "web", 2 * SECOND_US))
         harness.dispatch(api.HealthCheckResult(harness.probes.pop(), api.AttemptOutcome(outcome)))
-        servers = harness.balancer.servers.values()
-        assert any(server.ejected_until_us > harness.now for server in servers) == suspected
+        servers = harness.balancer.endpoints.servers.values()
+        assert any(server.ejection.is_active(harness.now) for server in servers) == suspected
 
 
 def test_server_that_answers_checks_with_errors_keeps_its_clients_and_gets_no_more() -> None:
--- a/tests/decisions/test_load.py
+++ b/tests/decisions/test_load.py
@@ -3,7 +3,7 @@
 from support.balancer_harness import SECOND_US, BalancerHarness, of_type
 
 from wheatstile import interface as api
-from wheatstile.decisions.load import OVERLOAD_THRESHOLD, mean_load
+from wheatstile.decisions.server_load import OVERLOAD_THRESHOLD
 
 
 def test_unread_load_is_unknown_and_not_idle() -> None:
@@ -45,7 +45,7 @@
     harness = BalancerHarness("a", "b", "c", "d", loads={"a": 10.0, "b": 0.3, "c": 0.3, "d": 0.3})
     for index in range(300):
         harness.request(f"r{index}")
-    assert mean_load(harness.balancer.state) < OVERLOAD_THRESHOLD
+    assert harness.balancer.fleet_load.mean() < OVERLOAD_THRESHOLD
 
 
 def test_two_full_servers_in_the_own_zone_do_not_make_the_fleet_look_full() -> None:
@@ -62,4 +62,4 @@
         harness.request(f"r{number}", key=f"k{number}")
         harness.run(SECOND_US // 10)
     assert not of_type(harness.log, api.Reject)
-    assert mean_load(harness.balancer.state) < OVERLOAD_THRESHOLD
+    assert harness.balancer.fleet_load.mean() < OVERLOAD_THRESHOLD
--- a/tests/decisions/test_lookup_table.py
+++ b/tests/decisions/test_lookup_table.py
@@ -7,8 +7,7 @@
 from support.balancer_harness import BalancerHarness, entries
 
 from wheatstile import interface as api
-from wheatstile.decisions.selection import pick
-from wheatstile.decisions.state import Connection
+from wheatstile.decisions.connection import Connection
 
 NAMES = [f"s{number}" for number in range(10)]
 CHI_SQUARE = {1: 10.83, 9: 27.88, 19: 43.82}  # degrees of freedom -> exceeded by chance once in a thousand
@@ -26,7 +25,7 @@
 
 def connection_of(group: str) -> Connection:
     kind = api.ServiceClass("web", 1)
-    return Connection("id", "key", kind, 0, False, placement_hash=crc32(group.encode()))
+    return Connection("id", "key", kind, 0, placement_hash=crc32(group.encode()))
 
 
 @pytest.mark.parametrize(
@@ -42,7 +41,7 @@
     harness, draws = weighted(weights), 100_000
     found: Counter[str] = Counter()
     for number in range(draws):
-        server = pick(harness.balancer.state, connection_of(f"group{number}") if keyed else None)
+        server = harness.balancer.selector.pick(connection_of(f"group{number}") if keyed else None)
         assert server
         found[server.endpoint.name] += 1
     total = sum(weights.values())
@@ -54,15 +53,15 @@
 @pytest.mark.parametrize("weight", [1.0, 0.3])
 def test_equal_weights_draw_as_before(weight: float) -> None:
     harness = BalancerHarness(*NAMES) if weight == 1.0 else weighted(dict.fromkeys(NAMES, weight))
-    drawn = [pick(harness.balancer.state, None) for _ in range(12)]
+    drawn = [harness.balancer.selector.pick(None) for _ in range(12)]
     names = [server.endpoint.name for server in drawn if server]
     if weight == 1.0:  # the draws of the version before weights, from the same seed
         assert names == ["s0", "s3", "s5", "s9", "s6", "s2", "s6", "s9", "s8", "s3", "s4", "s7"]
     pairs = []
     for number in range(8):
         connection = connection_of(f"g{number}")
-        first = pick(harness.balancer.state, connection)
-        second = pick(harness.balancer.state, connection, first)
+        first = harness.balancer.selector.pick(connection)
+        second = harness.balancer.selector.pick(connection, first)
         assert first
         assert second
         pairs.append(first.endpoint.name + second.endpoint.name)
@@ -78,7 +77,7 @@
         )
     )
     for number in range(200):
-        a, b = (pick(harness.balancer.state, connection_of(f"g{number}")) for harness in (first, second))
+        a, b = (harness.balancer.selector.pick(connection_of(f"g{number}")) for harness in (first, second))
         assert a
         assert b
         assert a.endpoint.name == b.endpoint.name
@@ -87,8 +86,9 @@
 def test_the_last_server_left_is_found_by_weight_too() -> None:
     """With nearly all suspected the table is given up for a look through the list, which weighs as well."""
     harness = weighted({"heavy": 3.0, "light": 1.0} | {f"off{number}": 100.0 for number in range(60)})
-    for name, server in harness.balancer.servers.items():
-        server.ejected_until_us = harness.now + 1 if name.startswith("off") else 0
-    found = Counter(one.endpoint.name for _ in range(2000) if (one := pick(harness.balancer.state, None)))
+    for name, server in harness.balancer.endpoints.servers.items():
+        if name.startswith("off"):
+            server.ejection.record_failure(harness.now)
+    found = Counter(one.endpoint.name for _ in range(2000) if (one := harness.balancer.selector.pick(None)))
     assert set(found) == {"heavy", "light"}
     assert 2.3 < found["heavy"] / found["light"] < 3.9
--- a/tests/decisions/test_package.py
+++ b/tests/decisions/test_package.py
@@ -9,7 +9,17 @@
 ROOT = Path(__file__).parents[2]
 PACKAGE = ROOT / "wheatstile" / "decisions"
 POLICY = [ROOT / name for name in tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]]
-DECIDES_NOTHING = {"__init__.py", "balancer.py", "lookup_table.py", "state.py", "token_bucket.py"}
+DECIDES_NOTHING = {
+    "__init__.py",
+    "balancer.py",
+    "connection.py",
+    "connection_table.py",
+    "endpoint_table.py",
+    "event_context.py",
+    "lookup_table.py",
+    "server.py",
+    "token_bucket.py",
+}
 MODULES = [*sorted(PACKAGE.glob("*.py")), *sorted((ROOT / "wheatstile" / "interface").glob("*.py"))]
 ALLOWED_IMPORTS = {
     "collections.abc",
--- a/tests/decisions/test_rebalancing.py
+++ b/tests/decisions/test_rebalancing.py
@@ -3,7 +3,7 @@
 from support.balancer_harness import SECOND_US, BalancerHarness, of_type
 
 from wheatstile import interface as api
-from wheatstile.decisions.load import OVERLOAD_THRESHOLD
+from wheatstile.decisions.server_load import OVERLOAD_THRESHOLD
 
 
 def test_server_with_late_messages_loses_its_excess() -> None:
@@ -16,7 +16,11 @@
     assert 30 <= len(moved) <= 55
     assert not of_type(
         harness.dispatch(
-            api.MessageLatencyChanged(sorted(harness.balancer.state.connections)[0], "a", 400.0)
+            api.MessageLatencyChanged(
+                sorted(connection.id for connection in harness.balancer.connections.established)[0],
+                "a",
+                400.0,
+            )
         ),
         api.CheckHealth,
     )
@@ -57,7 +61,7 @@
         harness.dispatch(
             api.MessageLatencyChanged("c0", "a", delays[0] / 10)
         )  # within the aim: no relief yet
-        harness.balancer.servers["a"].message_latency_ms = delays[0]
+        harness.balancer.endpoints.servers["a"].load.record_message_latency(delays[0])
         harness.dispatch(api.MessageLatencyChanged("c0", "a", delays[1]))
         moved[delays[1]] = len(of_type(harness.run(SECOND_US // 2), api.Migrate))
     assert 8 <= moved[400.0] <= 30
--- a/tests/decisions/test_requests.py
+++ b/tests/decisions/test_requests.py
@@ -12,7 +12,7 @@
 from support.balancer_harness import SECOND_US, BalancerHarness, entries, of_type, settings
 
 from wheatstile import interface as api
-from wheatstile.decisions.load import OVERLOAD_THRESHOLD
+from wheatstile.decisions.server_load import OVERLOAD_THRESHOLD
 
 FINAL = (api.Reject, api.Fail)
 OUTCOMES = list(api.AttemptOutcome)
@@ -64,7 +64,7 @@
         harness.run(SECOND_US)
         if moved := [
             key
-            for key, move in harness.balancer.state.pending_migrations.items()
+            for key, move in harness.balancer.exploration.pending_moves.items()
             if move.expires_at_us > harness.now + SECOND_US
         ]:
             break
--- a/tests/decisions/test_selection.py
+++ b/tests/decisions/test_selection.py
@@ -3,7 +3,7 @@
 from support.balancer_harness import SECOND_US, BalancerHarness, entries, of_type
 
 from wheatstile import interface as api
-from wheatstile.decisions.load import OVERLOAD_THRESHOLD
+from wheatstile.decisions.server_load import OVERLOAD_THRESHOLD
 
 
 def test_every_balancer_draws_the_same_candidates_for_a_key() -> None:
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -4,8 +4,6 @@
 from support.balancer_harness import SECOND_US, BalancerHarness, entries, of_type
 
 from wheatstile import interface as api
-from wheatstile.decisions import slow_start
-from wheatstile.decisions.selection import is_eligible
 
 
 def test_retry_needs_twice_the_budget() -> None:
@@ -14,14 +12,13 @@
     harness.dispatch(api.EndpointUpdate(api.EndpointUpdateKind.FULL, entries("a", started_at_us=harness.now)))
     for number in range(20):
         harness.connect(f"c{number}", "a")
-    server, connection = harness.balancer.servers["a"], next(iter(harness.balancer.state.established))
+    server = harness.balancer.endpoints.servers["a"]
+    connection = next(iter(harness.balancer.connections.established))
     for attempts, tokens, may in ((0, 0.9, False), (0, 1.0, True), (1, 1.9, False), (1, 2.0, True)):
-        connection.attempts, server.slow_start_tokens, server.slow_start_tokens_at_us = (
-            attempts,
-            tokens,
-            harness.balancer.state.now_us,
-        )
-        assert is_eligible(harness.balancer.state, server, connection) is may
+        connection.attempts = attempts
+        server.slow_start.tokens = tokens
+        server.slow_start.updated_at_us = harness.now
+        assert harness.balancer.selector.is_eligible(server, connection) is may
 
 
 def test_two_hundred_balancers_do_not_save_up_one_request_each() -> None:
@@ -33,15 +30,16 @@
         harness.dispatch(api.EndpointUpdate(api.EndpointUpdateKind.DELTA, cold))
         for index in range(3):
             harness.connect(f"c{index}", "a")
-        server, connection = harness.balancer.servers["cold"], next(iter(harness.balancer.state.established))
-        connection.attempts, connection.deadline_us = 0, harness.balancer.state.now_us + 10 * SECOND_US
-        harness.balancer.state.now_us += 4 * SECOND_US  # with nobody to send
-        if any(
-            is_eligible(harness.balancer.state, server, connection) for _ in range(10)
-        ):  # asked again it says the same
+        server = harness.balancer.endpoints.servers["cold"]
+        connection = next(iter(harness.balancer.connections.established))
+        connection.attempts = 0
+        selector = harness.balancer.selector
+        now_us = harness.now + 4 * SECOND_US  # with nobody to send
+        harness.balancer.context.begin(now_us)
+        if any(selector.is_eligible(server, connection) for _ in range(10)):  # asked again it says the same
             met += 1
-            harness.balancer.state.begin_attempt(connection, server)
-            assert not is_eligible(harness.balancer.state, server, connection)  # what is sent is owed
+            server.slow_start.charge(now_us)
+            assert not selector.is_eligible(server, connection)  # what is sent is owed
     # 3 connections on 9 servers at a load of 0.5: a warm one holds 0.47 at 0.7, a cold one a fifth;
     # three times so much may be sent to it, 56 by all of them.
     assert 40 < met < 72
@@ -55,15 +53,15 @@
         harness = BalancerHarness("a", "b", seed=seed, slow_start_overload_factor=1.0)
         for index in range(4):
             harness.connect(f"c{index}", "a")
-        server, connection = harness.balancer.servers["b"], next(iter(harness.balancer.state.established))
-        connection.deadline_us = harness.now + 10 * SECOND_US
-        harness.balancer.state.begin_attempt(connection, server)
-        started = harness.balancer.state.now_us + (-1 if sent_since_start else 1)
+        server = harness.balancer.endpoints.servers["b"]
+        connection = next(iter(harness.balancer.connections.established))
+        server.slow_start.charge(harness.now)
+        started = harness.now + (-1 if sent_since_start else 1)
         harness.dispatch(
             api.EndpointUpdate(api.EndpointUpdateKind.DELTA, entries("b", started_at_us=started))
         )
         connection.attempts = 0
-        count += is_eligible(harness.balancer.state, server, connection)
+        count += harness.balancer.selector.is_eligible(server, connection)
     assert count in fits
 
 
@@ -78,11 +76,12 @@
         )
         for number in range(100):
             harness.connect(f"c{number}", "a")
-        server = harness.balancer.servers["b"]
-        server.slow_start_tokens, server.slow_start_tokens_at_us = 0.0, harness.balancer.state.now_us
-        harness.balancer.state.now_us += SECOND_US // 10
-        slow_start.has_budget(harness.balancer.state, server, False)
-        grown.append(server.slow_start_tokens)
+        server = harness.balancer.endpoints.servers["b"]
+        server.slow_start.tokens = 0.0
+        server.slow_start.updated_at_us = harness.now
+        harness.balancer.context.begin(harness.now + SECOND_US // 10)
+        harness.balancer.slow_start.permits(server, is_retry=False)
+        grown.append(server.slow_start.tokens)
     assert grown[0] > 0
     assert grown[1:] == pytest.approx([grown[0] / 2, grown[0] / 4])
 
--- a/tests/support/servers_section.py
+++ b/tests/support/servers_section.py
@@ -32,7 +32,7 @@
 
     def ready(self) -> set[str]:
         """The servers that the decision module may pick."""
-        return {server.endpoint.name for server in self.decisions.balancer.state.ready}
+        return {server.endpoint.name for server in self.decisions.balancer.endpoints.ready}
 
     async def wait_until_ready(self, *names: str) -> None:
         """Wait until these servers and no others are ready. Raises TimeoutError after TIMEOUT_S."""
--- a/wheatstile/decisions/admission.py
+++ b/wheatstile/decisions/admission.py
@@ -1,40 +1,79 @@
-"""Admission: how fast retries and reconnections are let through, and who is rejected at once."""
+"""Admission: the rate of repeated setups, and the early rejection of requests in a full fleet."""
 
-from wheatstile.decisions.load import OVERLOAD_THRESHOLD, mean_load
-from wheatstile.decisions.state import BalancerState
-from wheatstile.decisions.token_bucket import AdaptiveTokenBucket
+from wheatstile import interface as api
+from wheatstile.decisions.connection_table import ConnectionTable
+from wheatstile.decisions.endpoint_table import EndpointTable
+from wheatstile.decisions.event_context import EventContext
+from wheatstile.decisions.fleet_load import FleetLoad
+from wheatstile.decisions.server_load import OVERLOAD_THRESHOLD
+from wheatstile.decisions.token_bucket import AdaptiveTokenBucket, TokenRates
 
-LIFETIME_S = 60  # at a rate of 1 the setups would renew all open connections in this time
-INITIAL_RATE = 240.0
+RENEWAL_TIME_S = 60  # a rate of 1 admits one setup for each connection in this time
+INITIAL_RATE = 240.0  # admits a whole reconnect burst within a second or two
 MAX_RATE = 480.0
 MIN_RATE = 1.0
-RATE_INCREASE = 0.6  # a second and connection, as failures are
-RATE_DECREASE = 0.7  # a failure
-LEAST_CONNECTIONS_PER_SERVER = 27  # of which a balancer that has just started counts its part
-PEAK_DECAY = 0.01  # a second
-EARLY_REJECTION_RATIO = 0.7  # of the requests that find the fleet full are rejected with no health check
+RATE_INCREASE_PER_S = 0.6  # multiplied by the number of connections, as failures are
+RATE_DECREASE_FACTOR = 0.7  # applied at each failure
+MIN_CONNECTIONS_PER_SERVER = 27  # estimate for a balancer that has just started and holds few connections
+PEAK_DECAY_PER_S = 0.01
+MAX_PEAK_DECAY_TIME_S = 1.0  # counted between two setups
+EARLY_REJECTION_RATIO = 0.7  # share of requests that are rejected without a health check in a full fleet
+OVERLOAD_OUTCOMES = (api.AttemptOutcome.ERROR, api.AttemptOutcome.TIMEOUT)  # reduce the rate
 
 
-def start(state: BalancerState) -> None:
-    """Begin with a wave in mind: an ended balancer's clients all come at once."""
-    state.setup_limiter = AdaptiveTokenBucket(
-        INITIAL_RATE, MAX_RATE, MIN_RATE, RATE_INCREASE, RATE_DECREASE, updated_at_us=state.now_us
-    )
+class SetupRateLimiter:
+    """Limits repeated setups (additive increase, multiplicative decrease).
 
+    The limit keeps a reconnect burst from overloading a store that the servers share.
+    """
 
-def try_acquire(state: BalancerState) -> bool:
-    """Spend one repeated setup, if the rate allows it; the rate goes by the connections held here.
+    def __init__(self, context: EventContext, endpoints: EndpointTable, connections: ConnectionTable) -> None:
+        self._context = context
+        self._endpoints = endpoints
+        self._connections = connections
+        self._peak_connections = 0.0
+        rates = TokenRates(INITIAL_RATE, MAX_RATE, MIN_RATE, RATE_INCREASE_PER_S, RATE_DECREASE_FACTOR)
+        self.bucket = AdaptiveTokenBucket(rates, RENEWAL_TIME_S)
 
-    A wave of setups may keep a store that servers share from answering any of them, wave after wave.
-    """
-    passed_s = min(state.setup_limiter.seconds_since_update(state.now_us), 1.0)
-    decayed = state.peak_connections * (1 - PEAK_DECAY * passed_s)
-    state.peak_connections = max(decayed, len(state.established))
-    part_of_fleet = LEAST_CONNECTIONS_PER_SERVER * len(state.ready) / state.settings.fleet_size
-    size = max(state.peak_connections, part_of_fleet)
-    return state.setup_limiter.try_acquire(state.now_us, size, LIFETIME_S)
+    def start(self) -> None:
+        """Starts the refill of tokens."""
+        self.bucket.updated_at_us = self._context.now_us
+
+    @property
+    def is_reduced(self) -> bool:
+        """Whether failures have reduced the rate below its initial value."""
+        return self.bucket.rate < INITIAL_RATE
+
+    def on_attempt_failed(self, outcome: api.AttemptOutcome) -> None:
+        """Reduces the rate after an error or a time-out."""
+        if outcome in OVERLOAD_OUTCOMES:
+            self.bucket.on_failure()
+
+    def try_acquire(self) -> bool:
+        """Acquires a token for a repeated setup, if there is one.
+
+        The refill rate is proportional to the connections of this balancer.
+        """
+        now_us = self._context.now_us
+        self._update_peak(min(self.bucket.seconds_since_update(now_us), MAX_PEAK_DECAY_TIME_S))
+        fleet_size = self._context.settings.fleet_size
+        share_of_fleet = MIN_CONNECTIONS_PER_SERVER * len(self._endpoints.ready) / fleet_size
+        return self.bucket.try_acquire(now_us, max(self._peak_connections, share_of_fleet))
+
+    def _update_peak(self, elapsed_s: float) -> None:
+        decayed = self._peak_connections * (1 - PEAK_DECAY_PER_S * elapsed_s)
+        self._peak_connections = max(decayed, len(self._connections.established))
+
+
+class EarlyRejection:
+    """Rejects most requests without a health check while the fleet is full."""
 
+    def __init__(self, context: EventContext, fleet_load: FleetLoad) -> None:
+        self._context = context
+        self._fleet_load = fleet_load
 
-def is_rejected_early(state: BalancerState) -> bool:
-    """Whether a request is rejected because the fleet is full, with no health check spent on it."""
-    return mean_load(state) > OVERLOAD_THRESHOLD and state.random.random() < EARLY_REJECTION_RATIO
+    def rejects(self) -> bool:
+        """Returns whether a request is rejected at once; drawn at random while the fleet is full."""
+        if self._fleet_load.mean() <= OVERLOAD_THRESHOLD:
+            return False
+        return self._context.random.random() < EARLY_REJECTION_RATIO
--- a/wheatstile/decisions/balancer.py
+++ b/wheatstile/decisions/balancer.py
@@ -1,9 +1,6 @@
 """The decision module of one balancer: events in, actions out (wheatstile/interface/).
 
-A new connection goes to the better of two random servers by checked load over capacity; in every other slot
-each connection explores a uniformly drawn server with probability gamma, and in the slot after it the ratio
-rule says whether it goes back. docs/design.md explains the rest. This module only passes events on to the
-modules beside it, which decide.
+This module builds the parts and passes each event on. How the parts decide is explained in docs/design.md.
 """
 
 from collections.abc import Callable, Mapping
@@ -11,106 +8,160 @@
 from typing import Any
 
 from wheatstile import interface as api
-from wheatstile.decisions import admission, endpoint_list, exploration, health, rebalancing, requests
-from wheatstile.decisions.state import BalancerState, Connection, Server
+from wheatstile.decisions.admission import EarlyRejection, SetupRateLimiter
+from wheatstile.decisions.candidate_selection import CandidateSelector
+from wheatstile.decisions.connection import Connection
+from wheatstile.decisions.connection_table import ConnectionTable
+from wheatstile.decisions.endpoint_table import EndpointTable
+from wheatstile.decisions.endpoint_watch import EndpointWatch
+from wheatstile.decisions.event_context import EventContext
+from wheatstile.decisions.exploration import Exploration
+from wheatstile.decisions.final_answer import FinalAnswer
+from wheatstile.decisions.fleet_load import FleetLoad
+from wheatstile.decisions.health_checks import HealthChecks
+from wheatstile.decisions.rebalancing import Rebalancer
+from wheatstile.decisions.request_lifecycle import RequestLifecycle
+from wheatstile.decisions.retry_policy import RetryPolicy
+from wheatstile.decisions.server import Server
+from wheatstile.decisions.slow_start import SlowStart
 
 
 class Balancer:
-    """The decisions of one balancer, from what it alone is told."""
+    """The decisions of one balancer, from the events that it alone is given."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
-        self.state = BalancerState(settings, Random(seed))
-        state = self.state
-        self._handlers: Mapping[type, Callable[[Any], None]] = {
-            api.EndpointUpdate: self._on_endpoints,
-            api.Request: lambda event: requests.on_request(state, event),
-            api.ExistingConnection: state.restore,
-            api.Established: state.establish,
-            api.AttemptEnded: lambda event: requests.on_attempt_ended(state, event),
-            api.ClientDisconnected: lambda event: state.forget(event.id),
+        self.context = EventContext(settings, Random(seed))
+        self.endpoints = EndpointTable()
+        self.connections = ConnectionTable()
+        self.fleet_load = FleetLoad(self.context, self.endpoints)
+        self.health_checks = HealthChecks(self.context, self.endpoints)
+        self.slow_start = SlowStart(self.context, self.endpoints, self.connections, self.fleet_load)
+        self.setup_limiter = SetupRateLimiter(self.context, self.endpoints, self.connections)
+        retry_policy = RetryPolicy(self.context)
+        self.selector = CandidateSelector(
+            self.context, self.endpoints, self.fleet_load, self.health_checks, self.slow_start, retry_policy
+        )
+        self.exploration = Exploration(
+            self.context,
+            self.endpoints,
+            self.connections,
+            self.fleet_load,
+            self.health_checks,
+            self.selector,
+        )
+        self._rebalancer = Rebalancer(self.context, self.connections, self.fleet_load, self.health_checks)
+        self._requests = self._build_request_lifecycle(retry_policy)
+        self._watch = EndpointWatch(self.context)
+        self._event_handlers = self._build_event_handlers()
+        self._balancer_timers: Mapping[api.TimerKind, Callable[[], None]] = {
+            api.TimerKind.EXPLORATION_SLOT: self.exploration.on_slot,
+            api.TimerKind.LOAD_CHECK: self._rebalancer.on_load_check_due,
+            api.TimerKind.WATCH_ENDPOINTS: self._watch.watch,
+        }
+        self._connection_timers: Mapping[api.TimerKind, Callable[[Connection], None]] = {
+            api.TimerKind.REPEATED_LOAD_CHECK: self._rebalancer.on_repeated_load_check_due,
+            api.TimerKind.REBALANCE: self._rebalancer.on_rebalance_due,
+        }
+
+    def _build_request_lifecycle(self, retry_policy: RetryPolicy) -> RequestLifecycle:
+        return RequestLifecycle(
+            self.context,
+            self.connections,
+            self.fleet_load,
+            self.health_checks,
+            self.selector,
+            retry_policy,
+            FinalAnswer(self.context, self.connections),
+            self.setup_limiter,
+            EarlyRejection(self.context, self.fleet_load),
+            self.exploration,
+        )
+
+    def _build_event_handlers(self) -> Mapping[type, Callable[[Any], None]]:
+        return {
+            api.EndpointUpdate: self._on_endpoint_update,
+            api.Request: self._requests.on_request,
+            api.ExistingConnection: self._on_existing_connection,
+            api.Established: self._requests.on_established,
+            api.AttemptEnded: self._requests.on_attempt_ended,
+            api.ClientDisconnected: self._requests.on_client_disconnected,
             api.HealthCheckResult: self._on_health_check,
             api.TimerFired: self._on_timer,
             api.MessageLatencyChanged: self._on_message_latency,
             api.ConnectionLoadChanged: self._on_connection_load,
-            api.ShutdownStarted: lambda _: requests.on_shutdown(state),
+            api.ShutdownStarted: self._requests.on_shutdown,
         }
 
     @property
     def servers(self) -> Mapping[str, Server]:
-        """The servers that this balancer has heard of, by name."""
-        return self.state.servers
+        """The servers that discovery has listed, by name."""
+        return self.endpoints.servers
 
     @property
     def settings(self) -> api.Settings:
         """The settings in force."""
-        return self.state.settings
+        return self.context.settings
 
     def configure(self, settings: api.Settings) -> None:
-        """These settings count from the next event on; what `start` has set going keeps its ways."""
-        self.state.settings = settings
+        """Applies these settings from the next event on; timers that are already set are not changed."""
+        self.context.settings = settings
 
     def start(self, now_us: int) -> list[api.Action]:
-        """Call once, before any event: sets the timers going that the settings ask for."""
-        self.state.now_us = now_us
-        self.state.actions = []
-        admission.start(self.state)
-        exploration.start(self.state)
-        rebalancing.start(self.state)
-        endpoint_list.start(self.state)
-        return self.state.actions
+        """Starts the timers. Called once, before any event. Returns the actions to carry out."""
+        self.context.begin(now_us)
+        self.setup_limiter.start()
+        self.exploration.start()
+        self._rebalancer.start()
+        self._watch.start()
+        return self.context.actions
 
     def handle(self, now_us: int, event: api.Event) -> list[api.Action]:
-        """Take one event at this time and say what to do. What is no longer held is passed over."""
-        self.state.now_us = now_us
-        self.state.actions = []
-        self.state.mean_load = None
-        handler = self._handlers.get(type(event))
-        if handler:
-            handler(event)
-        return self.state.actions
-
-    def _on_endpoints(self, event: api.EndpointUpdate) -> None:
+        """Handles one event at this time. Returns the actions to carry out.
+
+        An event about a connection or a server that is not known is ignored.
+        """
+        self.context.begin(now_us)
+        self.fleet_load.begin_event()
+        self._event_handlers[type(event)](event)
+        return self.context.actions
+
+    def _on_endpoint_update(self, event: api.EndpointUpdate) -> None:
         if event.kind == api.EndpointUpdateKind.FAILED:
-            endpoint_list.on_failure(self.state)
+            self._watch.on_failure()
+            return
+        self._rebalancer.on_endpoints_changed()
+        self._watch.on_update(event.kind)
+        if event.kind == api.EndpointUpdateKind.MOVED:
             return
-        rebalancing.on_endpoints_changed(self.state)
-        endpoint_list.on_update(self.state, event)
+        for server in self.endpoints.update(event):
+            self.slow_start.begin(server)
+
+    def _on_existing_connection(self, event: api.ExistingConnection) -> None:
+        if server := self.endpoints.servers.get(event.server):
+            self._requests.on_existing(event, server)
 
     def _on_health_check(self, event: api.HealthCheckResult) -> None:
-        server = self.state.servers.get(event.server)
-        if server is None or not server.is_being_checked:
-            return
-        waiters = self.state.take_check_waiters(server)
-        health.on_result(self.state, server, event)
-        for callback, connection in waiters:
-            callback(self.state, connection)
-        if event.outcome.is_ok:
-            rebalancing.on_server_read(self.state, server)
+        server = self.health_checks.on_result(event)
+        if server and event.outcome.is_ok:
+            self._rebalancer.on_server_read(server)
 
     def _on_message_latency(self, event: api.MessageLatencyChanged) -> None:
-        if connection := self.state.connections.get(event.id):
-            rebalancing.on_latency(self.state, connection, event.latency_ms)
+        if connection := self.connections.get(event.id):
+            self._rebalancer.on_message_latency(connection, event.latency_ms)
 
     def _on_connection_load(self, event: api.ConnectionLoadChanged) -> None:
-        if connection := self.state.connections.get(event.id):
+        if connection := self.connections.get(event.id):
             connection.load = event.load
 
     def _on_timer(self, event: api.TimerFired) -> None:
         token = event.token
-        if token.kind is api.TimerKind.EXPLORATION_SLOT:
-            exploration.on_slot(self.state)
-        elif token.kind is api.TimerKind.LOAD_CHECK:
-            rebalancing.on_load_check_due(self.state)
-        elif token.kind is api.TimerKind.WATCH_ENDPOINTS:
-            self.state.actions.append(api.WatchEndpoints())
-        elif connection := self.state.connections.get(token.connection_id):
+        if handler := self._balancer_timers.get(token.kind):
+            handler()
+        elif connection := self.connections.get(token.connection_id):
             self._on_connection_timer(token, connection)
 
     def _on_connection_timer(self, token: api.TimerToken, connection: Connection) -> None:
         if token.kind is api.TimerKind.CANDIDATE_TIMEOUT:
-            if token.due_us == connection.next_decision_at_us:  # else a later timer was set
-                requests.choose_candidate(self.state, connection, is_expired=True)
-        elif connection in self.state.established:
-            is_check = token.kind is api.TimerKind.REPEATED_LOAD_CHECK
-            callback = rebalancing.on_load_read if is_check else rebalancing.rebalance
-            self.state.check_server_of(connection, callback)
+            self._requests.on_candidate_timeout(connection, token.due_us)
+        elif connection.is_established:
+            self._connection_timers[token.kind](connection)
--- /dev/null
+++ b/wheatstile/decisions/candidate_selection.py
@@ -0,0 +1,124 @@
+"""Candidate selection: which servers are eligible, which are drawn, and which of two candidates is better."""
+
+from wheatstile.decisions.connection import Connection
+from wheatstile.decisions.endpoint_table import EndpointTable
+from wheatstile.decisions.event_context import EventContext
+from wheatstile.decisions.fleet_load import FleetLoad
+from wheatstile.decisions.health_checks import HealthChecks
+from wheatstile.decisions.placement import RANDOM
+from wheatstile.decisions.retry_policy import RetryPolicy
+from wheatstile.decisions.server import Server
+from wheatstile.decisions.server_load import UNREACHABLE_LOAD
+from wheatstile.decisions.slow_start import SlowStart
+
+MAX_DRAWS = 100  # limit of draws from the lookup table; then the whole list of servers is searched
+RANDOM_SEED_BITS = 31
+CROSS_ZONE_LOAD = 3.0  # load that is added to a candidate in another zone, at a cross-zone cost of 1
+
+
+class CandidateSelector:
+    """Draws servers, and chooses between two of them (power of two choices)."""
+
+    def __init__(
+        self,
+        context: EventContext,
+        endpoints: EndpointTable,
+        fleet_load: FleetLoad,
+        health_checks: HealthChecks,
+        slow_start: SlowStart,
+        retry_policy: RetryPolicy,
+    ) -> None:
+        self._context = context
+        self._endpoints = endpoints
+        self._fleet_load = fleet_load
+        self._health_checks = health_checks
+        self._slow_start = slow_start
+        self._retry_policy = retry_policy
+
+    def is_eligible(self, server: Server, connection: Connection | None) -> bool:
+        """Returns whether a connection may go to this server; None: any connection."""
+        if not server.endpoint.is_ready:
+            return False
+        if connection is None:
+            return self._slow_start.permits(server, is_retry=False)
+        if not self._slow_start.permits(server, is_retry=connection.attempts > 0):
+            return False
+        return self._retry_policy.may_attempt_at(server, connection)
+
+    def is_available(self, server: Server, connection: Connection) -> bool:
+        """Returns whether a connection may go to this server, which is not ejected."""
+        return not server.ejection.is_active(self._context.now_us) and self.is_eligible(server, connection)
+
+    def pick(self, connection: Connection | None, excluded: Server | None = None) -> Server | None:
+        """Draws an eligible server by weight; an ejected one if no other is left, None if none is eligible.
+
+        From the same placement hash every balancer draws the same servers.
+        """
+        return self._pick(connection, excluded, own_zone_only=False)
+
+    def pick_near(self, connection: Connection) -> Server | None:
+        """Draws an eligible server as `pick` does, from the own zone if crossing zones has a cost."""
+        return self._pick(connection, None, own_zone_only=self._context.settings.cross_zone_cost > 0)
+
+    def draw_candidates(self, connection: Connection) -> list[Server]:
+        """Draws up to two candidates for a connection."""
+        first = self.pick_near(connection)
+        if first is None:
+            return []
+        second = self.pick(connection, excluded=first)
+        return [first, second] if second else [first]
+
+    def best_candidate(self, connection: Connection) -> Server | None:
+        """Returns the less loaded of the eligible candidates that have answered a health check."""
+        found = [server for server in connection.candidates if self._is_usable(server, connection)]
+        return min(self._without_ejected(found), key=self._load_with_crossing, default=None)
+
+    def _is_usable(self, candidate: Server, connection: Connection) -> bool:
+        if self._health_checks.is_in_flight(candidate):
+            return False
+        is_reachable = self._fleet_load.load_of(candidate) < UNREACHABLE_LOAD
+        return is_reachable and self.is_eligible(candidate, connection)
+
+    def _load_with_crossing(self, server: Server) -> float:
+        """Returns a server's load, raised if the connection would cross zones."""
+        load = self._fleet_load.load_of(server)
+        settings = self._context.settings
+        if server.endpoint.zone == settings.zone:
+            return load
+        return load + CROSS_ZONE_LOAD * settings.cross_zone_cost
+
+    def _pick(
+        self, connection: Connection | None, excluded: Server | None, own_zone_only: bool
+    ) -> Server | None:
+        seed = connection.placement_hash if connection else RANDOM
+        if seed == RANDOM:
+            seed = self._context.random.getrandbits(RANDOM_SEED_BITS)
+        now_us = self._context.now_us
+
+        def is_skipped(server: Server) -> bool:
+            return server is excluded or server.ejection.until_us > now_us
+
+        for server in self._endpoints.lookup.draw(seed, MAX_DRAWS, is_skipped):
+            is_near = not own_zone_only or server.endpoint.zone == self._context.settings.zone
+            if is_near and self.is_eligible(server, connection):
+                return server
+        return self._pick_from_all(connection, excluded)
+
+    def _pick_from_all(self, connection: Connection | None, excluded: Server | None) -> Server | None:
+        """Draws from the whole list of servers, by weight."""
+        found = [
+            server
+            for server in self._endpoints.ready
+            if server is not excluded and self.is_eligible(server, connection)
+        ]
+        found = self._without_ejected(found)
+        if not found:
+            return None
+        if self._endpoints.lookup.has_equal_weights:
+            return self._context.random.choice(found)
+        return self._context.random.choices(found, [server.endpoint.weight for server in found])[0]
+
+    def _without_ejected(self, servers: list[Server]) -> list[Server]:
+        """Returns the servers that are not ejected; all of them if every one is ejected."""
+        now_us = self._context.now_us
+        return [server for server in servers if not server.ejection.is_active(now_us)] or servers
--- /dev/null
+++ b/wheatstile/decisions/endpoint_table.py
@@ -0,0 +1,49 @@
+"""The servers of one balancer, as discovery lists them."""
+
+from dataclasses import replace
+from zlib import crc32
+
+from wheatstile import interface as api
+from wheatstile.decisions.lookup_table import WeightedLookupTable
+from wheatstile.decisions.server import Server
+from wheatstile.decisions.server_load import ServerLoad
+
+
+class EndpointTable:
+    """All servers that discovery has listed, those that are ready, and the lookup table of the ready ones."""
+
+    def __init__(self) -> None:
+        self.servers: dict[str, Server] = {}  # keyed by name
+        self.ready: list[Server] = []  # sorted by name
+        self.ready_loads: list[ServerLoad] = []  # loads of the ready servers
+        self.lookup: WeightedLookupTable[Server] = WeightedLookupTable([], [])
+
+    def update(self, event: api.EndpointUpdate) -> list[Server]:
+        """Applies a list of endpoints or its changes. Returns the servers whose process is new."""
+        started = []
+        for endpoint in event.endpoints:
+            server, is_new_process = self._apply(endpoint)
+            if is_new_process:
+                started.append(server)
+        if event.kind != api.EndpointUpdateKind.DELTA:
+            self._mark_absent_as_gone(event.endpoints)
+        self.ready = [server for _, server in sorted(self.servers.items()) if server.endpoint.is_ready]
+        self.ready_loads = [server.load for server in self.ready]
+        self.lookup = WeightedLookupTable(self.ready, [server.endpoint.weight for server in self.ready])
+        return started
+
+    def _apply(self, endpoint: api.Endpoint) -> tuple[Server, bool]:
+        """Applies one endpoint. Returns its server, and whether the server's process is new."""
+        server = self.servers.get(endpoint.name)
+        if server is None:
+            server = Server(endpoint, crc32(endpoint.name.encode()))
+            self.servers[endpoint.name] = server
+            return server, True
+        has_restarted = server.endpoint.started_at_us != endpoint.started_at_us
+        server.endpoint = endpoint
+        return server, has_restarted
+
+    def _mark_absent_as_gone(self, listed: list[api.Endpoint]) -> None:
+        for name in self.servers.keys() - {endpoint.name for endpoint in listed}:
+            server = self.servers[name]
+            server.endpoint = replace(server.endpoint, state=api.EndpointState.GONE)
--- /dev/null
+++ b/wheatstile/decisions/event_context.py
@@ -0,0 +1,42 @@
+"""What the parts of the decision module share while they handle an event."""
+
+from random import Random
+
+from wheatstile import interface as api
+
+
+class EventContext:
+    """The time of the event, the settings, the random generator, and the actions that answer the event.
+
+    Only `Balancer` sets the time and the settings. All times are in microseconds.
+    """
+
+    __slots__ = ("actions", "now_us", "random", "settings")
+
+    def __init__(self, settings: api.Settings, random: Random) -> None:
+        self.settings = settings
+        self.random = random
+        self.now_us = 0
+        self.actions: list[api.Action] = []
+
+    def begin(self, now_us: int) -> None:
+        """Starts an event at this time, with no actions yet."""
+        self.now_us = now_us
+        self.actions = []
+
+    @property
+    def health_checks_enabled(self) -> bool:
+        """Whether servers can be asked for their load."""
+        return self.settings.health_checks_enabled and bool(self.settings.load_metrics)
+
+    def act(self, action: api.Action) -> None:
+        """Adds an action to the answer to this event."""
+        self.actions.append(action)
+
+    def set_timer(self, delay_us: int, kind: api.TimerKind, connection_id: str = "", due_us: int = 0) -> None:
+        """Requests a timer."""
+        self.actions.append(api.SetTimer(delay_us, api.TimerToken(kind, connection_id, due_us)))
+
+    def set_jittered_timer(self, max_delay_us: float, kind: api.TimerKind, connection_id: str = "") -> None:
+        """Requests a timer with a delay drawn uniformly from 1 to `max_delay_us`."""
+        self.set_timer(1 + int(self.random.random() * max_delay_us), kind, connection_id)
--- a/wheatstile/decisions/exploration.py
+++ b/wheatstile/decisions/exploration.py
@@ -1,4 +1,4 @@
-"""The paper's dynamics: capped exploration on a balancer-wide clock, and the ratio rule for the way back.
+"""The paper's dynamics: capped exploration on a balancer-wide clock, and the ratio rule for the return.
 
 "Fast, Concurrent and Distributed Load Balancing under Switching Costs and Imperfect Observations"; the names
 t, beta, gamma, n, X_i and X_j are the paper's.
@@ -6,86 +6,151 @@
 
 from math import log
 
-from wheatstile.decisions import selection
-from wheatstile.decisions.load import load_of
-from wheatstile.decisions.state import BalancerState, Connection, Exploration
-from wheatstile.interface import TimerKind
+from wheatstile import interface as api
+from wheatstile.decisions.candidate_selection import CandidateSelector
+from wheatstile.decisions.connection import Connection, ExplorationMove
+from wheatstile.decisions.connection_table import ConnectionTable
+from wheatstile.decisions.endpoint_table import EndpointTable
+from wheatstile.decisions.event_context import EventContext
+from wheatstile.decisions.fleet_load import FleetLoad
+from wheatstile.decisions.health_checks import HealthChecks
 
-SLOT_US = 4_000_000  # long enough for a move to show in reports that are seconds late
+SLOT_US = 4_000_000  # long enough for a migration to show in reports that are seconds late
 BETA = 0.75  # the middle of the range for which the paper proves convergence
-GAMMA_CAP = 0.01  # each move costs its client a gap and a setup; at even loads most moves gain nothing
+GAMMA_CAP = 0.01  # each migration costs its client a gap and a setup
+MIN_SERVERS = 2  # exploration needs another server
+MOVE_TIMEOUT_US = 2 * SLOT_US  # a client that reconnects later is placed as a new one
 
 
 def gamma_at(t: int) -> float:
-    """The exploration probability of slot t."""
+    """Returns the exploration probability of slot t."""
     return float(min(GAMMA_CAP, max(t, 1) ** -BETA))
 
 
 def return_probability(x_i: float, x_j: float, n: int, gamma: float) -> float:
-    """Proposition 1: how likely a connection that moved from load x_i to load x_j goes back."""
+    """Returns the probability of a move back to load x_i after a move to load x_j (Proposition 1)."""
     if x_j >= x_i:
         return 1.0
-    if n < 2 or x_j <= x_i * (1 - n * gamma / (n - 1)):  # noqa: PLR2004
+    if n < MIN_SERVERS or x_j <= x_i * (1 - n * gamma / (n - 1)):
         return 0.0
     return 1 - (n - 1) / (n * gamma) * (1 - x_j / x_i)
 
 
-def start(state: BalancerState) -> None:
-    """Set the phase of the slots."""
-    state.set_jittered_timer(SLOT_US, TimerKind.EXPLORATION_SLOT)
-
-
-def on_slot(state: BalancerState) -> None:
-    """Odd slots explore, even ones compare."""
-    state.set_timer(SLOT_US, TimerKind.EXPLORATION_SLOT)
-    state.slot += 1
-    state.expire_migrations()
-    if not state.health_checks_enabled or len(state.ready) < 2:  # noqa: PLR2004
-        return
-    first_index = _skipped_connections(state)  # drawn in every slot, also in those that compare
-    if state.slot % 2:
-        _explore_some(state, first_index)
-    else:
-        _compare_all(state)
-
-
-def _skipped_connections(state: BalancerState) -> int:
-    """How many connections in a row do not explore: one draw in place of one for each connection."""
-    return int(log(1 - state.random.random()) / log(1 - gamma_at(state.slot)))
-
-
-def _explore_some(state: BalancerState, next_index: int) -> None:
-    for index, connection in enumerate(state.established):
-        if index == next_index and connection.server:
-            next_index += 1 + _skipped_connections(state)
-            state.check_server_of(connection, _explore)
-
-
-def _compare_all(state: BalancerState) -> None:
-    for connection in state.established:
-        if connection.exploration and connection.server:
-            state.check_server_of(connection, _compare)
-
-
-def _explore(state: BalancerState, connection: Connection) -> None:
-    """Move to a uniformly drawn other server, now that X_i has been read."""
-    target = selection.pick(state, None, connection.server)
-    if connection in state.established and connection.server and target:
-        x_i = load_of(state, connection.server)
-        move = Exploration(connection.server, target, x_i, gamma_at(state.slot))
-        state.migrate(connection, move, 2 * SLOT_US)
-
-
-def _compare(state: BalancerState, connection: Connection) -> None:
-    """The ratio rule, one slot after the move."""
-    move = connection.exploration
-    connection.exploration = None
-    if not move or not connection.server or connection not in state.established:
-        return
-    if move.origin.ejected_until_us > state.now_us:
-        return
-    x_j = load_of(state, connection.server)
-    probability = return_probability(move.x_i, x_j, len(state.ready), move.gamma)
-    if move.origin.endpoint.is_ready and state.random.random() < probability:
-        move.is_return = True
-        state.migrate(connection, move, 2 * SLOT_US)
+class Exploration:
+    """Migrates open connections at random, and some of them back.
+
+    Keeps the clock t and the moves whose clients have not reconnected.
+    """
+
+    def __init__(
+        self,
+        context: EventContext,
+        endpoints: EndpointTable,
+        connections: ConnectionTable,
+        fleet_load: FleetLoad,
+        health_checks: HealthChecks,
+        selector: CandidateSelector,
+    ) -> None:
+        self._context = context
+        self._endpoints = endpoints
+        self._connections = connections
+        self._fleet_load = fleet_load
+        self._health_checks = health_checks
+        self._selector = selector
+        self._slot = 0  # the paper's clock t
+        self._pending: dict[str, ExplorationMove] = {}  # keyed by client key
+
+    @property
+    def pending_moves(self) -> dict[str, ExplorationMove]:
+        """The moves whose clients have not reconnected yet, by client key."""
+        return self._pending
+
+    def start(self) -> None:
+        """Starts the slots, at a random phase."""
+        self._context.set_jittered_timer(SLOT_US, api.TimerKind.EXPLORATION_SLOT)
+
+    def on_slot(self) -> None:
+        """Begins a slot: odd slots explore, even slots compare loads."""
+        self._context.set_timer(SLOT_US, api.TimerKind.EXPLORATION_SLOT)
+        self._slot += 1
+        self._expire_moves()
+        if not self._context.health_checks_enabled or len(self._endpoints.ready) < MIN_SERVERS:
+            return
+        first_index = self._draw_skip_count()  # drawn in every slot, also where it is not used
+        if self._slot % 2:
+            self._explore_from(first_index)
+        else:
+            self._compare_all()
+
+    def take_pending(self, key: str) -> ExplorationMove | None:
+        """Removes and returns the move of a client that reconnects; None if it has none or comes too late."""
+        move = self._pending.pop(key, None)
+        if move is None or move.expires_at_us <= self._context.now_us:
+            return None
+        return move
+
+    def on_destination_chosen(self, connection: Connection, move: ExplorationMove) -> None:
+        """Records that a reconnecting client is sent to the destination of its move."""
+        connection.exploration = None if move.is_return else move
+
+    def end_move(self, connection: Connection) -> ExplorationMove | None:
+        """Ends the move of a connection whose attempt has failed, and returns the move."""
+        move = connection.exploration
+        connection.exploration = None
+        return move
+
+    def on_connection_ended(self, connection: Connection, has_failed: bool) -> None:
+        """Counts a failure after a move as a load above X_i, so that a client that reconnects goes back."""
+        move = connection.exploration
+        if move and has_failed and connection.key:
+            move.is_return = True
+            self._pending[connection.key] = move
+
+    def _draw_skip_count(self) -> int:
+        """Draws how many connections in a row do not explore, in place of one draw for each connection."""
+        return int(log(1 - self._context.random.random()) / log(1 - gamma_at(self._slot)))
+
+    def _explore_from(self, next_index: int) -> None:
+        for index, connection in enumerate(self._connections.established):
+            if index == next_index and connection.server:
+                next_index += 1 + self._draw_skip_count()
+                self._health_checks.check_server_of(connection, self._explore)
+
+    def _compare_all(self) -> None:
+        for connection in self._connections.established:
+            if connection.exploration:
+                self._health_checks.check_server_of(connection, self._compare)
+
+    def _explore(self, connection: Connection) -> None:
+        """Migrates a connection to another server, drawn at random, now that X_i has been read."""
+        origin = connection.server
+        target = self._selector.pick(None, excluded=origin)
+        if not connection.is_established or not origin or not target:
+            return
+        x_i = self._fleet_load.load_of(origin)
+        self._migrate(connection, ExplorationMove(origin, target, x_i, gamma_at(self._slot)))
+
+    def _compare(self, connection: Connection) -> None:
+        """Applies the ratio rule, one slot after the move."""
+        move = self.end_move(connection)
+        if not move or not connection.server or not connection.is_established:
+            return
+        if move.origin.ejection.is_active(self._context.now_us):
+            return
+        x_j = self._fleet_load.load_of(connection.server)
+        probability = return_probability(move.x_i, x_j, len(self._endpoints.ready), move.gamma)
+        if move.origin.endpoint.is_ready and self._context.random.random() < probability:
+            move.is_return = True
+            self._migrate(connection, move)
+
+    def _migrate(self, connection: Connection, move: ExplorationMove) -> None:
+        """Migrates a connection, and remembers its client's move until MOVE_TIMEOUT_US from now."""
+        if connection.key:
+            move.expires_at_us = self._context.now_us + MOVE_TIMEOUT_US
+            self._pending[connection.key] = move
+        self._context.act(api.Migrate(connection.id))
+        self._connections.remove(connection)
+
+    def _expire_moves(self) -> None:
+        now_us = self._context.now_us
+        self._pending = {key: move for key, move in self._pending.items() if move.expires_at_us > now_us}
--- /dev/null
+++ b/wheatstile/decisions/final_answer.py
@@ -0,0 +1,35 @@
+"""The final answer to a request: a rejection where a retry by the client is harmless, else a failure."""
+
+from wheatstile import interface as api
+from wheatstile.decisions.connection import Connection, ConnectionPhase
+from wheatstile.decisions.connection_table import ConnectionTable
+from wheatstile.decisions.event_context import EventContext
+
+RETRY_AFTER_US = 1_000_000  # mean time after which a rejected client should retry
+
+_ATTEMPTING = ConnectionPhase.ATTEMPTING  # cached: access to an enumeration's member is slow in Python 3.11
+
+
+class FinalAnswer:
+    """Gives each request its one final answer, and ends the request with it."""
+
+    def __init__(self, context: EventContext, connections: ConnectionTable) -> None:
+        self._context = context
+        self._connections = connections
+
+    def give(self, connection: Connection) -> None:
+        """Rejects a request, or fails it if an attempt may have run and a retry could do harm."""
+        may_have_run = connection.first_forward is not None or connection.phase is _ATTEMPTING
+        self._connections.remove(connection)
+        if may_have_run and not connection.service_class.is_client_retry_harmless:
+            self._context.act(api.Fail(connection.id))
+        else:
+            self._context.act(api.Reject(connection.id, self._draw_retry_after_us()))
+
+    def _draw_retry_after_us(self) -> int:
+        """Draws the time after which the client should retry; 0 if the settings do not allow to name it."""
+        settings = self._context.settings
+        if not settings.retry_after_enabled:
+            return 0
+        jittered_us = int(RETRY_AFTER_US * (0.5 + self._context.random.random()))
+        return min(jittered_us, settings.max_retry_after_us)
--- /dev/null
+++ b/wheatstile/decisions/fleet_load.py
@@ -0,0 +1,57 @@
+"""The mean load of the ready servers, and what counts as the load of a server whose load is unknown."""
+
+from wheatstile.decisions.endpoint_table import EndpointTable
+from wheatstile.decisions.event_context import EventContext
+from wheatstile.decisions.server import Server
+from wheatstile.decisions.server_load import OVERLOAD_THRESHOLD, UNREACHABLE_LOAD
+
+ASSUMED_LOAD = 0.5  # counted in the mean for a server without a recent report
+LOAD_REPORT_TTL_US = 4_000_000
+FULL = 1.0  # highest load that one server adds to the mean
+
+
+class FleetLoad:
+    """The mean load, computed at most once for each event."""
+
+    def __init__(self, context: EventContext, endpoints: EndpointTable) -> None:
+        self._context = context
+        self._endpoints = endpoints
+        self._mean: float | None = None  # None: not computed for this event
+
+    def begin_event(self) -> None:
+        """Has the mean computed anew when it is next needed."""
+        self._mean = None
+
+    def mean(self) -> float:
+        """Returns the mean load of the ready servers, each counted once.
+
+        An unreachable server is left out. An old report counts as ASSUMED_LOAD, since a balancer that rejects
+        requests because of it receives no newer one.
+        """
+        if self._mean is None:
+            self._mean = self._compute_mean()
+        return self._mean
+
+    def load_of(self, server: Server) -> float:
+        """Returns a server's load as last reported; the mean if it is unknown."""
+        load = server.load.value
+        return self.mean() if load is None else load
+
+    def is_overloaded(self) -> bool:
+        """Returns whether the fleet as a whole is full."""
+        return self.mean() >= OVERLOAD_THRESHOLD
+
+    def _compute_mean(self) -> float:
+        oldest_us = self._context.now_us - LOAD_REPORT_TTL_US
+        loads = []
+        for load in self._endpoints.ready_loads:
+            value = load.value
+            if value is None:
+                loads.append(ASSUMED_LOAD)
+            elif value >= UNREACHABLE_LOAD:
+                continue
+            elif load.read_at_us <= oldest_us:
+                loads.append(ASSUMED_LOAD)
+            else:
+                loads.append(value if value < FULL else FULL)
+        return sum(loads) / len(loads) if loads else ASSUMED_LOAD
--- /dev/null
+++ b/wheatstile/decisions/health_checks.py
@@ -0,0 +1,81 @@
+"""Health checks: at most one in flight for each server, and what its result shows."""
+
+from collections.abc import Callable
+from typing import TypeAlias
+
+from wheatstile import interface as api
+from wheatstile.decisions.connection import Connection
+from wheatstile.decisions.endpoint_table import EndpointTable
+from wheatstile.decisions.event_context import EventContext
+from wheatstile.decisions.server import Server
+
+CheckCallback: TypeAlias = Callable[[Connection], None]
+CheckWaiter: TypeAlias = tuple[CheckCallback, Connection]
+
+
+class HealthChecks:
+    """Requests health checks, joins callers to the one in flight, and records the results."""
+
+    def __init__(self, context: EventContext, endpoints: EndpointTable) -> None:
+        self._context = context
+        self._endpoints = endpoints
+        self._waiters: dict[Server, list[CheckWaiter]] = {}  # keyed by the server being checked
+
+    def is_in_flight(self, server: Server) -> bool:
+        """Returns whether the result of a health check of this server is awaited."""
+        return server in self._waiters
+
+    def is_any_in_flight(self, servers: list[Server]) -> bool:
+        """Returns whether the result of a health check of any of these servers is awaited."""
+        return not self._waiters.keys().isdisjoint(servers)
+
+    def check(self, server: Server, callback: CheckCallback, connection: Connection) -> None:
+        """Calls back with the connection once the server has been checked; at once if checks are disabled."""
+        if not self._context.health_checks_enabled:
+            callback(connection)
+            return
+        waiters = self._waiters.get(server)
+        if waiters is not None:
+            waiters.append((callback, connection))
+            return
+        self._waiters[server] = [(callback, connection)]
+        self._context.act(api.CheckHealth(server.endpoint.name))
+
+    def check_server_of(self, connection: Connection, callback: CheckCallback) -> None:
+        """Checks the server of a connection."""
+        if connection.server:
+            self.check(connection.server, callback, connection)
+
+    def on_result(self, event: api.HealthCheckResult) -> Server | None:
+        """Records a result and calls back. Returns the server, unless no health check of it was in flight."""
+        server = self._endpoints.servers.get(event.server)
+        if server is None or server not in self._waiters:
+            return None
+        waiters = self._waiters.pop(server)
+        self._record(server, event)
+        for callback, connection in waiters:
+            callback(connection)
+        return server
+
+    def _record(self, server: Server, event: api.HealthCheckResult) -> None:
+        if event.outcome.is_ok:
+            server.load.record_report(event.report or {}, self._context.now_us)
+        elif event.outcome is not api.AttemptOutcome.NOT_SENT:
+            self._record_failure(server, event.outcome)
+
+    def _record_failure(self, server: Server, outcome: api.AttemptOutcome) -> None:
+        """Ejects the server; its connections are migrated only if it counts as unreachable."""
+        if outcome is api.AttemptOutcome.ERROR or _is_first_rejection(server, outcome):
+            server.load.forget()
+        else:
+            server.load.mark_unreachable()
+        server.ejection.record_failure(self._context.now_us)
+
+
+def _is_first_rejection(server: Server, outcome: api.AttemptOutcome) -> bool:
+    """Returns whether a server in normal state rejects a health check for the first time.
+
+    Many balancers that check a healthy server at the same moment can overload it briefly.
+    """
+    is_rejection = outcome is api.AttemptOutcome.OVERLOADED
+    return is_rejection and server.load.is_measured and not server.load.lower_bound
--- a/wheatstile/decisions/lookup_table.py
+++ b/wheatstile/decisions/lookup_table.py
@@ -1,7 +1,4 @@
-"""A lookup table in which each item has entries by its weight, and a generator that walks through it.
-
-The table is pure data: which server is eligible is for the decisions to say.
-"""
+"""A lookup table in which each item has entries by its weight, and the generator that draws from it."""
 
 from collections.abc import Callable, Iterator, Sequence
 from dataclasses import dataclass
@@ -14,7 +11,7 @@
     """What the table needs of its items."""
 
     name_hash: int
-    acceptance_ratio: float
+    acceptance_ratio: float  # share of the draws of its entries that the item accepts; set by the table
 
 
 Item = TypeVar("Item", bound=TableItem)
@@ -25,7 +22,7 @@
     factor: int
     step: int
     modulus: int
-    low_bits: int  # are left out: they are the least random ones
+    low_bits: int  # number of lowest bits that are dropped, as the least random ones
 
 
 _FOR_EQUAL_WEIGHTS = _LinearCongruentialGenerator(1103515245, 12345, 2**31, 8)
@@ -33,11 +30,11 @@
 
 
 class WeightedLookupTable(Generic[Item]):
-    """Items in hashed places, so that every balancer finds the same ones from the same hash.
+    """A hash table of items, from which every balancer draws the same items with the same seed.
 
-    An item has one entry for equal weights, else its weight over the mean rounded up, and passes on the share
-    of the draws that this is too much (`acceptance_ratio`). There are fewer than two entries an item, in a
-    table whose number of places is a power of two.
+    An item has one entry if all weights are equal, else its weight divided by the mean weight, rounded up.
+    Its acceptance ratio makes up for the rounding. The number of slots is a power of two, and at least four
+    times the number of entries.
     """
 
     def __init__(self, items: Sequence[Item], weights: Sequence[float]) -> None:
@@ -45,36 +42,35 @@
         mean_weight = sum(weights) / max(len(weights), 1)
         counts = [1 if self.has_equal_weights else ceil(weight / mean_weight) for weight in weights]
         self._generator = _FOR_EQUAL_WEIGHTS if self.has_equal_weights else _FOR_UNEQUAL_WEIGHTS
-        self._places: list[Item | None] = [None] * (4 << sum(counts).bit_length())
+        self._slots: list[Item | None] = [None] * (4 << sum(counts).bit_length())
         for item, weight, count in zip(items, weights, counts, strict=True):
             item.acceptance_ratio = 1.0 if self.has_equal_weights else weight / (count * mean_weight)
             for entry in range(count):
                 self._insert(item, entry)
 
     def _insert(self, item: Item, entry: int) -> None:
-        mask = len(self._places) - 1
+        mask = len(self._slots) - 1
         index = (crc32(b"%d" % entry, item.name_hash) if entry else item.name_hash) & mask
-        while self._places[index]:
+        while self._slots[index]:
             index = (index + 1) & mask
-        self._places[index] = item
+        self._slots[index] = item
 
-    def walk(self, seed: int, draws: int, is_passed_over: Callable[[Item], bool]) -> Iterator[Item]:
-        """The items that this many draws meet, from this seed on.
+    def draw(self, seed: int, draws: int, is_skipped: Callable[[Item], bool]) -> Iterator[Item]:
+        """Yields the items of this number of draws, except skipped items and those that do not accept.
 
-        One that is passed over takes part in no draw for its acceptance ratio. The generator for equal
-        weights (of 31 bits) favours some items by a few percent; that for unequal ones (of 64 bits, Knuth's
-        MMIX) does not.
+        A skipped item uses no draw for its acceptance ratio. The generator for equal weights (31 bits)
+        favours some items by a few percent; the one for unequal weights (64 bits, Knuth's MMIX) does not.
         """
-        factor = self._generator.factor  # in local names: this loop is the module's busiest
+        factor = self._generator.factor  # local names, since this is the module's busiest loop
         step = self._generator.step
         modulus = self._generator.modulus
         low_bits = self._generator.low_bits
-        places = self._places
+        slots = self._slots
         value = seed
         for _ in range(draws):
             value = (value * factor + step) % modulus
-            item = places[(value >> low_bits) % len(places)]
-            if item is None or is_passed_over(item):
+            item = slots[(value >> low_bits) % len(slots)]
+            if item is None or is_skipped(item):
                 continue
             if item.acceptance_ratio < 1:
                 value = (value * factor + step) % modulus
--- /dev/null
+++ b/wheatstile/decisions/outlier_ejection.py
@@ -0,0 +1,29 @@
+"""Outlier ejection: how long a server that failed gets no new connections."""
+
+BASE_EJECTION_US = 1_000_000  # doubles with each consecutive failure
+MAX_EJECTION_US = 8_000_000
+MAX_EJECTION_DOUBLINGS = 4
+
+
+class OutlierEjection:
+    """The consecutive failures of one server, and the end of its ejection."""
+
+    __slots__ = ("_consecutive_failures", "until_us")
+
+    def __init__(self) -> None:
+        self.until_us = 0
+        self._consecutive_failures = 0
+
+    def is_active(self, now_us: int) -> bool:
+        """Returns whether the server is ejected now."""
+        return self.until_us > now_us
+
+    def record_failure(self, now_us: int) -> None:
+        """Ejects the server, for longer after each consecutive failure."""
+        doublings = min(self._consecutive_failures, MAX_EJECTION_DOUBLINGS)
+        self.until_us = now_us + min(BASE_EJECTION_US << doublings, MAX_EJECTION_US)
+        self._consecutive_failures += 1
+
+    def record_success(self) -> None:
+        """Resets the count of consecutive failures; a current ejection runs on."""
+        self._consecutive_failures = 0
--- /dev/null
+++ b/wheatstile/decisions/placement.py
@@ -0,0 +1,26 @@
+"""The seeds from which candidates are drawn, so that every balancer draws the same ones for a client."""
+
+from zlib import crc32
+
+from wheatstile import interface as api
+
+RANDOM = 0  # the candidates are drawn at random
+_NEXT_CANDIDATES = b"next"
+
+
+def placement_hash(request: api.Request) -> int:
+    """Returns the seed of a request's first candidates, or RANDOM.
+
+    All clients of an affinity group have the same candidates, since each server that has any of the group's
+    connections does the group's work once. A reconnecting client without a group gets other candidates.
+    """
+    if request.affinity_group:
+        return crc32(request.affinity_group.encode())
+    if request.key and not request.reconnecting:
+        return crc32(request.key.encode())
+    return RANDOM
+
+
+def next_placement_hash(current: int) -> int:
+    """Returns the seed of the candidates after those of `current`; RANDOM stays RANDOM."""
+    return crc32(_NEXT_CANDIDATES, current) if current != RANDOM else RANDOM
--- a/wheatstile/decisions/rebalancing.py
+++ b/wheatstile/decisions/rebalancing.py
@@ -1,93 +1,139 @@
-"""Rebalancing: connections move away from servers that are overloaded while the fleet has room."""
-
-from wheatstile.decisions import load
-from wheatstile.decisions.state import BalancerState, Connection, Server
-from wheatstile.interface import TimerKind
+"""Rebalancing: connections are migrated away from overloaded servers while the fleet has room."""
+
+from wheatstile import interface as api
+from wheatstile.decisions.connection import Connection
+from wheatstile.decisions.connection_table import ConnectionTable
+from wheatstile.decisions.event_context import EventContext
+from wheatstile.decisions.fleet_load import FleetLoad
+from wheatstile.decisions.health_checks import HealthChecks
+from wheatstile.decisions.server import Server
+from wheatstile.decisions.server_load import (
+    OVERLOAD_THRESHOLD,
+    SEVERE_OVERLOAD_THRESHOLD,
+    UNREACHABLE_LOAD,
+)
 
 US_PER_MS = 1000
-REBALANCE_INTERVAL_US = 1_000_000  # to see in late reports what the last one did
-SETTLING_TIME_US = 2_000_000  # where loads alone tell, a connection that is younger is not moved
-LOAD_CHECK_INTERVAL_US = 1_000_000  # where nothing reports latencies
-MAX_LOAD_CHECK_INTERVAL_US = 4_000_000  # while no server is overloaded
-
-
-def start(state: BalancerState) -> None:
-    """Begin the load checks, if no latencies are reported."""
-    state.load_check_interval_us = LOAD_CHECK_INTERVAL_US
-    if state.health_checks_enabled and not state.settings.reports_message_latency:
-        state.set_jittered_timer(LOAD_CHECK_INTERVAL_US, TimerKind.LOAD_CHECK)
-
-
-def on_endpoints_changed(state: BalancerState) -> None:
-    """Check more often: the clients of a server that leaves come to others."""
-    state.load_check_interval_us = LOAD_CHECK_INTERVAL_US
-
-
-def on_load_check_due(state: BalancerState) -> None:
-    """Read a server, drawn by what its connections here ask of it."""
-    state.set_timer(state.load_check_interval_us, TimerKind.LOAD_CHECK)
-    state.load_check_interval_us = min(state.load_check_interval_us * 3 // 2, MAX_LOAD_CHECK_INTERVAL_US)
-    if state.established:
-        weights = [1.0 + connection.load for connection in state.established]
-        connection = state.random.choices(list(state.established), weights)[0]
-        state.check_server_of(connection, on_load_read)
-
-
-def on_server_read(state: BalancerState, server: Server) -> None:
-    """Whatever a server was read for: between two load checks it fills in seconds."""
-    is_full = load.load_of(state, server) > load.SEVERE_OVERLOAD_THRESHOLD
-    if is_full and not state.settings.reports_message_latency:
-        connections = state.connections_at(server)
+REBALANCE_INTERVAL_US = 1_000_000  # time for the effect to show in late reports
+MAX_REBALANCE_JITTER_US = (
+    REBALANCE_INTERVAL_US / 2
+)  # all balancers learn of a high latency at the same moment
+UNREACHABLE_RECHECK_US = REBALANCE_INTERVAL_US // 2  # a paused server may answer again
+SETTLING_TIME_US = 2_000_000  # a connection's setup shows as load for this time
+MIN_LOAD_CHECK_INTERVAL_US = 1_000_000
+MAX_LOAD_CHECK_INTERVAL_US = 4_000_000  # reached while no server is overloaded
+
+
+class Rebalancer:
+    """Finds overloaded servers by message latency or by load checks, and migrates connections away."""
+
+    def __init__(
+        self,
+        context: EventContext,
+        connections: ConnectionTable,
+        fleet_load: FleetLoad,
+        health_checks: HealthChecks,
+    ) -> None:
+        self._context = context
+        self._connections = connections
+        self._fleet_load = fleet_load
+        self._health_checks = health_checks
+        self._load_check_interval_us = MIN_LOAD_CHECK_INTERVAL_US
+        self._next_rebalance_us: dict[Server, int] = {}  # earliest time of the next one at each server
+
+    def start(self) -> None:
+        """Starts the load checks, where message latencies are not reported."""
+        context = self._context
+        if context.health_checks_enabled and not context.settings.reports_message_latency:
+            context.set_jittered_timer(MIN_LOAD_CHECK_INTERVAL_US, api.TimerKind.LOAD_CHECK)
+
+    def on_endpoints_changed(self) -> None:
+        """Checks loads more often: the clients of a server that leaves reconnect to others."""
+        self._load_check_interval_us = MIN_LOAD_CHECK_INTERVAL_US
+
+    def on_load_check_due(self) -> None:
+        """Checks a server, drawn by the load of its connections here, and schedules the next check."""
+        self._context.set_timer(self._load_check_interval_us, api.TimerKind.LOAD_CHECK)
+        longer_us = self._load_check_interval_us * 3 // 2
+        self._load_check_interval_us = min(longer_us, MAX_LOAD_CHECK_INTERVAL_US)
+        established = list(self._connections.established)
+        if established:
+            weights = [1.0 + connection.load for connection in established]
+            connection = self._context.random.choices(established, weights)[0]
+            self._health_checks.check_server_of(connection, self.on_load_read)
+
+    def on_repeated_load_check_due(self, connection: Connection) -> None:
+        """Checks the server of a connection again, which was severely overloaded."""
+        self._health_checks.check_server_of(connection, self.on_load_read)
+
+    def on_rebalance_due(self, connection: Connection) -> None:
+        """Checks the server of a connection, and rebalances it by the result."""
+        self._health_checks.check_server_of(connection, self.rebalance)
+
+    def on_server_read(self, server: Server) -> None:
+        """Rebalances after any health check that reports severe overload, not only after a load check."""
+        if self._context.settings.reports_message_latency:
+            return
+        if self._fleet_load.load_of(server) <= SEVERE_OVERLOAD_THRESHOLD:
+            return
+        connections = self._connections.established_at(server)
         if connections:
-            on_load_read(state, connections[0])
-
-
-def on_latency(state: BalancerState, connection: Connection, latency_ms: float) -> None:
-    """Messages take longer than wanted at a server: read its load, at most once an interval."""
-    server = connection.server
-    if connection not in state.established or not server:
-        return
-    is_late = latency_ms * US_PER_MS > connection.service_class.message_latency_objective_us > 0
-    server.least_load = float(latency_ms > server.message_latency_ms)
-    server.message_latency_ms = latency_ms
-    if is_late and server.rebalanced_until_us <= state.now_us:
-        server.rebalanced_until_us = state.now_us + REBALANCE_INTERVAL_US
-        # All balancers are told in the same instant: asking at once they would fill the server.
-        state.set_jittered_timer(REBALANCE_INTERVAL_US / 2, TimerKind.REBALANCE, connection.id)
-
-
-def on_load_read(state: BalancerState, connection: Connection) -> None:
-    """Relieve a server that was read as overloaded, and check again until it is not.
-
-    One that did not answer may only stand still for a moment: it is asked again before all is moved.
-    """
-    server = connection.server
-    if not server or load.mean_load(state) >= load.OVERLOAD_THRESHOLD:
-        return
-    if server.rebalanced_until_us > state.now_us or load.load_of(state, server) <= load.OVERLOAD_THRESHOLD:
-        return
-    server.rebalanced_until_us = state.now_us + REBALANCE_INTERVAL_US
-    state.load_check_interval_us = LOAD_CHECK_INTERVAL_US
-    if load.load_of(state, server) >= load.UNREACHABLE_LOAD:
-        state.set_timer(REBALANCE_INTERVAL_US // 2, TimerKind.REBALANCE, connection.id)
-        return
-    rebalance(state, connection)
-    connections = state.connections_at(server)
-    if load.load_of(state, server) > load.SEVERE_OVERLOAD_THRESHOLD and connections:
-        state.set_timer(REBALANCE_INTERVAL_US, TimerKind.REPEATED_LOAD_CHECK, connections[0].id)
-
-
-def rebalance(state: BalancerState, connection: Connection) -> None:
-    """Move the share of its connections that is too much for a server, all if it is unreachable."""
-    server = connection.server
-    server_load = max(load.load_of(state, server), server.least_load) if server else 0.0
-    excess = server_load - load.OVERLOAD_THRESHOLD
-    for held in state.connections_at(server):
-        if _is_settled(state, held) and state.random.random() * server_load < excess:
-            state.migrate(held)
-
-
-def _is_settled(state: BalancerState, connection: Connection) -> bool:
-    """A wave of setups is work that is soon over, and in a report it looks like load."""
-    age_us = state.now_us - connection.established_at_us
-    return state.settings.reports_message_latency or age_us >= SETTLING_TIME_US
+            self.on_load_read(connections[0])
+
+    def on_message_latency(self, connection: Connection, latency_ms: float) -> None:
+        """Schedules a rebalance of a server whose messages miss their objective, at most once an interval."""
+        server = connection.server
+        if not connection.is_established or not server:
+            return
+        server.load.record_message_latency(latency_ms)
+        is_late = latency_ms * US_PER_MS > connection.service_class.message_latency_objective_us > 0
+        if is_late and self._try_begin_interval(server):
+            self._context.set_jittered_timer(MAX_REBALANCE_JITTER_US, api.TimerKind.REBALANCE, connection.id)
+
+    def on_load_read(self, connection: Connection) -> None:
+        """Rebalances a connection's server if it is overloaded while the fleet has room.
+
+        A server that did not answer is checked a second time first, since it may only have paused.
+        """
+        server = connection.server
+        if not server or self._fleet_load.is_overloaded():
+            return
+        load = self._fleet_load.load_of(server)
+        if load <= OVERLOAD_THRESHOLD or not self._try_begin_interval(server):
+            return
+        self._load_check_interval_us = MIN_LOAD_CHECK_INTERVAL_US
+        if load >= UNREACHABLE_LOAD:
+            self._context.set_timer(UNREACHABLE_RECHECK_US, api.TimerKind.REBALANCE, connection.id)
+            return
+        self.rebalance(connection)
+        remaining = self._connections.established_at(server)
+        if load > SEVERE_OVERLOAD_THRESHOLD and remaining:
+            kind = api.TimerKind.REPEATED_LOAD_CHECK
+            self._context.set_timer(REBALANCE_INTERVAL_US, kind, remaining[0].id)
+
+    def rebalance(self, connection: Connection) -> None:
+        """Migrates the share above OVERLOAD_THRESHOLD of the connections of a connection's server.
+
+        Nearly all connections of an unreachable server are migrated.
+        """
+        server = connection.server
+        if server is None:
+            return
+        load = max(self._fleet_load.load_of(server), server.load.lower_bound)
+        excess = load - OVERLOAD_THRESHOLD
+        for candidate in self._connections.established_at(server):
+            if self._is_settled(candidate) and self._context.random.random() * load < excess:
+                self._context.act(api.Migrate(candidate.id))
+                self._connections.remove(candidate)
+
+    def _try_begin_interval(self, server: Server) -> bool:
+        """Begins a server's next interval, unless the last one is not over. Returns whether it did."""
+        if self._next_rebalance_us.get(server, 0) > self._context.now_us:
+            return False
+        self._next_rebalance_us[server] = self._context.now_us + REBALANCE_INTERVAL_US
+        return True
+
+    def _is_settled(self, connection: Connection) -> bool:
+        """Returns whether a connection is old enough to be migrated, where only loads show an overload."""
+        age_us = self._context.now_us - connection.established_at_us
+        return self._context.settings.reports_message_latency or age_us >= SETTLING_TIME_US
--- /dev/null
+++ b/wheatstile/decisions/retry_policy.py
@@ -0,0 +1,52 @@
+"""Whether, where and with how much time another attempt may follow."""
+
+from wheatstile import interface as api
+from wheatstile.decisions.connection import Connection
+from wheatstile.decisions.event_context import EventContext
+from wheatstile.decisions.server import Server
+
+_IDEMPOTENT = api.Idempotency.IDEMPOTENT  # cached: access to an enumeration's member is slow in Python 3.11
+
+
+class RetryPolicy:
+    """Decides on repeats. Once an attempt may have run, another goes only where a repeat is harmless."""
+
+    def __init__(self, context: EventContext) -> None:
+        self._context = context
+
+    def may_attempt_again(self, connection: Connection) -> bool:
+        """Returns whether the number of attempts and the deadline allow another attempt."""
+        is_below_limit = connection.attempts < self._context.settings.max_attempts
+        return is_below_limit and self._context.now_us < connection.deadline_us
+
+    def repeat_window_end_us(self, connection: Connection) -> int | None:
+        """Returns when a repeat stops being harmless; None if that time is not limited."""
+        first_forward = connection.first_forward
+        if first_forward is None or connection.service_class.idempotency is _IDEMPOTENT:
+            return None
+        return first_forward.at_us + int(connection.service_class.repeat_window_us)
+
+    def is_repeat_window_over(self, connection: Connection) -> bool:
+        """Returns whether an attempt may have run and another would not be harmless any more."""
+        end_us = self.repeat_window_end_us(connection)
+        return end_us is not None and self._context.now_us >= end_us
+
+    def may_attempt_at(self, server: Server, connection: Connection) -> bool:
+        """Returns whether an attempt at this server is harmless."""
+        first_forward = connection.first_forward
+        service_class = connection.service_class
+        if first_forward is None or service_class.idempotency is _IDEMPOTENT:
+            return True
+        if self.is_repeat_window_over(connection):
+            return False
+        return server.endpoint.shares_scope(first_forward.server.endpoint, service_class.deduplication_scope)
+
+    def attempt_timeout_us(self, connection: Connection, remaining_us: int) -> int:
+        """Returns the time-out of the next attempt, given the time until the deadline.
+
+        It is half of that time, which leaves the rest for retries, or the latency objective if that is
+        longer. The last attempt gets all of it.
+        """
+        is_last = connection.attempts >= self._context.settings.max_attempts
+        limit_us = remaining_us if is_last else remaining_us // 2
+        return max(limit_us, min(connection.service_class.latency_objective_us, remaining_us))
--- /dev/null
+++ b/wheatstile/decisions/server_load.py
@@ -0,0 +1,63 @@
+"""The load of one server, as health checks, load reports and message latencies show it.
+
+Load is work divided by capacity (the paper's X): 1.0 is full.
+"""
+
+from wheatstile.interface import LoadMetric, LoadReport
+
+OVERLOAD_THRESHOLD = 0.7  # messages begin to miss their latency objectives above this load
+SEVERE_OVERLOAD_THRESHOLD = 0.8  # a single report above this load is evidence enough, despite its noise
+UNREACHABLE_LOAD = 1e6  # recorded when a health check gets no answer
+LOAD_WHERE_LATENCY_GROWS = 1.0  # lower bound of the load while message latency is growing
+COUNT_METRICS = (LoadMetric.IN_FLIGHT, LoadMetric.QUEUE_LENGTH)  # without a known capacity
+HALF_THRESHOLD_COUNT = 100  # a count that reads as half of OVERLOAD_THRESHOLD
+LOAD_METRIC_PREFERENCE = (LoadMetric.LOAD, LoadMetric.BUSY_SHARE, LoadMetric.BACKLOG_S, *COUNT_METRICS)
+
+
+def load_in(report: LoadReport) -> float | None:
+    """Returns the load that a report shows, from the first metric of LOAD_METRIC_PREFERENCE in it.
+
+    A count ranks servers but never reaches OVERLOAD_THRESHOLD. Returns None if the report has no such metric.
+    """
+    metric = next((metric for metric in LOAD_METRIC_PREFERENCE if metric in report), None)
+    if metric is None:
+        return None
+    if metric in COUNT_METRICS:
+        return OVERLOAD_THRESHOLD * report[metric] / (report[metric] + HALF_THRESHOLD_COUNT)
+    return report[metric]
+
+
+class ServerLoad:
+    """The last known load of one server."""
+
+    __slots__ = ("_message_latency_ms", "lower_bound", "read_at_us", "value")
+
+    def __init__(self) -> None:
+        self.value: float | None = None  # last reported load; None: unknown
+        self.read_at_us = 0
+        self.lower_bound = 0.0  # implied by message latency, which is more recent than a report
+        self._message_latency_ms = 0.0
+
+    @property
+    def is_measured(self) -> bool:
+        """Whether the last health check or report gave a load."""
+        return self.value is not None and self.value != UNREACHABLE_LOAD
+
+    def record_report(self, report: LoadReport, now_us: int) -> None:
+        """Records the load that a report shows, or that it shows none."""
+        self.value = load_in(report)
+        self.read_at_us = now_us
+
+    def record_message_latency(self, latency_ms: float) -> None:
+        """Records a message latency; the server counts as full while its latency grows."""
+        is_growing = latency_ms > self._message_latency_ms
+        self.lower_bound = LOAD_WHERE_LATENCY_GROWS if is_growing else 0.0
+        self._message_latency_ms = latency_ms
+
+    def mark_unreachable(self) -> None:
+        """Records that a health check got no answer."""
+        self.value = UNREACHABLE_LOAD
+
+    def forget(self) -> None:
+        """Makes the load unknown."""
+        self.value = None
--- a/wheatstile/decisions/slow_start.py
+++ b/wheatstile/decisions/slow_start.py
@@ -1,44 +1,62 @@
-"""Slow start: what a server that has just started may be sent by this balancer."""
+"""Slow start: how many attempts this balancer may send to a server that has just started."""
 
-from wheatstile import interface as api
-from wheatstile.decisions.load import LEAST_MEAN_LOAD, OVERLOAD_THRESHOLD, mean_load
-from wheatstile.decisions.state import BalancerState, Server
+from wheatstile.decisions.connection_table import ConnectionTable
+from wheatstile.decisions.endpoint_table import EndpointTable
+from wheatstile.decisions.event_context import EventContext
+from wheatstile.decisions.fleet_load import FleetLoad
+from wheatstile.decisions.server import Server
+from wheatstile.decisions.server_load import OVERLOAD_THRESHOLD
+from wheatstile.decisions.slow_start_budget import FIRST_ATTEMPT_COST, RETRY_COST
 
 SECOND_US = 1_000_000
+MIN_MEAN_LOAD = 0.2  # lower bound for the divisor of the estimated capacity
 
 
-def begin(state: BalancerState, server: Server, endpoint: api.Endpoint) -> None:
-    """A new process: what was sent before says nothing of it, what it was sent since its start is owed."""
-    was_sent_since_start = server.last_attempt_at_us >= endpoint.started_at_us
-    server.slow_start_tokens = state.random.random() - was_sent_since_start
-    server.slow_start_tokens_at_us = state.now_us
-    server.load = None
-    window_us = state.settings.slow_start_overload_window_us
-    server.slow_start_chance_until_us = server.last_attempt_at_us + window_us if was_sent_since_start else 0
-
-
-def has_budget(state: BalancerState, server: Server, is_retry: bool) -> bool:
-    """Rule 4: whether one more attempt is within this balancer's part of the server's budget.
-
-    The connections here over the servers make the mean load; so all parts, in waves too, fill one server to
-    the threshold. A retry needs twice its part. Less than one request is a chance, drawn once in a window.
-    """
-    settings = state.settings
-    age_us = state.now_us - server.endpoint.started_at_us
-    if server.endpoint.started_at_us <= 0 or age_us >= settings.slow_start_duration_us:
-        return True
-    capacity = max(settings.slow_start_initial_capacity, age_us / settings.slow_start_duration_us)
-    share = OVERLOAD_THRESHOLD * len(state.connections) / len(state.ready)
-    share = share / max(mean_load(state), LEAST_MEAN_LOAD) * capacity
-    window_us = settings.slow_start_overload_window_us
-    rate = share * settings.slow_start_overload_factor / max(SECOND_US, window_us)
-    part = window_us * rate
-    gained = (state.now_us - server.slow_start_tokens_at_us) * rate
-    server.slow_start_tokens = min(part, server.slow_start_tokens + gained)
-    server.slow_start_tokens_at_us = state.now_us
-    if part >= 1:
-        return server.slow_start_tokens >= 1 + is_retry
-    if state.now_us >= server.slow_start_chance_until_us:
-        server.slow_start_chance = state.random.random()
-        server.slow_start_chance_until_us = state.now_us + window_us
-    return server.slow_start_chance * (1 + is_retry) < part
+class SlowStart:
+    """Gives each server in slow start a budget of attempts."""
+
+    def __init__(
+        self,
+        context: EventContext,
+        endpoints: EndpointTable,
+        connections: ConnectionTable,
+        fleet_load: FleetLoad,
+    ) -> None:
+        self._context = context
+        self._endpoints = endpoints
+        self._connections = connections
+        self._fleet_load = fleet_load
+
+    def begin(self, server: Server) -> None:
+        """Starts the slow start of a new process; the load of the process before it no longer counts."""
+        context = self._context
+        window_us = context.settings.slow_start_overload_window_us
+        server.slow_start.reset(server.endpoint.started_at_us, context.now_us, window_us, context.random)
+        server.load.forget()
+
+    def permits(self, server: Server, is_retry: bool) -> bool:
+        """Returns whether one more attempt is within the server's budget; always, once slow start is over."""
+        started_at_us = server.endpoint.started_at_us
+        if started_at_us <= 0:
+            return True
+        context = self._context
+        age_us = context.now_us - started_at_us
+        if age_us >= context.settings.slow_start_duration_us:
+            return True
+        cost = RETRY_COST if is_retry else FIRST_ATTEMPT_COST
+        window_us = context.settings.slow_start_overload_window_us
+        tokens_per_us = self._tokens_per_us(age_us)
+        return server.slow_start.permits(cost, tokens_per_us, window_us, context.now_us, context.random)
+
+    def _tokens_per_us(self, age_us: int) -> float:
+        """Returns the refill rate for a server of this age.
+
+        The connections here, divided by the ready servers, make the mean load. So the shares of all balancers
+        together fill one server to OVERLOAD_THRESHOLD.
+        """
+        settings = self._context.settings
+        capacity = max(settings.slow_start_initial_capacity, age_us / settings.slow_start_duration_us)
+        connections_per_server = OVERLOAD_THRESHOLD * len(self._connections) / len(self._endpoints.ready)
+        share = connections_per_server / max(self._fleet_load.mean(), MIN_MEAN_LOAD) * capacity
+        period_us = max(SECOND_US, settings.slow_start_overload_window_us)
+        return share * settings.slow_start_overload_factor / period_us
--- a/wheatstile/interface/settings.py
+++ b/wheatstile/interface/settings.py
@@ -11,12 +11,12 @@
     """The objectives of one class of connections, and whether their setup may be repeated."""
 
     name: str
-    latency_objective_us: int  # for the setup of a connection
+    latency_objective_us: int  # objective for the setup of a connection
     idempotency: Idempotency = Idempotency.IDEMPOTENT
-    deduplication_scope: DeduplicationScope = DeduplicationScope.ALL  # for IDEMPOTENCY_KEY
-    deduplication_window_us: int = 0  # for IDEMPOTENCY_KEY: how long servers keep a key
+    deduplication_scope: DeduplicationScope = DeduplicationScope.ALL  # only used for IDEMPOTENCY_KEY
+    deduplication_window_us: int = 0  # how long servers keep an idempotency key
     priority_weight: float = 1.0  # relative value of a connection of this class
-    message_latency_objective_us: int = 0  # for messages on an open connection; 0: unknown
+    message_latency_objective_us: int = 0  # objective for messages on an open connection; 0: unknown
 
     @property
     def repeat_window_us(self) -> float:
--- a/wheatstile/interface/timers.py
+++ b/wheatstile/interface/timers.py
@@ -9,10 +9,10 @@
 
     EXPLORATION_SLOT = "exploration_slot"
     WATCH_ENDPOINTS = "watch_endpoints"
-    LOAD_CHECK = "load_check"  # of a drawn server, at the balancer's own interval
-    REPEATED_LOAD_CHECK = "repeated_load_check"  # of one connection's server, which was overloaded
-    CANDIDATE_TIMEOUT = "candidate_timeout"  # for one waiting request
-    REBALANCE = "rebalance"  # of one connection's server
+    LOAD_CHECK = "load_check"  # check a server, drawn at random
+    REPEATED_LOAD_CHECK = "repeated_load_check"  # check the overloaded server of a connection again
+    CANDIDATE_TIMEOUT = "candidate_timeout"  # decide on a waiting request
+    REBALANCE = "rebalance"  # rebalance the server of a connection
 
 
 @dataclass(slots=True)
@@ -21,4 +21,4 @@
 
     kind: TimerKind
     connection_id: str = ""  # empty for a timer of the whole balancer
-    due_us: int = 0  # for CANDIDATE_TIMEOUT: tells the request's last timer from earlier ones
+    due_us: int = 0  # identifies the last CANDIDATE_TIMEOUT of a request
