--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -8,6 +8,7 @@
 from support.command_line_folder import folder, live_file
 from support.served_balancer_factory import make_balancer
 
+pytest_plugins = ["support.known_red"]
 __all__ = ["balancer", "folder", "live_file", "make_balancer", "settings"]
 
 
