--- /dev/null
+++ b/tests/test_docs.py
@@ -0,0 +1,72 @@
+"""The names that the pages give in backticks exist in the repository."""
+
+import re
+from functools import cache
+from pathlib import Path
+
+import pytest
+
+ROOT = Path(__file__).parent.parent
+PAGES = [ROOT / "README.md", *sorted((ROOT / "docs").rglob("*.md"))]
+SOURCES = (
+    "wheatstile",
+    "tests",
+    "benchmarks",
+    "example",
+    "deploy",
+    "Makefile",
+    "pyproject.toml",
+    "KNOWN-RED.txt",
+)
+SUFFIXES = {".py", ".toml", ".json", ".txt", ".yaml", ""}
+BACKTICKS = re.compile(r"`([^`\n]+)`")
+FROM_LIBRARIES = {"timestamp"}  # structlog's field
+CODE_BLOCK = re.compile(r"^```.*?^```", re.DOTALL | re.MULTILINE)
+PATH = re.compile(r"[\w.-]+(/[\w.-]+)+/?")
+NAME = re.compile(r"[A-Za-z_]\w*(\.[A-Za-z_]\w*)*")
+HISTORY = re.compile(r"^## [^\n]*before 2 December 2026.*?(?=^## |\Z)", re.DOTALL | re.MULTILINE)  # old names
+
+
+@cache
+def words() -> frozenset[str]:
+    """Returns all words of the repository's sources, and the names of its modules."""
+    found: set[str] = set()
+    for source in SOURCES:
+        path = ROOT / source
+        for file in path.rglob("*") if path.is_dir() else [path]:
+            if file.is_file() and file.suffix in SUFFIXES:
+                found.add(file.stem)
+                found.add(file.name)
+                found.add(file.parent.name)
+                found.update(re.findall(r"\w+", file.read_text(errors="ignore")))
+    return frozenset(found)
+
+
+def is_known_word(word: str) -> bool:
+    """Returns whether a word is in the sources, or a prefix of it that the program completes (`attempts_`)."""
+    prefixes = [word[: index + 1] for index, letter in enumerate(word) if letter == "_"]
+    return word in words() or any(prefix in words() for prefix in prefixes if len(prefix) > 1)
+
+
+def unknown_names(text: str) -> list[str]:
+    """Returns the names and paths in backticks that the repository does not have."""
+    unknown = []
+    for name in BACKTICKS.findall(CODE_BLOCK.sub("", HISTORY.sub("", text))):
+        if PATH.fullmatch(name) and (ROOT / name.split("/")[0]).exists():
+            is_known = (ROOT / name).exists()
+        elif NAME.fullmatch(name) and name not in FROM_LIBRARIES:
+            is_known = all(map(is_known_word, name.split(".")))
+        else:
+            continue
+        if not is_known:
+            unknown.append(name)
+    return unknown
+
+
+@pytest.mark.parametrize("page", PAGES, ids=lambda page: str(page.relative_to(ROOT)))
+def test_names_in_backticks_exist(page: Path) -> None:
+    assert unknown_names(page.read_text()) == []
+
+
+def test_a_name_that_does_not_exist_is_found() -> None:
+    assert unknown_names("`DecisionLoop` and " + "`Decision" + "Loup`") == ["Decision" + "Loup"]
