--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -43,7 +43,7 @@
 
 
 def is_known_word(word: str) -> bool:
-    """Returns whether a word is in the sources, or a prefix of it that the program completes (`attempts_`)."""
+    """Returns whether the sources have a word, or a prefix that the program completes (`attempts_`)."""
     prefixes = [word[: index + 1] for index, letter in enumerate(word) if letter == "_"]
     return word in words() or any(prefix in words() for prefix in prefixes if len(prefix) > 1)
 
