--- /dev/null
+++ b/tests/decisions/test_endpoint_watch.py
@@ -0,0 +1,80 @@
+"""When the list of servers is requested, and which servers its states allow (rule 3)."""
+
+import pytest
+from support.balancer_harness import SECOND_US, BalancerHarness, endpoints, of_type
+
+from wheatstile import interface as api
+
+WATCH = api.TimerToken(api.TimerKind.WATCH_ENDPOINTS)
+
+
+def watch_delays_us(actions: list[api.Action]) -> list[int]:
+    """Returns the delays of the timers that request the list."""
+    return [timer.delay_us for timer in of_type(actions, api.SetTimer) if timer.token == WATCH]
+
+
+def fail_call(harness: BalancerHarness) -> list[int]:
+    """Lets a call to discovery fail. Returns the delays until the next one."""
+    return watch_delays_us(harness.dispatch(api.EndpointUpdate(api.EndpointUpdateKind.FAILED)))
+
+
+@pytest.mark.parametrize("poll_interval_us", [2 * SECOND_US, 5 * SECOND_US, 20 * SECOND_US])
+def test_list_is_polled_within_the_interval(poll_interval_us: int) -> None:
+    delays: list[int] = []
+    for seed in range(40):
+        harness = BalancerHarness("a", poll_endpoints=True, poll_interval_us=poll_interval_us, seed=seed)
+        delays += watch_delays_us(harness.log)
+    assert len(delays) == 40
+    assert max(delays) < poll_interval_us
+
+
+@pytest.mark.parametrize("poll_interval_us", [2 * SECOND_US, 5 * SECOND_US, 20 * SECOND_US])
+def test_back_off_is_bounded_by_four_poll_intervals(poll_interval_us: int) -> None:
+    harness = BalancerHarness("a", poll_endpoints=True, poll_interval_us=poll_interval_us)
+    for _ in range(9):
+        delays = fail_call(harness)
+    assert delays
+    assert all(delay < 4 * poll_interval_us for delay in delays)
+
+
+@pytest.mark.parametrize("state", [api.EndpointState.DRAINING, api.EndpointState.GONE])
+def test_nothing_new_goes_to_a_server_that_drains_or_is_gone(state: api.EndpointState) -> None:
+    harness = BalancerHarness("a", "b")
+    harness.update_endpoints(api.Endpoint("b", state, "here"))
+    for index in range(50):
+        harness.request(f"r{index}")
+    assert set(harness.attempted_servers) == {"a"}
+
+
+def test_drain_during_the_health_checks_counts() -> None:
+    harness = BalancerHarness("a", "b", loads={"a": 0.6, "b": 0.1})
+    harness.dispatch(api.Request("r", "web", 2 * SECOND_US))
+    # A server that is absent from a full list is gone.
+    harness.update_endpoints(*endpoints("a"), kind=api.EndpointUpdateKind.FULL)
+    harness.answer_checks()
+    assert harness.attempted_servers == ["a"]
+
+
+def test_failed_call_is_repeated_with_a_doubling_delay() -> None:
+    harness = BalancerHarness("a", poll_endpoints=True)
+    assert any(timer.token == WATCH for timer in harness.timers)
+    delays = [delay for _ in range(6) for delay in fail_call(harness)]
+    assert len(delays) == 6
+    assert delays[0] <= 2 * SECOND_US
+    assert 4 * SECOND_US <= min(delays[4:]) < 12 * SECOND_US
+
+
+def test_update_ends_the_back_off() -> None:
+    harness = BalancerHarness("a", poll_endpoints=True)
+    for _ in range(6):
+        fail_call(harness)
+    harness.update_endpoints()
+    assert fail_call(harness)[0] <= 2 * SECOND_US
+
+
+def test_failed_call_keeps_the_list() -> None:
+    harness = BalancerHarness("a", poll_endpoints=True)
+    fail_call(harness)
+    assert of_type(harness.dispatch(api.TimerFired(WATCH)), api.WatchEndpoints)
+    harness.request("r")
+    assert harness.attempts
--- /dev/null
+++ b/tests/decisions/test_health_checks.py
@@ -0,0 +1,83 @@
+"""What the results of health checks show, and outlier ejection."""
+
+import pytest
+from support.balancer_harness import SECOND_US, BalancerHarness, of_type
+
+from wheatstile import interface as api
+
+
+def test_first_rejected_check_is_no_failure() -> None:
+    """Many balancers that check a healthy server at once may overload it briefly; its clients stay."""
+    harness = BalancerHarness("a", "b", "c", loads={"a": 0.6, "b": 0.4, "c": 0.4})
+    harness.connect("c0", "a")
+    harness.server("a").load.record_report({"load": 0.6}, harness.now_us)
+    harness.server("a").load.record_message_latency(500.0)
+    moves = []
+    for _ in range(2):
+        harness.report_latency("c0", "a", 400.0)
+        while not harness.pending_checks:
+            harness.run_to_next_timer()
+        assert harness.pending_checks.pop() == "a"
+        moves.append(of_type(harness.answer_check("a", api.AttemptOutcome.OVERLOADED), api.Migrate))
+        harness.run(SECOND_US)
+    # The second rejection in a row counts as no answer.
+    assert moves == [[], [api.Migrate("c0")]]
+
+
+def test_rejected_check_is_a_failure_while_latency_grows() -> None:
+    harness = BalancerHarness("a", "b", "c")
+    harness.connect("c0", "a")
+    harness.server("a").load.record_report({"load": 0.6}, harness.now_us)
+    harness.report_latency("c0", "a", 4000.0)
+    while not harness.pending_checks:
+        harness.run_to_next_timer()
+    moves = of_type(harness.answer_check("a", api.AttemptOutcome.OVERLOADED), api.Migrate)
+    assert moves == [api.Migrate("c0")]
+
+
+def test_no_check_where_checks_are_disabled() -> None:
+    harness = BalancerHarness("a", "b", "c", health_checks_enabled=False)
+    harness.connect("c0", "a")
+    harness.report_latency("c0", "a", 400.0)
+    harness.run(20 * SECOND_US)
+    assert not of_type(harness.log, api.CheckHealth)
+
+
+def test_answered_check_does_not_end_an_ejection() -> None:
+    """A server that does not respond to setups may still answer health checks."""
+    harness = BalancerHarness("a", "b", "c")
+    harness.request("r", 20 * SECOND_US)
+    failed = harness.attempted_servers[0]
+    harness.end_attempt("r", api.AttemptOutcome.TIMEOUT, elapsed_us=SECOND_US)
+    harness.connect("c0", failed)
+    harness.report_latency("c0", failed, 400.0)
+    harness.run(SECOND_US // 2)
+    mark = len(harness.attempts)
+    for index in range(30):
+        harness.request(f"x{index}")
+    servers = {attempt.server for attempt in harness.attempts[mark:] if attempt.id != "r"}
+    assert failed not in servers
+    assert len(servers) == 2
+
+
+@pytest.mark.parametrize(
+    ("outcome", "is_ejected"),
+    [(api.AttemptOutcome.NOT_SENT, False), (api.AttemptOutcome.CONNECT_FAILED, True)],
+)
+def test_check_that_was_not_sent_does_not_eject(outcome: api.AttemptOutcome, is_ejected: bool) -> None:
+    harness = BalancerHarness("a", "b")
+    harness.dispatch(api.Request("r", "web", 2 * SECOND_US))
+    harness.answer_check(harness.pending_checks.pop(), outcome)
+    servers = harness.balancer.endpoints.servers.values()
+    assert any(server.ejection.is_active(harness.now_us) for server in servers) == is_ejected
+
+
+def test_server_that_answers_checks_with_errors_keeps_its_clients_and_gets_no_more() -> None:
+    harness = BalancerHarness("a", "b", "c", reports_message_latency=False)
+    harness.connect_many(40, "a")
+    for _ in range(3):
+        harness.run_to_check_of("a")
+        assert not of_type(harness.answer_check("a", api.AttemptOutcome.ERROR), api.Migrate)
+        harness.request("r")
+        assert harness.attempted_servers[-1] != "a"
+        harness.dispatch(api.ClientDisconnected("r"))
--- /dev/null
+++ b/tests/decisions/test_interface_settings.py
@@ -0,0 +1,12 @@
+"""Settings outside their range are rejected by name."""
+
+import pytest
+from support.balancer_harness import settings
+
+
+@pytest.mark.parametrize(
+    "change", [{"fleet_size": 0}, {"classes": {}}, {"slow_start_initial_capacity": float("nan")}]
+)
+def test_impossible_settings_are_named(change: dict[str, object]) -> None:
+    with pytest.raises(ValueError, match=next(iter(change))):
+        settings(**change)
--- a/tests/decisions/test_lookup_table.py
+++ b/tests/decisions/test_lookup_table.py
@@ -1,94 +1,99 @@
-"""Draws follow the weights; equal weights draw as they did before there were any."""
+"""Draws follow the weights, and are the same at every balancer for one seed."""
 
 from collections import Counter
 from zlib import crc32
 
 import pytest
-from support.balancer_harness import BalancerHarness, entries
+from support.balancer_harness import BalancerHarness, endpoints
 
 from wheatstile import interface as api
 from wheatstile.decisions.connection import Connection
 
 NAMES = [f"s{number}" for number in range(10)]
-CHI_SQUARE = {1: 10.83, 9: 27.88, 19: 43.82}  # degrees of freedom -> exceeded by chance once in a thousand
+RISING_WEIGHTS = {name: float(number) for number, name in enumerate(NAMES, 1)}
+# By degrees of freedom; exceeded by chance once in a thousand.
+CHI_SQUARE_LIMITS = {1: 10.83, 9: 27.88, 19: 43.82}
 
 
-def weighted(weights: dict[str, float]) -> BalancerHarness:
+def weighted_harness(weights: dict[str, float]) -> BalancerHarness:
+    """Returns a balancer whose servers have these weights."""
     harness = BalancerHarness()
-    harness.dispatch(
-        api.EndpointUpdate(
-            api.EndpointUpdateKind.FULL, [entries(name, weight=weight)[0] for name, weight in weights.items()]
-        )
-    )
+    harness.update_endpoints(*weighted_endpoints(weights), kind=api.EndpointUpdateKind.FULL)
     return harness
 
 
+def weighted_endpoints(weights: dict[str, float]) -> list[api.Endpoint]:
+    return [endpoints(name, weight=weight)[0] for name, weight in weights.items()]
+
+
 def connection_of(group: str) -> Connection:
-    kind = api.ServiceClass("web", 1)
-    return Connection("id", "key", kind, 0, placement_hash=crc32(group.encode()))
+    """Returns a request whose candidates are drawn from the hash of an affinity group."""
+    service_class = api.ServiceClass("web", 1)
+    return Connection("id", "key", service_class, 0, placement_hash=crc32(group.encode()))
+
+
+def pick(harness: BalancerHarness, connection: Connection | None = None, excluded: str = "") -> str:
+    """Draws a server. Returns its name."""
+    other = harness.server(excluded) if excluded else None
+    server = harness.balancer.selector.pick(connection, other)
+    assert server
+    return server.endpoint.name
 
 
 @pytest.mark.parametrize(
     "weights",
     [
-        dict(zip(NAMES, map(float, range(1, 11)), strict=True)),
+        RISING_WEIGHTS,
         {"heavy": 1000.0, "light": 1.0},
         {"heavy": 100.0} | {f"light{number}": 1.5 for number in range(19)},
     ],
 )
-@pytest.mark.parametrize("keyed", [False, True])
-def test_a_hundred_thousand_draws_follow_the_weights(weights: dict[str, float], keyed: bool) -> None:
-    harness, draws = weighted(weights), 100_000
-    found: Counter[str] = Counter()
-    for number in range(draws):
-        server = harness.balancer.selector.pick(connection_of(f"group{number}") if keyed else None)
-        assert server
-        found[server.endpoint.name] += 1
+@pytest.mark.parametrize("by_group", [False, True])
+def test_a_hundred_thousand_draws_follow_the_weights(weights: dict[str, float], by_group: bool) -> None:
+    harness = weighted_harness(weights)
+    draws = 100_000
+    drawn = Counter(
+        pick(harness, connection_of(f"group{number}") if by_group else None) for number in range(draws)
+    )
     total = sum(weights.values())
-    wanted = {name: draws * weight / total for name, weight in weights.items()}
-    chi_square = sum((found[name] - wanted[name]) ** 2 / wanted[name] for name in weights)
-    assert chi_square < CHI_SQUARE[len(weights) - 1], found
+    expected = {name: draws * weight / total for name, weight in weights.items()}
+    chi_square = sum((drawn[name] - expected[name]) ** 2 / expected[name] for name in weights)
+    assert chi_square < CHI_SQUARE_LIMITS[len(weights) - 1], drawn
+
+
+def test_draws_without_a_group_are_fixed_by_the_seed() -> None:
+    harness = BalancerHarness(*NAMES)
+    names = [pick(harness) for _ in range(12)]
+    assert names == ["s0", "s3", "s5", "s9", "s6", "s2", "s6", "s9", "s8", "s3", "s4", "s7"]
 
 
 @pytest.mark.parametrize("weight", [1.0, 0.3])
-def test_equal_weights_draw_as_before(weight: float) -> None:
-    harness = BalancerHarness(*NAMES) if weight == 1.0 else weighted(dict.fromkeys(NAMES, weight))
-    drawn = [harness.balancer.selector.pick(None) for _ in range(12)]
-    names = [server.endpoint.name for server in drawn if server]
-    if weight == 1.0:  # the draws of the version before weights, from the same seed
-        assert names == ["s0", "s3", "s5", "s9", "s6", "s2", "s6", "s9", "s8", "s3", "s4", "s7"]
+def test_equal_weights_draw_the_same_candidates_for_a_group(weight: float) -> None:
+    harness = weighted_harness(dict.fromkeys(NAMES, weight))
     pairs = []
     for number in range(8):
         connection = connection_of(f"g{number}")
-        first = harness.balancer.selector.pick(connection)
-        second = harness.balancer.selector.pick(connection, first)
-        assert first
-        assert second
-        pairs.append(first.endpoint.name + second.endpoint.name)
+        first = pick(harness, connection)
+        pairs.append(first + pick(harness, connection, excluded=first))
     assert pairs == ["s9s2", "s4s6", "s3s0", "s2s7", "s4s7", "s2s5", "s1s4", "s4s0"]
 
 
-def test_every_balancer_draws_the_same_pair_for_a_group_whatever_it_heard_before() -> None:
-    weights = dict(zip(NAMES, map(float, range(1, 11)), strict=True))
-    first, second = weighted(weights), weighted(dict.fromkeys(NAMES, 3.0))
-    second.dispatch(
-        api.EndpointUpdate(
-            api.EndpointUpdateKind.DELTA, [entries(name, weight=weights[name])[0] for name in reversed(NAMES)]
-        )
-    )
+def test_candidates_of_a_group_do_not_depend_on_earlier_lists() -> None:
+    first = weighted_harness(RISING_WEIGHTS)
+    second = weighted_harness(dict.fromkeys(NAMES, 3.0))
+    second.update_endpoints(*reversed(weighted_endpoints(RISING_WEIGHTS)))
     for number in range(200):
-        a, b = (harness.balancer.selector.pick(connection_of(f"g{number}")) for harness in (first, second))
-        assert a
-        assert b
-        assert a.endpoint.name == b.endpoint.name
+        connection = connection_of(f"g{number}")
+        assert pick(first, connection) == pick(second, connection)
 
 
-def test_the_last_server_left_is_found_by_weight_too() -> None:
-    """With nearly all suspected the table is given up for a look through the list, which weighs as well."""
-    harness = weighted({"heavy": 3.0, "light": 1.0} | {f"off{number}": 100.0 for number in range(60)})
+def test_last_servers_that_are_not_ejected_are_drawn_by_weight() -> None:
+    """With nearly all servers ejected the whole list is searched in place of the lookup table."""
+    weights = {"heavy": 3.0, "light": 1.0} | {f"ejected{number}": 100.0 for number in range(60)}
+    harness = weighted_harness(weights)
     for name, server in harness.balancer.endpoints.servers.items():
-        if name.startswith("off"):
-            server.ejection.record_failure(harness.now)
-    found = Counter(one.endpoint.name for _ in range(2000) if (one := harness.balancer.selector.pick(None)))
-    assert set(found) == {"heavy", "light"}
-    assert 2.3 < found["heavy"] / found["light"] < 3.9
+        if name.startswith("ejected"):
+            server.ejection.record_failure(harness.now_us)
+    drawn = Counter(pick(harness) for _ in range(2000))
+    assert set(drawn) == {"heavy", "light"}
+    assert 2.3 < drawn["heavy"] / drawn["light"] < 3.9
--- a/tests/decisions/test_rebalancing.py
+++ b/tests/decisions/test_rebalancing.py
@@ -1,146 +1,129 @@
-"""Connections leave overloaded servers while the fleet has room."""
+"""Connections leave overloaded servers while the fleet has capacity."""
 
+import pytest
 from support.balancer_harness import SECOND_US, BalancerHarness, of_type
 
 from wheatstile import interface as api
 from wheatstile.decisions.server_load import OVERLOAD_THRESHOLD
 
 
+def checks_of(server: str, actions: list[api.Action]) -> int:
+    """Returns the number of health checks of a server among these actions."""
+    return sum(check.server == server for check in of_type(actions, api.CheckHealth))
+
+
 def test_server_with_late_messages_loses_its_excess() -> None:
-    """A server that runs slow kept nearly all its connections for as long as it was slow."""
     harness = BalancerHarness("a", "b", "c", loads={"a": 2.0, "b": 0.5, "c": 0.5})
-    for index in range(60):
-        harness.connect(f"c{index}", "a")
-    harness.dispatch(api.MessageLatencyChanged("c0", "a", 400.0))
+    harness.connect_many(60, "a")
+    harness.report_latency("c0", "a", 400.0)
     moved = of_type(harness.run(SECOND_US // 2), api.Migrate)
     assert 30 <= len(moved) <= 55
-    assert not of_type(
-        harness.dispatch(
-            api.MessageLatencyChanged(
-                sorted(connection.id for connection in harness.balancer.connections.established)[0],
-                "a",
-                400.0,
-            )
-        ),
-        api.CheckHealth,
-    )
-
-
-def test_unreachable_server_loses_all() -> None:
+    remaining = min(connection.id for connection in harness.balancer.connections.established)
+    assert not of_type(harness.report_latency(remaining, "a", 400.0), api.CheckHealth)
+
+
+def test_unreachable_server_loses_all_connections() -> None:
     harness = BalancerHarness("a", "b", "c")
-    harness.silent = {"a"}
+    harness.unresponsive = {"a"}
     harness.connect("c0", "a")
-    harness.dispatch(api.MessageLatencyChanged("c0", "a", 9000.0))
+    harness.report_latency("c0", "a", 9000.0)
     assert of_type(harness.run(SECOND_US // 2), api.Migrate) == [api.Migrate("c0")]
     for index in range(30):
         harness.request(f"r{index}")
-    assert "a" not in {send.server for send in of_type(harness.log, api.StartAttempt)}
+    assert "a" not in harness.attempted_servers
 
 
-def test_load_checks_after_late_messages_are_spread() -> None:
-    """The delays of one server are told to all balancers in the same instant."""
-    reads = set()
+def test_checks_after_late_messages_are_spread() -> None:
+    """All balancers learn of a server's latency at the same moment."""
+    delays = set()
     for seed in range(20):
         harness = BalancerHarness("a", "b", "c", seed=seed)
         harness.connect("c0", "a")
-        assert not of_type(harness.dispatch(api.MessageLatencyChanged("c0", "a", 400.0)), api.CheckHealth)
-        start = harness.now
-        while not harness.probes:
+        assert not of_type(harness.report_latency("c0", "a", 400.0), api.CheckHealth)
+        reported_at_us = harness.now_us
+        while not harness.pending_checks:
             harness.run_to_next_timer()
-        reads.add((harness.now - start) // 50_000)
-    assert len(reads) >= 6
+        delays.add((harness.now_us - reported_at_us) // 50_000)
+    assert len(delays) >= 6
+
+
+def migrations_after_latencies(first_ms: float, second_ms: float) -> int:
+    """Returns the migrations from a server with a low reported load and these two latencies."""
+    harness = BalancerHarness("a", "b", "c", loads={"a": 0.1, "b": 0.4, "c": 0.4})
+    harness.connect_many(60, "a")
+    harness.server("a").load.record_message_latency(first_ms)
+    harness.report_latency("c0", "a", second_ms)
+    return len(of_type(harness.run(SECOND_US // 2), api.Migrate))
 
 
 def test_growing_latency_outweighs_a_late_report() -> None:
-    """Reports three seconds late said that a server was idle while its messages took ever longer."""
-    moved = {}
-    for delays in ([300.0, 400.0], [400.0, 300.0]):
-        harness = BalancerHarness("a", "b", "c", loads={"a": 0.1, "b": 0.4, "c": 0.4})
-        for index in range(60):
-            harness.connect(f"c{index}", "a")
-        harness.dispatch(
-            api.MessageLatencyChanged("c0", "a", delays[0] / 10)
-        )  # within the aim: no relief yet
-        harness.balancer.endpoints.servers["a"].load.record_message_latency(delays[0])
-        harness.dispatch(api.MessageLatencyChanged("c0", "a", delays[1]))
-        moved[delays[1]] = len(of_type(harness.run(SECOND_US // 2), api.Migrate))
-    assert 8 <= moved[400.0] <= 30
-    assert moved[300.0] == 0
-
-
-def test_messages_within_their_objective_migrate_nobody() -> None:
+    assert 8 <= migrations_after_latencies(300.0, 400.0) <= 30
+    assert migrations_after_latencies(400.0, 300.0) == 0
+
+
+def test_latency_within_the_objective_migrates_nobody() -> None:
     harness = BalancerHarness("a", "b", loads={"a": 2.0, "b": 0.1})
     harness.connect("c0", "a")
-    harness.dispatch(api.MessageLatencyChanged("c0", "a", 49.0))
-    assert not harness.probes
-
-
-def test_overloaded_server_is_relieved_without_latency_reports() -> None:
-    """On sockets a crowded server answers lines at once: nothing but its own report tells that it is full."""
-    for told, others, moved in [(False, 0.3, True), (True, 0.3, False), (False, 1.0, False)]:
-        harness = BalancerHarness(
-            "a", "b", "c", loads={"a": 1.4, "b": others, "c": others}, reports_message_latency=told
-        )
-        for number in range(8):  # where all are full, none has room for whom another sends away
-            harness.request(f"r{number}")
-        for index in range(40):
-            harness.connect(f"c{index}", "a")
-            harness.dispatch(api.ConnectionLoadChanged(f"c{index}", "a", 1000.0))
-        assert (len(of_type(harness.run(3 * SECOND_US), api.Migrate)) > 5) is moved
-
-
-def test_unanswered_load_check_is_repeated_before_anybody_is_migrated() -> None:
-    """A server that stands still for 250 ms answers no probe in time; all that it held was moved away."""
-    for still, moved in [(False, 0), (True, 40)]:
-        harness = BalancerHarness("a", "b", "c", reports_message_latency=False)
-        for index in range(40):
-            harness.connect(f"c{index}", "a")
-        while "a" not in harness.probes:
-            harness.run_to_next_timer()
-        harness.probes.remove("a")
-        assert not of_type(
-            harness.dispatch(api.HealthCheckResult("a", api.AttemptOutcome.TIMEOUT)), api.Migrate
-        )
-        harness.silent = {"a"} if still else set()
-        assert len(of_type(harness.run(SECOND_US), api.Migrate)) == moved
-
-
-def test_any_reading_of_a_full_server_relieves_it() -> None:
-    """Read for newcomers at 1.2, a server kept all its clients until it was looked at, seconds later."""
-    # Relief from 0.7 on at a single noisy reading moved clients for nothing.
-    for load, reports_message_latency, moved in (
-        (1.4, False, True),
-        (1.4, True, False),
-        (0.78, False, False),
-    ):
-        harness = BalancerHarness(
-            "a", "b", loads={"a": load, "b": 0.2}, reports_message_latency=reports_message_latency
-        )
-        for number in range(40):
-            harness.connect(f"c{number}", "a")
-        harness.request("newcomer")
-        assert bool(of_type(harness.log, api.Migrate)) == moved
-
-
-def test_endpoint_change_brings_load_checks_forward() -> None:
+    harness.report_latency("c0", "a", 49.0)
+    assert not harness.pending_checks
+
+
+@pytest.mark.parametrize(
+    ("reports_latency", "other_loads", "is_relieved"),
+    [(False, 0.3, True), (True, 0.3, False), (False, 1.0, False)],
+)
+def test_load_checks_relieve_an_overloaded_server(
+    reports_latency: bool, other_loads: float, is_relieved: bool
+) -> None:
+    """Load checks stand in for latency reports, and migrate nobody while the whole fleet is full."""
+    loads = {"a": 1.4, "b": other_loads, "c": other_loads}
+    harness = BalancerHarness("a", "b", "c", loads=loads, reports_message_latency=reports_latency)
+    for number in range(8):
+        harness.request(f"r{number}")
+    for index in range(40):
+        harness.connect(f"c{index}", "a")
+        harness.dispatch(api.ConnectionLoadChanged(f"c{index}", "a", 1000.0))
+    assert (len(of_type(harness.run(3 * SECOND_US), api.Migrate)) > 5) is is_relieved
+
+
+@pytest.mark.parametrize(("stays_unresponsive", "migrations"), [(False, 0), (True, 40)])
+def test_unanswered_load_check_is_repeated_before_any_migration(
+    stays_unresponsive: bool, migrations: int
+) -> None:
+    harness = BalancerHarness("a", "b", "c", reports_message_latency=False)
+    harness.connect_many(40, "a")
+    while "a" not in harness.pending_checks:
+        harness.run_to_next_timer()
+    harness.pending_checks.remove("a")
+    assert not of_type(harness.answer_check("a", api.AttemptOutcome.TIMEOUT), api.Migrate)
+    harness.unresponsive = {"a"} if stays_unresponsive else set()
+    assert len(of_type(harness.run(SECOND_US), api.Migrate)) == migrations
+
+
+@pytest.mark.parametrize(
+    ("load", "reports_latency", "is_relieved"), [(1.4, False, True), (1.4, True, False), (0.78, False, False)]
+)
+def test_any_report_of_severe_overload_relieves_a_server(
+    load: float, reports_latency: bool, is_relieved: bool
+) -> None:
+    harness = BalancerHarness("a", "b", loads={"a": load, "b": 0.2}, reports_message_latency=reports_latency)
+    harness.connect_many(40, "a")
+    harness.request("new")
+    assert bool(of_type(harness.log, api.Migrate)) == is_relieved
+
+
+def test_endpoint_change_makes_load_checks_more_frequent() -> None:
     harness = BalancerHarness("a", "b", "c", reports_message_latency=False)
     harness.connect("c", "a")
     harness.run(60 * SECOND_US)
-    harness.log.clear()
-    harness.run(8 * SECOND_US)
-    quiet = len(of_type(harness.log, api.CheckHealth))
-    harness.dispatch(
-        api.EndpointUpdate(
-            api.EndpointUpdateKind.DELTA, [api.Endpoint("c", api.EndpointState.DRAINING, "here")]
-        )
-    )
-    harness.log.clear()
-    harness.run(8 * SECOND_US)
-    assert len(of_type(harness.log, api.CheckHealth)) > quiet
-
-
-def test_connections_that_have_just_come_stay() -> None:
-    """A restarted balancer's clients came within a second; the work of it had 49 of them moved again."""
+    before = len(of_type(harness.run(8 * SECOND_US), api.CheckHealth))
+    harness.update_endpoints(api.Endpoint("c", api.EndpointState.DRAINING, "here"))
+    after = len(of_type(harness.run(8 * SECOND_US), api.CheckHealth))
+    assert after > before
+
+
+def test_connections_that_have_just_been_established_stay() -> None:
+    """The work of many setups shows as load for a moment."""
     harness = BalancerHarness("a", "b", loads={"a": 0.3, "b": 0.3}, reports_message_latency=False)
     for number in range(60):
         harness.request(f"r{number}", key=f"k{number}")
@@ -152,19 +135,14 @@
     assert of_type(harness.log, api.Migrate)
 
 
-def test_full_server_is_checked_until_it_is_not() -> None:
-    """A look drawn among many servers met a bad one every 10 s, while its few clients here waited."""
+def test_overloaded_server_is_checked_until_its_load_falls() -> None:
     harness = BalancerHarness("a", "b", loads={"a": 0.85, "b": 0.3}, reports_message_latency=False)
     for index in range(100):
-        harness.connect(f"c{index}", "ab"[index >= 8])
-    while not [probe for probe in of_type(harness.log, api.CheckHealth) if probe.server == "a"]:
+        harness.connect(f"c{index}", "a" if index < 8 else "b")
+    while not checks_of("a", harness.log):
         harness.run_to_next_timer()
     harness.answer_checks()
-    mark = len(harness.log)
-    harness.run(4 * SECOND_US + SECOND_US // 2)
-    assert len([probe for probe in of_type(harness.log[mark:], api.CheckHealth) if probe.server == "a"]) >= 4
+    assert checks_of("a", harness.run(4 * SECOND_US + SECOND_US // 2)) >= 4
     harness.loads["a"] = OVERLOAD_THRESHOLD
     harness.run(2 * SECOND_US)
-    mark = len(harness.log)
-    harness.run(8 * SECOND_US)
-    assert len([probe for probe in of_type(harness.log[mark:], api.CheckHealth) if probe.server == "a"]) <= 3
+    assert checks_of("a", harness.run(8 * SECOND_US)) <= 3
--- a/tests/support/balancer_harness.py
+++ b/tests/support/balancer_harness.py
@@ -1,22 +1,27 @@
-"""One instance of the decision module with a clock, timers, and servers that answer health checks."""
+"""One instance of the decision module, with a clock, timers, and servers that answer health checks."""
 
 from collections.abc import Iterable
+from dataclasses import dataclass, field
 from itertools import count
 from typing import TypeVar
 
 from wheatstile import Balancer
 from wheatstile import interface as api
+from wheatstile.decisions.server import Server
 
 SECOND_US = 1_000_000
-A = TypeVar("A")
+START_US = 1000 * SECOND_US
+SERVICE_CLASS = "web"
+ActionT = TypeVar("ActionT")
 
 
 def settings(**changes: object) -> api.Settings:
-    """A site of one zone with one safe class; whatever differs is named."""
+    """Returns the settings of one zone with one idempotent class, with these changes."""
+    service_class = api.ServiceClass(SERVICE_CLASS, 500_000, message_latency_objective_us=50_000)
     values: dict[str, object] = {
         "fleet_size": 4,
         "zone": "here",
-        "classes": {"web": api.ServiceClass("web", 500_000, message_latency_objective_us=50_000)},
+        "classes": {SERVICE_CLASS: service_class},
         "max_attempts": 3,
         "slow_start_initial_capacity": 0.2,
         "slow_start_duration_us": 20 * SECOND_US,
@@ -28,89 +33,156 @@
     return api.Settings(**(values | changes))  # type: ignore[arg-type]
 
 
-def entries(*names: str, **changes: object) -> list[api.Endpoint]:
+def endpoints(*names: str, **changes: object) -> list[api.Endpoint]:
+    """Returns ready endpoints of the balancer's zone, with these changes."""
     return [api.Endpoint(name, api.EndpointState.READY, "here", **changes) for name in names]  # type: ignore[arg-type]
 
 
-def of_type(actions: Iterable[api.Action], kind: type[A]) -> list[A]:
+def of_type(actions: Iterable[api.Action], kind: type[ActionT]) -> list[ActionT]:
+    """Returns the actions of one type."""
     return [action for action in actions if isinstance(action, kind)]
 
 
+@dataclass(frozen=True, order=True)
+class PendingTimer:
+    """A timer that has not fired; ordered by its due time."""
+
+    due_us: int
+    number: int
+    token: api.TimerToken = field(compare=False)
+
+
 class BalancerHarness:
-    """One balancer, its clock, and servers that answer health checks with the loads given here."""
+    """One balancer and its clock. Servers answer health checks with `loads`; unresponsive ones time out."""
 
     def __init__(self, *names: str, loads: dict[str, float] | None = None, seed: int = 1, **changes: object):
-        self.now = 1000 * SECOND_US
+        self.now_us = START_US
         self.loads = loads or dict.fromkeys(names, 0.4)
-        self.silent: set[str] = set()
-        self.log: list[api.Action] = []
-        self.probes: list[str] = []
-        self.timers: list[tuple[int, int, api.TimerToken]] = []
+        self.unresponsive: set[str] = set()
+        self.log: list[api.Action] = []  # all actions so far
+        self.pending_checks: list[str] = []  # servers whose health checks are not answered yet
+        self.timers: list[PendingTimer] = []
         self._timer_numbers = count()
         self.balancer = Balancer(settings(**changes), seed)
-        self.take(self.balancer.start(self.now))
-        self.dispatch(api.EndpointUpdate(api.EndpointUpdateKind.CACHED, entries(*names)))
+        self._record(self.balancer.start(self.now_us))
+        self.update_endpoints(*endpoints(*names), kind=api.EndpointUpdateKind.CACHED)
 
-    def take(self, actions: list[api.Action]) -> list[api.Action]:
+    def _record(self, actions: list[api.Action]) -> list[api.Action]:
         for action in actions:
             if isinstance(action, api.CheckHealth):
-                self.probes.append(action.server)
+                self.pending_checks.append(action.server)
             elif isinstance(action, api.SetTimer):
                 assert action.delay_us > 0
-                self.timers.append((self.now + action.delay_us, next(self._timer_numbers), action.token))
+                due_us = self.now_us + action.delay_us
+                self.timers.append(PendingTimer(due_us, next(self._timer_numbers), action.token))
         self.log += actions
         return actions
 
     def dispatch(self, event: api.Event) -> list[api.Action]:
-        """One event, and no answers yet."""
-        return self.take(self.balancer.handle(self.now, event))
+        """Handles one event; health checks are not answered yet."""
+        return self._record(self.balancer.handle(self.now_us, event))
+
+    def update_endpoints(
+        self, *changed: api.Endpoint, kind: api.EndpointUpdateKind = api.EndpointUpdateKind.DELTA
+    ) -> list[api.Action]:
+        """Handles an update of the list of servers."""
+        return self.dispatch(api.EndpointUpdate(kind, list(changed)))
+
+    def answer_check(
+        self, server: str, outcome: api.AttemptOutcome = api.AttemptOutcome.OK, **report: float
+    ) -> list[api.Action]:
+        """Handles the result of one health check."""
+        return self.dispatch(api.HealthCheckResult(server, outcome, 1000, report))
 
     def answer_checks(self) -> list[api.Action]:
-        """Answer every probe that is out; silent servers' probes fail."""
+        """Answers every pending health check, also those that the answers cause."""
         answers: list[api.Action] = []
-        while self.probes:
-            name = self.probes.pop(0)
-            if name in self.silent:
-                answers += self.dispatch(api.HealthCheckResult(name, api.AttemptOutcome.TIMEOUT))
+        while self.pending_checks:
+            name = self.pending_checks.pop(0)
+            if name in self.unresponsive:
+                answers += self.answer_check(name, api.AttemptOutcome.TIMEOUT)
             else:
-                answers += self.dispatch(
-                    api.HealthCheckResult(name, api.AttemptOutcome.OK, 1000, {"load": self.loads[name]})
-                )
+                answers += self.answer_check(name, load=self.loads[name])
         return answers
 
-    def run(self, length: int) -> list[api.Action]:
-        """Let time pass, timers fire and probes be answered."""
-        end, answers = self.now + length, []
-        while True:
-            due = [timer for timer in self.timers if timer[0] <= end]
-            if not due:
-                break
-            timer = min(due)
-            self.timers.remove(timer)
-            self.now = max(self.now, timer[0])
-            answers += self.dispatch(api.TimerFired(timer[2]))
+    def run(self, duration_us: int) -> list[api.Action]:
+        """Lets time pass, while timers fire and health checks are answered."""
+        end_us = self.now_us + duration_us
+        answers: list[api.Action] = []
+        while any(timer.due_us <= end_us for timer in self.timers):
+            answers += self.run_to_next_timer()
             answers += self.answer_checks()
-        self.now = end
+        self.now_us = end_us
         return answers
 
     def run_to_next_timer(self) -> list[api.Action]:
-        """Let the next timer fire, and leave its probes unanswered."""
+        """Fires the next timer; health checks are not answered."""
         timer = min(self.timers)
+        self.now_us = max(self.now_us, timer.due_us)
+        return self.fire(timer)
+
+    def fire(self, timer: PendingTimer) -> list[api.Action]:
+        """Fires this timer now."""
         self.timers.remove(timer)
-        self.now = max(self.now, timer[0])
-        return self.dispatch(api.TimerFired(timer[2]))
+        return self.dispatch(api.TimerFired(timer.token))
+
+    def run_to_check_of(self, server: str) -> None:
+        """Fires timers until a health check of this server is pending, and takes it; others are answered."""
+        while server not in self.pending_checks:
+            self.run_to_next_timer()
+            for name in [name for name in self.pending_checks if name != server]:
+                self.pending_checks.remove(name)
+                self.answer_check(name, load=self.loads[name])
+        self.pending_checks.remove(server)
 
     def request(self, id: str, expires_in_us: int = 2 * SECOND_US, **changes: object) -> list[api.Action]:
-        """A client's request, with its candidates' probes answered at once."""
-        event = api.Request(id, "web", expires_in_us, **changes)  # type: ignore[arg-type]
+        """Handles a client's request; the health checks of its candidates are answered at once."""
+        event = api.Request(id, SERVICE_CLASS, expires_in_us, **changes)  # type: ignore[arg-type]
         return self.dispatch(event) + self.answer_checks()
 
     def connect(self, id: str, server: str, key: str = "") -> None:
-        """A connection that stands at this server, as one open from before."""
-        self.dispatch(api.ExistingConnection(id, "web", server, key))
+        """Adds a connection that was open at this server before the balancer started."""
+        self.dispatch(api.ExistingConnection(id, SERVICE_CLASS, server, key))
+
+    def connect_many(self, number: int, server: str) -> None:
+        """Adds the connections c0, c1 and so on at this server."""
+        for index in range(number):
+            self.connect(f"c{index}", server)
 
     def establish(self, id: str, attempt: int = 0) -> str:
-        """Accept the request's last attempt; the server that it went to."""
-        server = [send.server for send in of_type(self.log, api.StartAttempt) if send.id == id][-1]
+        """Lets a request's last attempt succeed. Returns its server."""
+        server = [sent.server for sent in self.attempts if sent.id == id][-1]
         self.dispatch(api.Established(id, attempt, server, 1000))
         return server
+
+    def end_attempt(
+        self, id: str, outcome: api.AttemptOutcome, attempt: int = 0, elapsed_us: int = 1000
+    ) -> list[api.Action]:
+        """Lets a request's last attempt fail."""
+        server = [sent.server for sent in self.attempts if sent.id == id][-1]
+        return self.dispatch(api.AttemptEnded(id, attempt, server, outcome, elapsed_us))
+
+    def report_latency(self, id: str, server: str, latency_ms: float) -> list[api.Action]:
+        """Handles a message latency of one connection."""
+        return self.dispatch(api.MessageLatencyChanged(id, server, latency_ms))
+
+    @property
+    def attempts(self) -> list[api.StartAttempt]:
+        """All attempts so far."""
+        return of_type(self.log, api.StartAttempt)
+
+    @property
+    def attempted_servers(self) -> list[str]:
+        """The servers of all attempts so far, in order."""
+        return [attempt.server for attempt in self.attempts]
+
+    def final_answers(self, id: str) -> list[api.Reject | api.Fail]:
+        """Returns the final answers to a request."""
+        answers: list[api.Reject | api.Fail] = []
+        answers += of_type(self.log, api.Reject)
+        answers += of_type(self.log, api.Fail)
+        return [answer for answer in answers if answer.id == id]
+
+    def server(self, name: str) -> Server:
+        """Returns the module's record of a server."""
+        return self.balancer.endpoints.servers[name]
--- a/tests/support/fleet_model.py
+++ b/tests/support/fleet_model.py
@@ -1,73 +1,134 @@
-"""Many balancers of one fleet on a simple model of servers: what is harmless alone shows its harm here.
+"""Many balancers of one fleet on a simple model of servers, to show what they do together.
 
-A server holds so many connections; its load is what it holds over what it can bear now, read as it was REPORT
-ago. Time runs by events on one heap, and all chance comes from the seed, so that a run is always the same.
+The load of a server is its open connections divided by its present capacity, and is read REPORT_AGE_US late.
+Time runs
+by events on one heap, and all chance comes from the seed, so that a run is always the same.
 """
 
 import heapq
 from collections import Counter, defaultdict
 from collections.abc import Callable
+from dataclasses import dataclass
 from itertools import count
 from random import Random
 
-from support.balancer_harness import SECOND_US, settings
+from support.balancer_harness import SECOND_US, START_US, settings
 from wheatstile import Balancer
 from wheatstile import interface as api
 
-REPORT = 300_000  # microseconds that a report is old
-HOP = 2_000  # to a server and back
+REPORT_AGE_US = 300_000
+ROUND_TRIP_US = 2_000
+DISCOVERY_SPREAD_US = SECOND_US // 2  # within which all balancers receive an update
+RETRY_DELAY_US = SECOND_US  # of a rejected client
 
 
-class FleetModel:
-    """Balancers by number, servers by name; clients that are refused or moved come again elsewhere."""
+@dataclass(frozen=True)
+class Place:
+    """Where a connection is open."""
+
+    balancer: int
+    server: str
+
+
+@dataclass(frozen=True)
+class Attempt:
+    """One attempt at a server."""
+
+    at_us: int
+    server: str
+
 
-    def __init__(self, balancers: int, servers: list[str], holds: int, seed: int, **changes: object) -> None:
-        self.now, self.random, self.holds = 1000 * SECOND_US, Random(seed), holds
+@dataclass(frozen=True)
+class LoadReading:
+    """The load of a server at one time."""
+
+    at_us: int
+    load: float
+
+
+class FleetModel:
+    """Balancers by number, servers by name. Rejected and migrated clients reconnect at a random balancer."""
+
+    def __init__(
+        self, balancers: int, servers: list[str], capacity: int, seed: int, **changes: object
+    ) -> None:
+        self.now_us = START_US
+        self.random = Random(seed)
+        self.capacity = capacity  # connections that fill one server
         self.settings = settings(fleet_size=balancers, reports_message_latency=False, **changes)
+        self.endpoints = {name: api.Endpoint(name, api.EndpointState.READY, "here") for name in servers}
+        self.open_connections: Counter[str] = Counter()  # keyed by server
+        self.places: dict[str, Place] = {}  # open connections, keyed by id
+        self.attempts: list[Attempt] = []
+        self.waiting: set[str] = set()  # requests without a connection
+        self._readings: dict[str, list[LoadReading]] = defaultdict(list)  # keyed by server
+        self._attempt_counts: Counter[str] = Counter()  # keyed by request
         self._due: list[tuple[int, int, Callable[[], None]]] = []
-        self._order, self._ids = count(), count()
-        self.entries = {name: api.Endpoint(name, api.EndpointState.READY, "here") for name in servers}
-        self.held: Counter[str] = Counter()  # open connections by server
-        self.history: dict[str, list[tuple[int, float]]] = defaultdict(list)  # by server: when, which load
-        self.where: dict[str, tuple[int, str]] = {}  # open connections: balancer and server
-        self.sends: list[tuple[int, str]] = []
-        self.waiting: set[str] = set()  # without a connection, or told to come again a moment ago
-        self.attempts: Counter[str] = Counter()
+        self._order = count()
+        self._ids = count()
         self.balancers: list[Balancer] = []
         for number in range(balancers):
-            balancer = Balancer(self.settings, self.random.getrandbits(32))
-            self.balancers.append(balancer)
-            self.carry_out(number, balancer.start(self.now))
-            self.dispatch(
-                number, api.EndpointUpdate(api.EndpointUpdateKind.CACHED, list(self.entries.values()))
-            )
-
-    def later(self, delay: int, work: Callable[[], None]) -> None:
-        heapq.heappush(self._due, (self.now + delay, next(self._order), work))
-
-    def run(self, length: int) -> None:
-        end = self.now + length
-        while self._due and self._due[0][0] <= end:
-            self.now, _, work = heapq.heappop(self._due)
+            self._start_balancer(number)
+
+    def _start_balancer(self, number: int) -> None:
+        balancer = Balancer(self.settings, self.random.getrandbits(32))
+        self.balancers.append(balancer)
+        self._carry_out(number, balancer.start(self.now_us))
+        endpoints = list(self.endpoints.values())
+        self.dispatch(number, api.EndpointUpdate(api.EndpointUpdateKind.CACHED, endpoints))
+
+    def run(self, duration_us: int) -> None:
+        """Lets time pass, and plays what is due."""
+        end_us = self.now_us + duration_us
+        while self._due and self._due[0][0] <= end_us:
+            self.now_us, _, work = heapq.heappop(self._due)
             work()
-        self.now = end
+        self.now_us = end_us
 
-    def relist(self, *changed: api.Endpoint) -> None:
-        """Every balancer is told of these changes, each at its own time within half a second."""
-        self.entries |= {entry.name: entry for entry in changed}
+    def update_endpoints(self, *changed: api.Endpoint) -> None:
+        """Gives every balancer these changes, each at its own time."""
+        self.endpoints |= {endpoint.name: endpoint for endpoint in changed}
+        event = api.EndpointUpdate(api.EndpointUpdateKind.DELTA, list(changed))
         for number in range(len(self.balancers)):
-            event = api.EndpointUpdate(api.EndpointUpdateKind.DELTA, list(changed))
-            self.later(self.random.randrange(SECOND_US // 2), lambda n=number, e=event: self.dispatch(n, e))  # type: ignore[misc]
+            self._dispatch_later(self.random.randrange(DISCOVERY_SPREAD_US), number, lambda: event)
 
-    def load(self, server: str) -> float:
-        """What the server holds over what it can bear now."""
-        started = self.entries[server].started_at_us
-        age = (self.now - started) / self.settings.slow_start_duration_us if started > 0 else 1.0
-        return self.held[server] / self.holds / min(1.0, max(self.settings.slow_start_initial_capacity, age))
+    def arrive(self, delay_us: int, reconnecting: bool = False) -> None:
+        """Lets a client request a connection at a random balancer."""
+        self._later(delay_us, lambda: self._request(reconnecting))
 
-    def arrive(self, delay: int, reconnecting: bool = False) -> None:
-        """A client comes to a random balancer."""
-        self.later(delay, lambda: self._request(reconnecting))
+    def end(self, id: str) -> None:
+        """Ends an open connection, and reports it to its balancer."""
+        place = self.places.pop(id)
+        self.open_connections[place.server] -= 1
+        attempt = max(0, self._attempt_counts[id] - 1)
+        outcome = api.AttemptOutcome.CANCELLED
+        self.dispatch(place.balancer, api.AttemptEnded(id, attempt, place.server, outcome, closed=True))
+
+    def connect_at_each_server(self, number: int) -> None:
+        """Adds connections from before the start at each server, spread over the balancers."""
+        for server in self.endpoints:
+            for index in range(number):
+                id = f"o{next(self._ids)}"
+                balancer = index % len(self.balancers)
+                self.open_connections[server] += 1
+                self.places[id] = Place(balancer, server)
+                self.dispatch(balancer, api.ExistingConnection(id, "web", server, id))
+
+    def max_attempts_within(self, server: str, window_us: int) -> int:
+        """Returns the largest number of attempts at a server within any window of this length."""
+        times = [attempt.at_us for attempt in self.attempts if attempt.server == server]
+        counts = (sum(start_us <= time_us < start_us + window_us for time_us in times) for start_us in times)
+        return max(counts, default=0)
+
+    def dispatch(self, number: int, event: api.Event) -> None:
+        """Has a balancer handle an event now."""
+        self._carry_out(number, self.balancers[number].handle(self.now_us, event))
+
+    def _later(self, delay_us: int, work: Callable[[], None]) -> None:
+        heapq.heappush(self._due, (self.now_us + delay_us, next(self._order), work))
+
+    def _dispatch_later(self, delay_us: int, number: int, event: Callable[[], api.Event]) -> None:
+        self._later(delay_us, lambda: self.dispatch(number, event()))
 
     def _request(self, reconnecting: bool) -> None:
         id = f"c{next(self._ids)}"
@@ -75,64 +136,57 @@
         request = api.Request(id, "web", 2 * SECOND_US, key=id, affinity_group=id, reconnecting=reconnecting)
         self.dispatch(self.random.choice(range(len(self.balancers))), request)
 
-    def end(self, id: str) -> None:
-        """An open connection is over, and its balancer is told."""
-        number, server = self.where.pop(id)
-        self.held[server] -= 1
-        attempt = max(0, self.attempts[id] - 1)
-        self.dispatch(
-            number, api.AttemptEnded(id, attempt, server, api.AttemptOutcome.CANCELLED, closed=True)
-        )
-
-    def dispatch(self, number: int, event: api.Event) -> None:
-        self.carry_out(number, self.balancers[number].handle(self.now, event))
-
-    def carry_out(self, number: int, actions: list[api.Action]) -> None:
-        def to_it(delay: int, event: Callable[[], api.Event]) -> None:
-            self.later(delay, lambda: self.dispatch(number, event()))
-
+    def _carry_out(self, number: int, actions: list[api.Action]) -> None:
         for action in actions:
             match action:
-                case api.SetTimer(delay, token):
-                    to_it(delay, lambda token=token: api.TimerFired(token))  # type: ignore[misc]
-                case api.CheckHealth(server):
-                    to_it(HOP, lambda server=server: self.probed(server))  # type: ignore[misc]
-                case api.StartAttempt(id, server):
-                    self.sends.append((self.now, server))
-                    to_it(HOP, lambda id=id, server=server: self.sent(number, id, server))  # type: ignore[misc]
-                case api.Reject(id):
-                    self.later(SECOND_US, lambda id=id: self.waiting.discard(id))  # type: ignore[misc]
-                    self.arrive(SECOND_US, reconnecting=True)
-                case api.Migrate(id) if id in self.where:  # else its server has just ended it
-                    self.end(id)
+                case api.SetTimer():
+                    self._dispatch_later(action.delay_us, number, self._timer_event(action))
+                case api.CheckHealth():
+                    self._dispatch_later(ROUND_TRIP_US, number, self._check_event(action))
+                case api.StartAttempt():
+                    self.attempts.append(Attempt(self.now_us, action.server))
+                    self._dispatch_later(ROUND_TRIP_US, number, self._attempt_event(number, action))
+                case api.Reject():
+                    self._reject(action.id)
+                case api.Migrate() if action.id in self.places:  # else its server has just ended it
+                    self.end(action.id)
                     self.arrive(100_000 + self.random.randrange(SECOND_US), reconnecting=True)
 
-    def probed(self, server: str) -> api.Event:
-        # Reports are late: what is read is how it was.
-        self.history[server].append((self.now, self.load(server)))
-        old = [load for at, load in self.history[server] if at <= self.now - REPORT]
-        return api.HealthCheckResult(
-            server, api.AttemptOutcome.OK, HOP, {"load": old[-1] if old else self.history[server][0][1]}
+    def _reject(self, id: str) -> None:
+        self._later(RETRY_DELAY_US, lambda: self.waiting.discard(id))
+        self.arrive(RETRY_DELAY_US, reconnecting=True)
+
+    @staticmethod
+    def _timer_event(action: api.SetTimer) -> Callable[[], api.Event]:
+        return lambda: api.TimerFired(action.token)
+
+    def _check_event(self, action: api.CheckHealth) -> Callable[[], api.Event]:
+        return lambda: self._answer_check(action.server)
+
+    def _attempt_event(self, number: int, action: api.StartAttempt) -> Callable[[], api.Event]:
+        return lambda: self._establish(number, action.id, action.server)
+
+    def _answer_check(self, server: str) -> api.Event:
+        readings = self._readings[server]
+        readings.append(LoadReading(self.now_us, self._load(server)))
+        old = [reading for reading in readings if reading.at_us <= self.now_us - REPORT_AGE_US]
+        reported = old[-1] if old else readings[0]
+        report = {"load": reported.load}
+        return api.HealthCheckResult(server, api.AttemptOutcome.OK, ROUND_TRIP_US, report)
+
+    def _load(self, server: str) -> float:
+        """Returns the open connections of a server divided by its present capacity."""
+        started_at_us = self.endpoints[server].started_at_us
+        relative_age = (
+            (self.now_us - started_at_us) / self.settings.slow_start_duration_us if started_at_us else 1.0
         )
+        share = min(1.0, max(self.settings.slow_start_initial_capacity, relative_age))
+        return self.open_connections[server] / self.capacity / share
 
-    def sent(self, number: int, id: str, server: str) -> api.Event:
-        attempt = self.attempts[id]
-        self.attempts[id] += 1
-        self.held[server] += 1
+    def _establish(self, number: int, id: str, server: str) -> api.Event:
+        attempt = self._attempt_counts[id]
+        self._attempt_counts[id] += 1
+        self.open_connections[server] += 1
         self.waiting.discard(id)
-        self.where[id] = number, server
-        return api.Established(id, attempt, server, HOP)
-
-    def stand(self, each: int) -> None:
-        """So many connections from before at each server, spread over the balancers."""
-        for server in self.entries:
-            for index in range(each):
-                id, number = f"o{next(self._ids)}", index % len(self.balancers)
-                self.held[server] += 1
-                self.where[id] = number, server
-                self.dispatch(number, api.ExistingConnection(id, "web", server, id))
-
-    def most_within(self, server: str, window: int) -> int:
-        """The most attempts that this server got within any window of this length."""
-        times = [at for at, name in self.sends if name == server]
-        return max((sum(at <= other < at + window for other in times) for at in times), default=0)
+        self.places[id] = Place(number, server)
+        return api.Established(id, attempt, server, ROUND_TRIP_US)
--- /dev/null
+++ b/tests/support/replay_state.py
@@ -0,0 +1,91 @@
+"""What the environment of a replay remembers: the text of the actions, and what has to be followed up."""
+
+from dataclasses import dataclass, field
+
+from wheatstile import interface as api
+from wheatstile.simulator.wire import timer_text
+
+
+@dataclass
+class Session:
+    """One request, or the open connection that it became."""
+
+    id: str
+    key: str
+    attempt: int = 0
+    server: str = ""  # of the attempt in flight or of the open connection; empty: none
+    established: bool = False
+
+
+@dataclass(frozen=True, order=True)
+class ReplayTimer:
+    """A timer that has not fired; ordered by its due time."""
+
+    due_us: int
+    number: int
+    token: api.TimerToken = field(compare=False)
+
+
+class ReplayState:
+    """The actions of one instance as text, its open sessions, pending health checks and timers."""
+
+    def __init__(self) -> None:
+        self.lines: list[str] = []
+        self.sessions: dict[str, Session] = {}
+        self.migrated_keys: list[str] = []
+        self.pending_checks: list[str] = []
+        self._timers: list[ReplayTimer] = []
+
+    def record(self, now_us: int, actions: list[api.Action]) -> None:
+        """Writes the actions down, and remembers what they ask for."""
+        for action in actions:
+            self.lines.append(f"{now_us} {self._text(action)}")
+            self._remember(now_us, action)
+
+    def take_due_timers(self, now_us: int) -> list[ReplayTimer]:
+        """Removes and returns the timers that are due, in the order of their due times."""
+        due = sorted(timer for timer in self._timers if timer.due_us <= now_us)
+        self._timers = [timer for timer in self._timers if timer.due_us > now_us]
+        return due
+
+    def attempting(self) -> list[Session]:
+        """Returns the sessions with an attempt in flight."""
+        return [session for session in self.sessions.values() if session.server and not session.established]
+
+    def established(self) -> list[Session]:
+        """Returns the open sessions."""
+        return [session for session in self.sessions.values() if session.established]
+
+    def _remember(self, now_us: int, action: api.Action) -> None:
+        match action:
+            case api.StartAttempt():
+                self.sessions[action.id].server = action.server
+            case api.Reject() | api.Fail():
+                self.sessions.pop(action.id)
+            case api.Migrate():
+                self.migrated_keys.append(self.sessions.pop(action.id).key)
+            case api.CheckHealth():
+                self.pending_checks.append(action.server)
+            case api.SetTimer():
+                due_us = now_us + action.delay_us
+                self._timers.append(ReplayTimer(due_us, len(self.lines), action.token))
+
+    @staticmethod
+    def _text(action: api.Action) -> str:
+        words: list[object]
+        match action:
+            case api.StartAttempt():
+                words = ["attempt", action.id, action.server, action.timeout_us]
+            case api.Reject():
+                words = ["reject", action.id, action.retry_after_us]
+            case api.Fail():
+                words = ["fail", action.id]
+            case api.Migrate():
+                words = ["migrate", action.id]
+            case api.CheckHealth():
+                words = ["check", action.server]
+            case api.SetTimer():
+                words = ["timer", action.delay_us, timer_text(action.token)]
+            case api.WatchEndpoints():
+                words = ["watch"]
+        return " ".join(map(str, words))
