--- a/tests/resolvers/test_atomic_write.py
+++ b/tests/resolvers/test_atomic_write.py
@@ -1,4 +1,4 @@
-"""Files replaced as a whole, also by a writer that is killed or whose disk is full."""
+"""Atomic replacement of files, also by a writer that is killed or whose disk is full."""
 
 import os
 import signal
@@ -35,18 +35,21 @@
     ("script", "status", "leftover_files"),
     [(KILLED_WRITER, -signal.SIGKILL, 1), (WRITER_ON_FULL_DISK, 1, 0)],
 )
-def test_write_that_ends_early_leaves_the_old_file(
+def test_write_that_fails_leaves_the_old_file_and_the_next_write_removes_temporary_files(
     tmp_path: Path, script: str, status: int, leftover_files: int
 ) -> None:
     path = tmp_path / "f"
     write_atomic(path, b"old")
+
     run = subprocess.run(
         [sys.executable, "-c", script, str(path)], cwd=ROOT, capture_output=True, text=True, check=False
     )
+
     assert run.returncode == status, run.stderr
     assert path.read_bytes() == b"old"
     assert len(os.listdir(tmp_path)) == 1 + leftover_files
-    write_atomic(path, b"next")  # and removes what the dead writer left
+
+    write_atomic(path, b"next")
     assert path.read_bytes() == b"next"
     assert os.listdir(tmp_path) == ["f"]
     assert stat.S_IMODE(path.stat().st_mode) == 0o644
--- a/tests/resolvers/test_canonical_json.py
+++ b/tests/resolvers/test_canonical_json.py
@@ -1,4 +1,4 @@
-"""Canonical JSON: the faster encoder writes what the RFC's own library writes."""
+"""Canonical JSON: the output is that of the reference library, with either encoder."""
 
 from typing import Any
 
@@ -18,12 +18,12 @@
 
 
 @given(JSON)
-def test_any_value_has_the_canonical_form_of_the_rfc(value: Any) -> None:
+def test_any_value_is_encoded_as_by_the_reference_library(value: Any) -> None:
     assert canonical_json(value) == rfc8785.dumps(value)
-    beside_plain_object = [value, {"a": 0.001, "b": 2.5, "c": 999999.25, "d": -1, "e": 1.0}]
-    assert canonical_json(beside_plain_object) == rfc8785.dumps(beside_plain_object)
+    with_plain_object = [value, {"a": 0.001, "b": 2.5, "c": 999999.25, "d": -1, "e": 1.0}]
+    assert canonical_json(with_plain_object) == rfc8785.dumps(with_plain_object)
 
 
 @given(st.dictionaries(st.text("abz~é", max_size=3), st.floats(0, 1e7) | st.text('ab"\\/\x7f é', max_size=3)))
-def test_rows_have_the_canonical_form_of_the_rfc(row: dict[str, Any]) -> None:
+def test_rows_are_encoded_as_by_the_reference_library(row: dict[str, Any]) -> None:
     assert canonical_json([row]) == rfc8785.dumps([row])
--- a/tests/resolvers/test_endpoint_file.py
+++ b/tests/resolvers/test_endpoint_file.py
@@ -1,4 +1,4 @@
-"""Endpoint files as bytes: what is accepted, and what is rejected with its place."""
+"""Parsing of endpoint files: which are accepted, and which are rejected with a line and a reason."""
 
 import contextlib
 import json
@@ -16,7 +16,7 @@
 
 
 def rejection(document: JsonObject | bytes, rules: EndpointFileRules = RULES) -> list[str]:
-    """The violations for which this document is rejected, as lines with their places."""
+    """Return the lines of the error for which this document is rejected."""
     data = document if isinstance(document, bytes) else json.dumps(document, indent=1).encode()
     with pytest.raises(ConfigurationError) as error:
         parse_endpoint_file("f", data, rules)
@@ -24,7 +24,7 @@
 
 
 def two_servers(**changes: object) -> JsonObject:
-    """A document of two servers, with these changes to the first one."""
+    """Return a document of two servers, with these changes to the first one."""
     first = endpoint_rows("x")[0] | changes
     return {"servers": [first, *endpoint_rows("y", address="127.0.0.1:1")]}
 
@@ -80,19 +80,21 @@
 
 
 @pytest.mark.parametrize(("document", "reason"), REJECTED_DOCUMENTS)
-def test_invalid_file_is_rejected_with_place_and_reason(document: JsonObject | bytes, reason: str) -> None:
+def test_invalid_file_is_rejected_with_location_and_reason(document: JsonObject | bytes, reason: str) -> None:
     lines = rejection(document)
     assert any(reason in line for line in lines), lines
 
 
 def test_all_violations_of_all_servers_are_reported() -> None:
     servers = [*endpoint_rows("x", weight="1", address="y"), *endpoint_rows("x", state="z")]
+
     assert len(rejection({"servers": servers, "generation": "7"})) == 5
 
 
 def test_seal_can_be_required_and_site_exempted() -> None:
     document: JsonObject = {"servers": endpoint_rows("x"), "sites": ["a", "b"]}
     strict = EndpointFileRules.from_settings(Servers(require_seal=True, may_be_empty=["b"]))
+
     assert "/seal: is missing" in rejection(document, strict)[0]
     parsed = parse_endpoint_file("f", sealed_document(document), strict)
     assert parsed.sealed
@@ -119,12 +121,15 @@
     after = sealed_document(new)
     cut = data.draw(st.integers(0, max(len(before), len(after))))
     mixture = after[:cut] + before[cut:]
+
     with contextlib.suppress(ConfigurationError):
         assert parse_endpoint_file("f", mixture, RULES).digest in (digest_of(old), digest_of(new))
 
 
 @given(VALID_DOCUMENTS, st.data())
-def test_damaged_bytes_raise_no_other_error(document: JsonObject, data: st.DataObject) -> None:
+def test_damaged_bytes_are_parsed_or_raise_configuration_error(
+    document: JsonObject, data: st.DataObject
+) -> None:
     damaged = bytearray(sealed_document(document))
     for _ in range(data.draw(st.integers(1, 4))):
         start = data.draw(st.integers(0, len(damaged) - 1))
@@ -141,6 +146,8 @@
 
 def test_digest_does_not_depend_on_how_the_file_is_written() -> None:
     document: JsonObject = {"generation": 3, "servers": endpoint_rows("x")}
+
     reordered = {key: document[key] for key in reversed(document)}
     data = json.dumps(reordered, indent=3).encode()
+
     assert parse_endpoint_file("f", data, RULES).digest == digest_of(document)
--- a/tests/resolvers/test_endpoint_file_reader.py
+++ b/tests/resolvers/test_endpoint_file_reader.py
@@ -1,8 +1,9 @@
-"""The reader of the endpoint file: it never blocks, and never takes half a file or a mixture of two."""
+"""The reader of the endpoint file: it does not block, and accepts no part of a file or mixture of two."""
 
 import json
 import os
-from collections.abc import Callable
+from collections.abc import Callable, Iterator
+from contextlib import ExitStack
 from pathlib import Path
 
 import pytest
@@ -13,9 +14,11 @@
 
 SETTLE_TIME_S = 1.0
 
+MakeReader = Callable[[Path], EndpointFileReader]
+
 
 class ManualClock:
-    """A clock that the test moves, in seconds."""
+    """A clock in seconds, which the test advances."""
 
     now_s = 0.0
 
@@ -29,8 +32,22 @@
 
 
 @pytest.fixture
-def reader(tmp_path: Path, clock: ManualClock) -> EndpointFileReader:
-    return EndpointFileReader(tmp_path / "s.json", RULES, SETTLE_TIME_S, clock)
+def make_reader(clock: ManualClock) -> Iterator[MakeReader]:
+    """Create readers of endpoint files; their descriptors are closed at the end of the test."""
+    with ExitStack() as readers:
+
+        def make(path: Path) -> EndpointFileReader:
+            reader = EndpointFileReader(path, RULES, SETTLE_TIME_S, clock)
+            readers.callback(reader.close)
+            return reader
+
+        yield make
+
+
+@pytest.fixture
+def reader(tmp_path: Path, make_reader: MakeReader) -> EndpointFileReader:
+    """A reader of s.json, which does not exist yet."""
+    return make_reader(tmp_path / "s.json")
 
 
 def unsealed_text(*names: str) -> str:
@@ -38,6 +55,7 @@
 
 
 def server_names(result: ReadResult) -> set[str]:
+    """Return the servers of a result, which must be COMPLETE."""
     assert result.endpoint_file
     return set(result.endpoint_file.servers)
 
@@ -49,7 +67,8 @@
     assert reader.poll().outcome is ReadOutcome.UNSETTLED
     clock.now_s = 0.9
     assert reader.poll().outcome is ReadOutcome.UNSETTLED
-    reader.path.write_text(unsealed_text("x", "y"))  # in place: it has to settle anew
+
+    reader.path.write_text(unsealed_text("x", "y"))  # restarts the settle time
     clock.now_s = 1.1
     assert reader.poll().outcome is ReadOutcome.UNSETTLED
     clock.now_s = 2.1
@@ -57,7 +76,7 @@
     assert reader.poll().outcome is ReadOutcome.UNCHANGED
 
 
-def test_file_that_is_replaced_without_end_is_still_accepted(
+def test_file_that_is_replaced_continuously_is_still_accepted(
     reader: EndpointFileReader, clock: ManualClock
 ) -> None:
     accepted: list[str] = []
@@ -79,6 +98,7 @@
     assert reader.poll().outcome is ReadOutcome.UNSETTLED
     clock.now_s = 1.1
     assert reader.poll().outcome is ReadOutcome.INVALID
+
     reader.path.write_bytes(data)
     assert reader.poll().outcome is ReadOutcome.COMPLETE
 
@@ -101,11 +121,12 @@
 @pytest.mark.parametrize(
     ("make", "reason"), [(os.mkdir, "a directory"), (os.mkfifo, "a FIFO"), (None, "No such file")]
 )
-def test_what_is_no_regular_file_is_reported_without_blocking(
+def test_path_without_regular_file_is_reported_without_blocking(
     reader: EndpointFileReader, make: Callable[[Path], None] | None, reason: str
 ) -> None:
     if make:
         make(reader.path)
+
     result = reader.poll()
     assert result.outcome is ReadOutcome.UNREADABLE
     assert reason in result.reasons[0]
@@ -114,27 +135,28 @@
 def test_device_and_file_without_permission_are_reported(reader: EndpointFileReader) -> None:
     os.symlink("/dev/null", reader.path)
     assert "a device" in reader.poll().reasons[0]
+
     reader.path.unlink()
     reader.path.write_text(unsealed_text("x"))
     reader.path.chmod(0)
-    if os.geteuid():  # root reads all
+    if os.geteuid():  # root may read every file
         assert "denied" in reader.poll().reasons[0]
 
 
-def test_folder_swapped_by_its_link_is_followed(tmp_path: Path, clock: ManualClock) -> None:
+def test_folder_that_is_replaced_by_its_link_is_followed(tmp_path: Path, make_reader: MakeReader) -> None:
     for name in ("one", "two"):
         (tmp_path / name).mkdir()
         (tmp_path / name / "s.json").write_bytes(sealed_document({"servers": endpoint_rows(name)}))
     link = tmp_path / "current"
     link.symlink_to("one")
-    reader = EndpointFileReader(link / "s.json", RULES, SETTLE_TIME_S, clock)
+    reader = make_reader(link / "s.json")
     assert server_names(reader.poll()) == {"one"}
+
     (tmp_path / "new").symlink_to("two")
     os.replace(tmp_path / "new", link)
     assert server_names(reader.poll()) == {"two"}
 
 
-def test_ring_of_links_is_unreadable(tmp_path: Path, clock: ManualClock) -> None:
-    (tmp_path / "ring").symlink_to("ring")
-    reader = EndpointFileReader(tmp_path / "ring", RULES, SETTLE_TIME_S, clock)
-    assert reader.poll().outcome is ReadOutcome.UNREADABLE
+def test_symbolic_link_to_itself_is_unreadable(tmp_path: Path, make_reader: MakeReader) -> None:
+    (tmp_path / "loop").symlink_to("loop")
+    assert make_reader(tmp_path / "loop").poll().outcome is ReadOutcome.UNREADABLE
--- a/tests/resolvers/test_last_known_good.py
+++ b/tests/resolvers/test_last_known_good.py
@@ -1,4 +1,4 @@
-"""The copy in the state directory: what an older version wrote is read back as it was written."""
+"""The stored copy: files that an older version wrote can be read, and the format is unchanged."""
 
 from pathlib import Path
 
@@ -35,22 +35,24 @@
 )
 
 
-def test_a_file_of_format_1_is_read_back() -> None:
+def test_file_of_format_1_is_restored() -> None:
     restored = last_known_good.restore(FORMAT_1, RULES)
+
     assert restored
     assert restored.accepted_at_ms == SAVED_AT_MS
     assert restored.endpoint_file == SAVED
 
 
-def test_what_is_saved_today_is_byte_for_byte_a_file_of_format_1(tmp_path: Path) -> None:
+def test_saved_file_is_byte_for_byte_a_file_of_format_1(tmp_path: Path) -> None:
     last_known_good.save(tmp_path, SAVED, SAVED_AT_MS)
+
     written = (tmp_path / "servers-last-good.json").read_bytes()
     assert written == (FORMAT_1 / "servers-last-good.json").read_bytes()
 
 
-def test_the_keys_of_format_1_stay() -> None:
-    path = FORMAT_1 / "servers-last-good.json"
-    saved = msgspec.json.decode(path.read_bytes())
+def test_keys_of_format_1_are_unchanged() -> None:
+    saved = msgspec.json.decode((FORMAT_1 / "servers-last-good.json").read_bytes())
+
     assert set(saved) == {"form", "taken_at_ms", "digest", "document", "seal"}
     assert set(saved["document"]) == {"servers", "sites", "generation"}
     for row in saved["document"]["servers"]:
--- a/tests/resolvers/test_merge.py
+++ b/tests/resolvers/test_merge.py
@@ -1,4 +1,4 @@
-"""The merged list: what each source decides, and what must hold whatever happens in whatever order."""
+"""The merged list: what each source decides, and invariants over random sequences of events."""
 
 from dataclasses import dataclass
 
@@ -17,7 +17,7 @@
 GONE = api.EndpointState.GONE
 
 
-def test_file_decides_on_weight_and_address_and_discovery_on_drains_and_starts() -> None:
+def test_file_sets_weight_and_address_and_discovery_sets_drains_and_start_times() -> None:
     scenario = MergeScenario(merge_policy(MergeMode.MERGE))
     scenario.file_endpoints = {
         "a": resolved_endpoint("a", weight=5.0, address=("127.0.0.1", 1)),
@@ -31,6 +31,7 @@
     }
     scenario.discovery.apply_update(scenario.now_us, update, api.EndpointUpdateKind.FULL)
     scenario.merge()
+
     assert scenario.merged["a"].resolved.endpoint == api.Endpoint("a", READY, "here", 0, 5.0, 77)
     assert scenario.merged["a"].resolved.address == ("127.0.0.1", 1)
     assert scenario.ready() == "acd"
@@ -76,7 +77,7 @@
 
 
 class DecisionModuleView:
-    """The list of servers as the decision module has it: only from the changes that it was sent."""
+    """The list of servers that the decision module has, built only from the changes that it receives."""
 
     def __init__(self, merged: dict[str, MergedEndpoint]) -> None:
         self.endpoints = {name: endpoint.resolved for name, endpoint in merged.items()}
@@ -95,7 +96,7 @@
 
 
 def perform(scenario: MergeScenario, view: DecisionModuleView, step: Step) -> list[ResolvedEndpoint]:
-    """Do the step; returns the changes that merges within it made, which the view does not have yet."""
+    """Perform the step. Return the changes of merges within it, which the view has not received yet."""
     before = dict(scenario.merged)
     match step:
         case DiscoveryUpdates(kind, states):
@@ -112,6 +113,29 @@
     return []
 
 
+def check_unavailable_servers_are_not_ready(scenario: MergeScenario, view: DecisionModuleView) -> None:
+    """Check that no server is ready that discovery last reported draining or gone."""
+    assert not view.ready() & scenario.unavailable
+
+
+def check_merged_list(scenario: MergeScenario, view: DecisionModuleView) -> None:
+    """Check the merged list after its changes have been sent."""
+    assert not set(scenario.ready()) & scenario.unavailable
+    # The changes that the decision module received add up to the merged list.
+    merged = {name: endpoint.resolved for name, endpoint in scenario.merged.items()}
+    assert view.present() == merged
+    assert all(endpoint.reason for endpoint in scenario.merged.values())
+
+
+def check_selection(scenario: MergeScenario, mode: MergeMode) -> None:
+    """Check the source in force in the modes in which it does not depend on discovery."""
+    assert scenario.selection
+    assert scenario.selection.reason
+    if scenario.file_endpoints and mode is not MergeMode.FALLBACK:
+        expected = EndpointSource.FILE if mode is MergeMode.OVERRIDE else EndpointSource.BOTH
+        assert scenario.selection.source is expected
+
+
 @settings(max_examples=300, deadline=None)
 @given(st.sampled_from(MergeMode), st.lists(STEPS, max_size=25))
 def test_invariants_hold_after_every_step(mode: MergeMode, steps: list[Step]) -> None:
@@ -120,19 +144,10 @@
     for step in steps:
         before = dict(scenario.merged)
         changes = perform(scenario, view, step)
-        # At once, whichever source is in force: no new connections where discovery wants none.
-        assert not view.ready() & scenario.unavailable
+        check_unavailable_servers_are_not_ready(scenario, view)
         view.apply(changes)
         view.apply(scenario.merge())
-        assert not set(scenario.ready()) & scenario.unavailable
-        # No server is cut off because the source changed: only discovery ends one.
+        check_merged_list(scenario, view)
+        check_selection(scenario, mode)
+        # A change of the source removes no server: only discovery does.
         assert all(name in scenario.merged or name in scenario.discovery.gone for name in before)
-        # What the decision module was sent in changes is the merged list.
-        merged = {name: endpoint.resolved for name, endpoint in scenario.merged.items()}
-        assert view.present() == merged
-        assert scenario.selection
-        assert scenario.selection.reason
-        assert all(endpoint.reason for endpoint in scenario.merged.values())
-        if scenario.file_endpoints and mode is not MergeMode.FALLBACK:
-            expected = EndpointSource.FILE if mode is MergeMode.OVERRIDE else EndpointSource.BOTH
-            assert scenario.selection.source is expected
--- a/tests/resolvers/test_problem_reporter.py
+++ b/tests/resolvers/test_problem_reporter.py
@@ -1,4 +1,4 @@
-"""Problems with the endpoint file: each is counted, and logged once a minute while it stays the same."""
+"""Problems with the endpoint file: each one is counted, and one that persists is logged once a minute."""
 
 from collections import Counter
 
@@ -11,6 +11,7 @@
     counters: Counter[str] = Counter()
     now_s = 100.0
     reporter = ProblemReporter(counters, lambda: now_s)
+
     with capture_logs() as logged:
         reporter.report_rejected(["reason"])
         reporter.report_rejected(["reason"])
@@ -21,16 +22,19 @@
         reporter.report_unreadable(["reason"])
         reporter.reset()
         reporter.report_unreadable(["reason"])
-    assert [entry["event"] for entry in logged] == ["endpoint_file_rejected"] * 2 + [
-        "endpoint_file_unreadable"
-    ] * 2
+
+    rejected_events = ["endpoint_file_rejected"] * 2
+    unreadable_events = ["endpoint_file_unreadable"] * 2
+    assert [entry["event"] for entry in logged] == rejected_events + unreadable_events
     assert counters == {"endpoint_file_rejected": 3, "endpoint_file_unreadable": 2}
 
 
-def test_long_list_of_reasons_is_cut_and_counted() -> None:
+def test_long_list_of_reasons_is_truncated_and_counted() -> None:
     reporter = ProblemReporter(Counter(), lambda: 0.0)
+
     with capture_logs() as logged:
         reporter.report_approval_required([f"reason {number}" for number in range(50)], "xxh3-128:1")
+
     assert len(logged[0]["reasons"]) == MAX_LOGGED_REASONS
     assert logged[0]["violations"] == 50
     assert logged[0]["digest"] == "xxh3-128:1"
--- a/tests/resolvers/test_source_selection.py
+++ b/tests/resolvers/test_source_selection.py
@@ -1,4 +1,4 @@
-"""Which source is in force, as discovery falls silent, answers and flaps."""
+"""The source in force when discovery is silent, answers and flaps."""
 
 from support.merge_scenario import MergeScenario, merge_policy, resolved_endpoint
 
@@ -9,24 +9,28 @@
 def test_file_takes_over_from_silent_discovery_until_discovery_answers() -> None:
     scenario = MergeScenario(merge_policy(), cached="ab")
     scenario.file_endpoints = {"c": resolved_endpoint("c")}
+
     assert scenario.advance(9, discovery_reports=False) == EndpointSource.DISCOVERY
     assert scenario.ready() == "ab"
+
     assert scenario.advance(2, discovery_reports=False) == EndpointSource.FILE
     assert scenario.ready() == "c"
-    # The connections of discovery's servers stay where they are.
+    # Discovery's servers keep their connections.
     assert scenario.merged["a"].resolved.endpoint.state == api.EndpointState.DRAINING
+
     assert scenario.advance(1) == EndpointSource.DISCOVERY
     assert scenario.ready() == "ab"
 
 
-def test_file_is_in_force_at_once_without_any_list_from_discovery() -> None:
+def test_file_is_in_force_at_once_if_discovery_has_reported_nothing() -> None:
     scenario = MergeScenario(merge_policy())
     scenario.file_endpoints = {"c": resolved_endpoint("c")}
+
     assert scenario.advance(0.1, discovery_reports=False) == EndpointSource.FILE
     assert scenario.ready() == "c"
 
 
-def test_flapping_discovery_has_to_answer_for_longer_each_time_up_to_a_bound() -> None:
+def test_flapping_discovery_must_answer_for_longer_each_time_up_to_a_maximum() -> None:
     scenario = MergeScenario(merge_policy(recovery_delay_s=2), cached="a")
     scenario.file_endpoints = {"b": resolved_endpoint("b")}
     recovery_times_s = []
@@ -37,5 +41,6 @@
         while scenario.advance(1) == EndpointSource.FILE:
             waited_s += 1
         recovery_times_s.append(waited_s)
+
     assert recovery_times_s[:4] == [0, 2, 4, 8]
     assert max(recovery_times_s) <= 2 * MAX_RECOVERY_FACTOR
--- a/tests/resolvers/test_update_guard.py
+++ b/tests/resolvers/test_update_guard.py
@@ -16,6 +16,7 @@
 
 
 def endpoint_file(names: str, generation: int | None = None, site: str = "a") -> EndpointFile:
+    """Return a file with one server for each letter."""
     value: dict[str, object] = {"servers": endpoint_rows(*names, site=site)}
     if generation is not None:
         value["generation"] = generation
@@ -23,6 +24,7 @@
 
 
 def active_endpoints(active_file: EndpointFile | None, *sites: str) -> ActiveEndpoints:
+    """Return the endpoints of this file, as serving these sites."""
     ready = active_file.ready_names() if active_file else frozenset()
     return ActiveEndpoints(active_file, sites, ready)
 
@@ -46,13 +48,14 @@
     candidate: EndpointFile, active: EndpointFile, outcome: EvaluationOutcome, reason: str
 ) -> None:
     evaluation = evaluate(candidate, active_endpoints(active, "a"), None, NOTHING_ACCEPTED, RULES)
+
     assert evaluation.outcome is outcome
     assert reason in " ".join(evaluation.reasons)
     assert evaluation.is_blocked == (outcome in (AWAITING_APPROVAL, REJECTED))
 
 
 @pytest.mark.parametrize(("served_sites", "outcome"), [(("a",), ACCEPTED), (("a", "b"), REJECTED)])
-def test_first_file_has_to_keep_the_served_sites(
+def test_first_file_must_keep_the_served_sites(
     served_sites: tuple[str, ...], outcome: EvaluationOutcome
 ) -> None:
     active = active_endpoints(None, *served_sites)
@@ -65,16 +68,21 @@
 @pytest.mark.parametrize(
     ("candidate", "accepted_digests", "outcome"),
     [
-        pytest.param(endpoint_file("a", 2), NOTHING_ACCEPTED, AWAITING_APPROVAL, id="the same once more"),
-        pytest.param(endpoint_file("a", 3), NOTHING_ACCEPTED, ACCEPTED, id="repeated by a newer generation"),
-        pytest.param(endpoint_file("b", 3), NOTHING_ACCEPTED, AWAITING_APPROVAL, id="another change"),
-        pytest.param(endpoint_file("a", 2), frozenset([PENDING_DIGEST]), ACCEPTED, id="accepted by name"),
+        pytest.param(endpoint_file("a", 2), NOTHING_ACCEPTED, AWAITING_APPROVAL, id="same file"),
+        pytest.param(endpoint_file("a", 3), NOTHING_ACCEPTED, ACCEPTED, id="repeated by newer generation"),
+        pytest.param(endpoint_file("b", 3), NOTHING_ACCEPTED, AWAITING_APPROVAL, id="different removal"),
+        pytest.param(
+            endpoint_file("a", 2), frozenset([PENDING_DIGEST]), ACCEPTED, id="accepted by its digest"
+        ),
         pytest.param(
-            endpoint_file("b", 3), frozenset([PENDING_DIGEST]), AWAITING_APPROVAL, id="another is accepted"
+            endpoint_file("b", 3),
+            frozenset([PENDING_DIGEST]),
+            AWAITING_APPROVAL,
+            id="another digest accepted",
         ),
     ],
 )
-def test_pending_removal_is_approved_by_a_newer_generation_or_by_name(
+def test_pending_removal_is_approved_by_a_newer_generation_or_by_its_digest(
     candidate: EndpointFile, accepted_digests: frozenset[str], outcome: EvaluationOutcome
 ) -> None:
     active = active_endpoints(endpoint_file("abcd", 1), "a")
--- a/tests/support/merge_scenario.py
+++ b/tests/support/merge_scenario.py
@@ -1,4 +1,4 @@
-"""Discovery, an endpoint file and the merged list, driven by a test step by step."""
+"""Selects and merges discovery and an endpoint file as a test changes them, with a clock of its own."""
 
 from typing import Any
 
@@ -7,6 +7,7 @@
 from wheatstile.resolvers import merge
 from wheatstile.resolvers.discovery_state import DiscoveryState
 from wheatstile.resolvers.merge import MergedEndpoint
+from wheatstile.resolvers.ready_endpoints import ready_names
 from wheatstile.resolvers.source_selection import (
     MICROSECONDS_PER_SECOND,
     EndpointSource,
@@ -17,24 +18,27 @@
 )
 
 SERVER_NAMES = "abcde"
+DISCOVERY_TIMEOUT_S = 10
 
 
 def resolved_endpoint(
     name: str, state: api.EndpointState = api.EndpointState.READY, **changes: Any
 ) -> ResolvedEndpoint:
-    """A server in site "here", at a port of its own; without an address if it is gone."""
+    """Return a server in site "here", at a port of its own; without an address if it is gone."""
     default_address = None if state == api.EndpointState.GONE else ("127.0.0.1", 9000 + ord(name))
     address = changes.pop("address", default_address)
     return ResolvedEndpoint(api.Endpoint(name, state, "here", **changes), address)
 
 
 def merge_policy(mode: MergeMode = MergeMode.FALLBACK, recovery_delay_s: int = 30) -> MergePolicy:
-    """A policy by which discovery is lost after 10 s of silence."""
-    return MergePolicy(mode, 10 * MICROSECONDS_PER_SECOND, recovery_delay_s * MICROSECONDS_PER_SECOND)
+    """Return a policy by which the file replaces discovery after DISCOVERY_TIMEOUT_S of silence."""
+    return MergePolicy(
+        mode, DISCOVERY_TIMEOUT_S * MICROSECONDS_PER_SECOND, recovery_delay_s * MICROSECONDS_PER_SECOND
+    )
 
 
 class MergeScenario:
-    """A merge whose sources and time are set by the test."""
+    """The state of one merge. `cached` names the servers of the list in the platform's file."""
 
     def __init__(self, policy: MergePolicy, cached: str = "") -> None:
         self.now_us = 1000 * MICROSECONDS_PER_SECOND
@@ -43,14 +47,14 @@
         self.file_endpoints: dict[str, ResolvedEndpoint] = {}
         self.merged: dict[str, MergedEndpoint] = {}
         self.selection: SourceSelection | None = None
-        self.unavailable: set[str] = set()  # servers that discovery wants no new connections for
+        self.unavailable: set[str] = set()  # servers that discovery last reported draining or gone
         if cached:
             update = {name: resolved_endpoint(name) for name in cached}
             self.discovery.apply_update(self.now_us, update, api.EndpointUpdateKind.CACHED)
         self.merge()
 
     def merge(self) -> list[ResolvedEndpoint]:
-        """Select and merge; returns what changed."""
+        """Select the source and merge. Return what changed."""
         self.selection = select_source(
             self.now_us, self.policy, self.discovery, bool(self.file_endpoints), self.selection
         )
@@ -64,7 +68,7 @@
     def update_discovery(
         self, kind: api.EndpointUpdateKind, states: dict[str, api.EndpointState]
     ) -> list[ResolvedEndpoint]:
-        """Discovery reports these states; returns the servers to withdraw from this instant on."""
+        """Record a report of discovery with these states. Return the servers to withdraw at once."""
         update = {name: resolved_endpoint(name, state) for name, state in states.items()}
         reported = self.discovery.apply_update(self.now_us, update, kind)
         reported_names = {resolved.endpoint.name for resolved in reported}
@@ -76,7 +80,7 @@
         return merge.withdrawn_endpoints(self.merged, reported)
 
     def advance(self, seconds: float, discovery_reports: bool = True) -> EndpointSource:
-        """Let time pass, a merge each second; returns the source in force at the end."""
+        """Advance the clock, and merge each second. Return the source in force at the end."""
         end_us = self.now_us + int(seconds * MICROSECONDS_PER_SECOND)
         while self.now_us < end_us:
             self.now_us = min(end_us, self.now_us + MICROSECONDS_PER_SECOND)
@@ -87,5 +91,5 @@
         return self.selection.source
 
     def ready(self) -> str:
-        """The names of the ready servers, sorted and joined."""
-        return "".join(sorted(merge.ready_names(self.merged)))
+        """Return the names of the ready servers, sorted and joined."""
+        return "".join(sorted(ready_names(merge.listed_endpoints(self.merged))))
--- a/tests/support/servers_section.py
+++ b/tests/support/servers_section.py
@@ -1,7 +1,9 @@
-"""A decision loop with the `servers` section on, in the test's process and without sockets."""
+"""The `servers` section, running in the test's process and without sockets."""
 
 import asyncio
 import json
+from collections.abc import AsyncIterator
+from contextlib import asynccontextmanager
 from pathlib import Path
 
 from support.balancer_harness import settings
@@ -14,10 +16,14 @@
 from wheatstile.resolvers.section import ServersSection
 
 UNUSED_ADDRESS = ("127.0.0.1", 1)
+POLL_INTERVAL_S = 0.01
 
 
 class ServersSectionHarness:
-    """Follows the endpoint file s.json in a folder; every removal is allowed."""
+    """A decision loop and a section in mode merge, which follows s.json in a folder and allows every removal.
+
+    The constructor starts the section's task in the running event loop; `running_servers_section` ends it.
+    """
 
     def __init__(self, folder: Path) -> None:
         self.decisions = DecisionLoop(settings(), 1)
@@ -31,11 +37,21 @@
         self.section.follow(OperatorFile(folder / "op", operator))
 
     def ready(self) -> set[str]:
-        """The servers that the decision module may pick."""
+        """Return the servers that the decision module may pick."""
         return {server.endpoint.name for server in self.decisions.balancer.state.ready}
 
     async def wait_until_ready(self, *names: str) -> None:
-        """Wait until these servers and no others are ready. Raises TimeoutError after TIMEOUT_S."""
+        """Wait until exactly these servers are ready. Raises TimeoutError after TIMEOUT_S."""
         async with asyncio.timeout(TIMEOUT_S):
             while self.ready() != set(names):
-                await asyncio.sleep(0.01)
+                await asyncio.sleep(POLL_INTERVAL_S)
+
+
+@asynccontextmanager
+async def running_servers_section(folder: Path) -> AsyncIterator[ServersSectionHarness]:
+    """Run a section that follows s.json in this folder, until the end of the block."""
+    harness = ServersSectionHarness(folder)
+    try:
+        yield harness
+    finally:
+        harness.section.close()
--- a/wheatstile/resolvers/__init__.py
+++ b/wheatstile/resolvers/__init__.py
@@ -1,4 +1,4 @@
-"""Servers named in a watched endpoint file: read, compared with the active endpoints, merged with discovery.
+"""Endpoint files: read, compared with the active endpoints, and merged with discovery.
 
-Off unless the operator's file names an endpoint file; nothing of it is imported then.
+The package is imported only if the operator's file names an endpoint file.
 """
--- a/wheatstile/resolvers/atomic_write.py
+++ b/wheatstile/resolvers/atomic_write.py
@@ -1,4 +1,4 @@
-"""Replaces files as a whole or not at all. May block: call it off the event loop."""
+"""Replaces files atomically. May block: call it in a thread."""
 
 import contextlib
 import fcntl
@@ -13,22 +13,22 @@
 
 
 def write_atomic(path: Path, data: bytes) -> None:
-    """Replace a file as a whole: write a temporary one beside it, fsync, rename, and fsync the folder.
+    """Replace a file atomically, and return once the new bytes are on disk.
 
-    After a crash at any point the name has the old bytes or the new ones; a temporary file may stay, which
-    the next call removes. Two writers at once do not mix their bytes.
+    After a crash at any point the file has the old bytes or the new ones. A temporary file may be left in the
+    folder, and the next call removes it. Two writers at once do not mix their bytes.
 
     Raises:
-        OSError: the file could not be replaced; the old one stays.
+        OSError: the file could not be replaced; it has the old bytes.
 
     """
     prefix = f".{path.name}."
-    for leftover in path.parent.glob(f"{glob.escape(prefix)}*{TEMPORARY_SUFFIX}"):
-        _remove_abandoned(leftover)
+    for temporary_path in path.parent.glob(f"{glob.escape(prefix)}*{TEMPORARY_SUFFIX}"):
+        _remove_if_abandoned(temporary_path)
     descriptor, temporary_name = tempfile.mkstemp(TEMPORARY_SUFFIX, prefix, path.parent)
     try:
         with _closing(descriptor):
-            # Locked for as long as its writer lives, so that no other writer takes it for abandoned.
+            # The lock ends with the writer's process. It keeps other writers from removing the file.
             fcntl.flock(descriptor, fcntl.LOCK_EX)
             os.fchmod(descriptor, FILE_MODE)
             _write_all(descriptor, data)
@@ -44,6 +44,7 @@
 
 @contextlib.contextmanager
 def _closing(descriptor: int) -> Iterator[int]:
+    """Close the descriptor at the end of the block."""
     try:
         yield descriptor
     finally:
@@ -57,12 +58,10 @@
         remaining = remaining[written:]
 
 
-def _open_to_lock(path: Path) -> int:
-    return os.open(path, os.O_RDONLY | os.O_NONBLOCK | os.O_CLOEXEC)
-
-
-def _remove_abandoned(path: Path) -> None:
-    """Remove a temporary file whose writer has died: its lock went with it."""
-    with contextlib.suppress(OSError), _closing(_open_to_lock(path)) as descriptor:
-        fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
-        path.unlink()
+def _remove_if_abandoned(path: Path) -> None:
+    """Remove a temporary file, unless its writer still locks it."""
+    with contextlib.suppress(OSError):
+        descriptor = os.open(path, os.O_RDONLY | os.O_NONBLOCK | os.O_CLOEXEC)
+        with _closing(descriptor):
+            fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
+            path.unlink()
--- a/wheatstile/resolvers/canonical_json.py
+++ b/wheatstile/resolvers/canonical_json.py
@@ -1,4 +1,7 @@
-"""Canonical JSON (RFC 8785) and the digest that seals a document. Pure: no input or output."""
+"""Encodes canonical JSON (RFC 8785), and computes the digest that seals a document.
+
+Pure: no input or output.
+"""
 
 import re
 from collections.abc import Mapping
@@ -12,19 +15,19 @@
 
 DIGEST_PREFIX = "xxh3-128:"
 SEAL_KEY = "seal"
-# Floats between these are written without an exponent by both encoders.
+# Both encoders write a float in this range without an exponent.
 MIN_PLAIN_FLOAT = 0.001
 MAX_PLAIN_FLOAT = 1e6
-MAX_EXACT_INTEGER = (1 << 53) - 1  # larger integers are not exact in a double, so the RFC rejects them
+MAX_EXACT_INTEGER = (1 << 53) - 1  # the RFC rejects larger integers: a double cannot represent all of them
 
-_is_plain_text = re.compile(r"[ !#-\[\]-~]*").fullmatch  # texts that every encoder writes alike
+_is_plain_text = re.compile(r"[ !#-\[\]-~]*").fullmatch  # ASCII without escapes: both encoders write the same
 
 
 def canonical_json(value: JsonValue) -> bytes:
     """Encode a JSON value in its canonical form.
 
-    The objects in a list, which make up nearly all of a long endpoint file, go through a faster encoder if it
-    writes the same for them; everything else goes through the RFC's own library.
+    Objects in a list are most of a long endpoint file. They are encoded by msgspec if its output is the same;
+    everything else is encoded by the slower reference library.
 
     Raises:
         rfc8785.CanonicalizationError: the value has no canonical form.
@@ -42,10 +45,10 @@
 
 
 def digest_of(document: Mapping[str, JsonValue]) -> str:
-    """Compute the digest that a seal states: XXH3-128 of the document in canonical JSON without its seal.
+    """Return the digest that a seal states: XXH3-128 of the canonical JSON of the document without its seal.
 
-    It tells a complete document from a damaged one. It is no signature: whoever can write the file can
-    seal it.
+    A wrong digest shows that a document is incomplete or damaged. The digest is not a signature: anyone who
+    can write the file can compute it.
 
     Raises:
         rfc8785.CanonicalizationError: the document has no canonical form.
@@ -56,12 +59,12 @@
 
 
 def _utf_16(key: str) -> bytes:
-    """Return the sort key of an object's key: the RFC sorts by UTF-16 code units."""
+    """Return the sort key of a member's name: the RFC sorts by UTF-16 code units."""
     return key.encode("utf-16-be")
 
 
 def _encode_plain_object(value: JsonValue) -> bytes | None:
-    """Encode an object of plain texts and everyday numbers canonically; None for anything else."""
+    """Return the canonical form of an object of plain scalars, encoded by msgspec; None for other values."""
     if not isinstance(value, dict):
         return None
     encodable: dict[str, str | int | float] = {}
@@ -74,10 +77,10 @@
 
 
 def _plain_scalar(value: JsonValue) -> str | int | float | None:
-    """Return a plain text or everyday number as the faster encoder has to write it, else None."""
+    """Return a text or number that msgspec writes canonically; None for other values."""
     if type(value) is str:
         return value if _is_plain_text(value) else None
-    if type(value) is int:  # and no bool, which is an int too
+    if type(value) is int:  # not isinstance(), which is true for a bool
         return value if abs(value) <= MAX_EXACT_INTEGER else None
     if type(value) is float and MIN_PLAIN_FLOAT <= value <= MAX_PLAIN_FLOAT:
         return int(value) if value.is_integer() else value  # the RFC writes 1.0 as 1
--- a/wheatstile/resolvers/endpoint_file.py
+++ b/wheatstile/resolvers/endpoint_file.py
@@ -1,6 +1,6 @@
-"""An endpoint file, parsed from bytes and checked; or every violation in it. Pure: no input or output."""
+"""Parses an endpoint file from bytes, or reports every violation in it. Pure: no input or output."""
 
-from collections.abc import Iterator, Mapping
+from collections.abc import Iterable, Iterator, Mapping
 from dataclasses import dataclass
 from typing import Annotated, Any
 
@@ -12,17 +12,21 @@
 from wheatstile.config.endpoints import ResolvedEndpoint
 from wheatstile.config.networks import Networks
 from wheatstile.config.operator import Servers
-from wheatstile.config.violations import ConfigurationError, Violation, load, locate
+from wheatstile.config.violations import ConfigurationError, Violation, load, locate, pointer
 from wheatstile.resolvers.canonical_json import DIGEST_PREFIX, SEAL_KEY, JsonValue, digest_of
 from wheatstile.resolvers.endpoint_rows import ParsedRows, parse_rows
+from wheatstile.resolvers.ready_endpoints import ready_names
 
-# Violations whose lines are looked up, which costs time: one cause may put a violation on every server.
+# Violations whose lines are looked up, which takes time. One mistake may cause a violation for every server.
 MAX_LOCATED_VIOLATIONS = 100
-MAX_SHOWN_SEAL = 40  # characters of a malformed seal
+MAX_SHOWN_SEAL = 40  # characters of a malformed seal in an error text
 
 
 class FileHeader(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """The file but for its servers, which are checked one by one; the fields are the file's keys."""
+    """The file without the contents of its servers, which are checked one by one.
+
+    The fields are the keys of the file.
+    """
 
     servers: list[Any]
     sites: list[Annotated[str, Meta(min_length=1)]] | None = None
@@ -32,19 +36,19 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointFileRules:
-    """The operator's limits for an endpoint file, from the `servers` section."""
+    """The operator's limits for an endpoint file."""
 
-    networks: Networks  # that addresses must lie in
+    networks: Networks  # allowed addresses
     max_servers: int
     max_bytes: int
     require_seal: bool
     min_ready_per_site: int
     sites_may_be_empty: frozenset[str]  # exempt from min_ready_per_site
-    max_removed_share: float  # of the ready servers, that one change may remove without approval; 0 to 1
+    max_removed_share: float  # share of the ready servers that one file may remove without approval; 0 to 1
 
     @classmethod
     def from_settings(cls, servers: Servers) -> "EndpointFileRules":
-        """Take the limits from the operator's file."""
+        """Build the rules from the `servers` section of the operator's file."""
         return cls(
             networks=Networks(servers.networks),
             max_servers=servers.most,
@@ -61,86 +65,90 @@
     """A complete endpoint file that keeps to the rules."""
 
     servers: Mapping[str, ResolvedEndpoint]  # by name
-    sites: tuple[str, ...] | None  # that must keep ready servers; None: the file names none
+    sites: tuple[str, ...] | None  # sites that must keep ready servers; None: the file names none
     generation: int | None
-    digest: str  # of the canonical form without the seal, as a seal states it
+    digest: str  # digest that a seal of this file states
     sealed: bool
 
+    def endpoints(self) -> Iterator[api.Endpoint]:
+        """Yield the servers without their addresses."""
+        return (resolved.endpoint for resolved in self.servers.values())
+
     def ready_names(self) -> frozenset[str]:
         """Return the names of the servers that may get new connections."""
-        return frozenset(
-            name
-            for name, resolved in self.servers.items()
-            if resolved.endpoint.state == api.EndpointState.READY
+        return ready_names(self.endpoints())
+
+
+@dataclass(frozen=True, slots=True)
+class SiteShortage:
+    """A site with fewer ready servers than the rules require."""
+
+    site: str
+    ready_count: int
+    min_ready: int
+
+    @property
+    def reason(self) -> str:
+        """The text of an error."""
+        return (
+            f'site "{self.site}" would keep {self.ready_count} ready servers; {self.min_ready} at least '
+            "(servers.least_per_site; servers.may_be_empty names exceptions)"
         )
 
 
+def site_shortages(
+    endpoint_file: EndpointFile, sites: Iterable[str], rules: EndpointFileRules
+) -> Iterator[SiteShortage]:
+    """Yield a shortage for each of these sites that the file would leave with too few ready servers."""
+    ready_counts = dict.fromkeys(sites, 0)
+    for endpoint in endpoint_file.endpoints():
+        if endpoint.is_ready and endpoint.zone in ready_counts:
+            ready_counts[endpoint.zone] += 1
+    for site, count in ready_counts.items():
+        if count < rules.min_ready_per_site and site not in rules.sites_may_be_empty:
+            yield SiteShortage(site, count, rules.min_ready_per_site)
+
+
 def parse_endpoint_file(
     file: str, data: bytes, rules: EndpointFileRules, check_seal: bool = True
 ) -> EndpointFile:
     """Parse the bytes of an endpoint file.
 
     Args:
-        file: its name, for the places of violations.
-        data: its bytes.
+        file: the file's name in error texts.
+        data: the file's bytes.
         rules: the operator's limits.
-        check_seal: False where the file is about to be sealed anew, or is part of a sealed document.
+        check_seal: False if the file is about to be sealed again, or is part of a sealed document.
 
     Raises:
-        ConfigurationError: with every violation and its place.
+        ConfigurationError: the file breaks a rule; it has every violation and its line.
 
     """
     text, value = load(file, data, rules.max_bytes)
     if not isinstance(value, dict):
         raise ConfigurationError(file, [Violation("", "is no object", 1)])
     rows = _parse_servers(value.get("servers"), rules)
-    violations = [*shape.find_violations(value, FileHeader), *rows.violations]
-    if violations:
-        raise _located_error(file, text, violations)
+    _raise_if_any(file, text, [*shape.find_violations(value, FileHeader), *rows.violations])
     endpoint_file = _build(value, rows)
     if check_seal:
-        violations += _seal_violations(value.get(SEAL_KEY), endpoint_file.digest, rules)
-    if not violations and endpoint_file.sites is not None:
-        violations += site_violations(endpoint_file, endpoint_file.sites, rules, named_by_file=True)
-    if violations:
-        raise _located_error(file, text, violations)
+        _raise_if_any(file, text, list(_seal_violations(value.get(SEAL_KEY), endpoint_file.digest, rules)))
+    _raise_if_any(file, text, _site_violations(endpoint_file, rules))
     return endpoint_file
 
 
-def site_violations(
-    endpoint_file: EndpointFile, sites: tuple[str, ...], rules: EndpointFileRules, named_by_file: bool = False
-) -> list[Violation]:
-    """Find the sites that this file would leave with too few ready servers.
-
-    named_by_file: the sites are those that the file names, so that a violation points at the site's name.
-    """
-    ready_counts = dict.fromkeys(sites, 0)
-    for resolved in endpoint_file.servers.values():
-        if resolved.endpoint.state == api.EndpointState.READY and resolved.endpoint.zone in ready_counts:
-            ready_counts[resolved.endpoint.zone] += 1
-    return [
-        Violation(
-            f"/sites/{sites.index(site)}" if named_by_file else "/servers",
-            f'site "{site}" would keep {count} ready servers; {rules.min_ready_per_site} at least '
-            "(servers.least_per_site; servers.may_be_empty names exceptions)",
-        )
-        for site, count in ready_counts.items()
-        if count < rules.min_ready_per_site and site not in rules.sites_may_be_empty
-    ]
-
-
 def _parse_servers(servers: JsonValue, rules: EndpointFileRules) -> ParsedRows:
     if not isinstance(servers, list):
-        return ParsedRows({}, [])  # a violation of the header's form
+        return ParsedRows({}, [])  # reported when the header is checked
     if len(servers) > rules.max_servers:
         reason = f"{len(servers)} servers; {rules.max_servers} at most (servers.most)"
         return ParsedRows({}, [Violation("/servers", reason)])
     if not servers:
-        return ParsedRows({}, [Violation("/servers", "an empty list would leave nobody to serve")])
+        return ParsedRows({}, [Violation("/servers", "is an empty list; at least one server is required")])
     return parse_rows(servers, rules.networks)
 
 
 def _build(value: dict[str, JsonValue], rows: ParsedRows) -> EndpointFile:
+    """Build the file from a value without violations."""
     header = msgspec.convert(value, FileHeader)
     return EndpointFile(
         servers=rows.endpoints,
@@ -154,14 +162,25 @@
 def _seal_violations(seal: JsonValue, digest: str, rules: EndpointFileRules) -> Iterator[Violation]:
     if not isinstance(seal, str):
         if rules.require_seal:
-            reason = "is missing, and servers.require_seal asks for one (wheatstile servers seal)"
+            reason = "is missing; servers.require_seal requires a seal (`wheatstile servers seal` writes one)"
             yield Violation("/seal", reason)
     elif not seal.startswith(DIGEST_PREFIX):
-        yield Violation("/seal", f'"{seal[:MAX_SHOWN_SEAL]}" is no seal of the form {DIGEST_PREFIX}...')
+        yield Violation("/seal", f'"{seal[:MAX_SHOWN_SEAL]}" does not start with {DIGEST_PREFIX}')
     elif seal != digest:
-        yield Violation("/seal", f"does not fit what the file says, which would be {digest}")
+        yield Violation("/seal", f"does not fit the content of the file, whose digest is {digest}")
+
+
+def _site_violations(endpoint_file: EndpointFile, rules: EndpointFileRules) -> list[Violation]:
+    """Return a violation for each site that the file names but leaves with too few ready servers."""
+    sites = endpoint_file.sites or ()
+    return [
+        Violation(pointer("sites", sites.index(shortage.site)), shortage.reason)
+        for shortage in site_shortages(endpoint_file, sites, rules)
+    ]
 
 
-def _located_error(file: str, text: str, violations: list[Violation]) -> ConfigurationError:
-    located = locate(text, violations[:MAX_LOCATED_VIOLATIONS])
-    return ConfigurationError(file, located + violations[MAX_LOCATED_VIOLATIONS:])
+def _raise_if_any(file: str, text: str, violations: list[Violation]) -> None:
+    """Raise ConfigurationError with the lines of the violations, if there are any."""
+    if violations:
+        located = locate(text, violations[:MAX_LOCATED_VIOLATIONS])
+        raise ConfigurationError(file, located + violations[MAX_LOCATED_VIOLATIONS:])
--- /dev/null
+++ b/wheatstile/resolvers/endpoint_file_activator.py
@@ -0,0 +1,180 @@
+"""Puts valid endpoint files in force, and stores the last one that was accepted."""
+
+import time
+from enum import StrEnum
+from pathlib import Path
+
+import structlog
+
+from wheatstile.config.operator import OperatorFile
+from wheatstile.config.violations import ConfigurationError
+from wheatstile.resolvers import last_known_good, merge
+from wheatstile.resolvers.approval import read_accepted_digests
+from wheatstile.resolvers.endpoint_file import EndpointFile, EndpointFileRules
+from wheatstile.resolvers.endpoint_merger import EndpointMerger
+from wheatstile.resolvers.last_known_good import LastKnownGood
+from wheatstile.resolvers.problem_reporter import MAX_LOGGED_REASONS, ProblemReporter
+from wheatstile.resolvers.ready_endpoints import ready_names, served_sites
+from wheatstile.resolvers.source_selection import MergeMode
+from wheatstile.resolvers.update_guard import (
+    ActiveEndpoints,
+    Evaluation,
+    EvaluationOutcome,
+    PendingApproval,
+    evaluate,
+)
+from wheatstile.resolvers.worker_thread import WorkerThread
+
+log = structlog.get_logger()
+
+MILLISECONDS_PER_SECOND = 1000
+
+
+class FileOrigin(StrEnum):
+    """Where an accepted endpoint file was read. The values are logged and counted."""
+
+    FILE = "file"
+    LAST_KNOWN_GOOD = "last_known_good"
+
+
+class EndpointFileActivator:
+    """Owns the endpoint file in force, the file that awaits approval, and the stored copy.
+
+    Args:
+        path: the endpoint file.
+        operator: the operator's file, for its `servers` section.
+        rules: the limits in that section.
+        merger: receives each file that is put in force.
+        worker: runs the calls that may block. It must be running when a coroutine of this class is called.
+
+    """
+
+    def __init__(
+        self,
+        path: Path,
+        operator: OperatorFile,
+        rules: EndpointFileRules,
+        merger: EndpointMerger,
+        worker: WorkerThread,
+    ) -> None:
+        settings = operator.settings.servers
+        self.active_file: EndpointFile | None = None
+        self._path = path
+        self._mode = MergeMode(settings.mode)
+        self._state_folder = operator.near(settings.state_dir) if settings.state_dir else None
+        self._rules = rules
+        self._merger = merger
+        self._worker = worker
+        self._problems = ProblemReporter(merger.decisions.counters)
+        self._pending: PendingApproval | None = None  # last file that awaited approval, until one is accepted
+        self._pending_file: EndpointFile | None = None  # present content of the file, if it awaits approval
+
+    async def restore(self) -> None:
+        """Put the stored copy in force, if there is a usable one."""
+        if self._state_folder is None:
+            return
+        try:
+            stored = await self._worker.call(last_known_good.restore, self._state_folder, self._rules)
+        except ConfigurationError as error:
+            log.warning("last_known_good_rejected", reasons=error.lines()[:MAX_LOGGED_REASONS])
+            return
+        except Exception as error:  # a damaged copy must not stop the balancer
+            log.warning("last_known_good_rejected", reasons=[repr(error)])
+            return
+        if stored:
+            self._activate_stored(stored)
+
+    async def evaluate(self, candidate: EndpointFile) -> None:
+        """Compare a valid file with the active endpoints, and put it in force or report why not."""
+        active = self._active_endpoints()
+        accepted_digests: frozenset[str] = frozenset()
+        if self._pending:
+            accepted_digests = await self._worker.call(read_accepted_digests, self._path)
+        evaluation = await self._worker.call(
+            evaluate, candidate, active, self._pending, accepted_digests, self._rules
+        )
+        is_pending = evaluation.outcome is EvaluationOutcome.AWAITING_APPROVAL
+        self._pending_file = candidate if is_pending else None
+        match evaluation.outcome:
+            case EvaluationOutcome.ACCEPTED:
+                self._pending = None
+                self._activate(candidate, FileOrigin.FILE, reasons=evaluation.reasons)
+                await self._store(candidate)
+            case EvaluationOutcome.UNCHANGED:
+                self._pending = None
+            case EvaluationOutcome.AWAITING_APPROVAL:
+                self._await_approval(candidate, evaluation)
+            case EvaluationOutcome.REJECTED:
+                reasons = [f"{self._path}:1: /: {reason}" for reason in evaluation.reasons]
+                self._problems.report_rejected(reasons, candidate.digest)
+
+    async def evaluate_pending(self) -> None:
+        """Evaluate the file that awaits approval again, if there is one: it may have been approved."""
+        if self._pending_file:
+            await self.evaluate(self._pending_file)
+
+    def report_invalid(self, reasons: tuple[str, ...]) -> None:
+        """Report that the file's content cannot be used."""
+        self._pending_file = None
+        self._problems.report_rejected(reasons)
+
+    def report_unreadable(self, reasons: tuple[str, ...]) -> None:
+        """Report that the file cannot be read."""
+        self._pending_file = None
+        self._problems.report_unreadable(reasons)
+
+    def _await_approval(self, candidate: EndpointFile, evaluation: Evaluation) -> None:
+        if self._pending != evaluation.pending:
+            self._problems.report_approval_required(evaluation.reasons, candidate.digest)
+        self._pending = evaluation.pending
+
+    def _active_endpoints(self) -> ActiveEndpoints:
+        """Return the endpoints that the next file would replace."""
+        if self.active_file:
+            return ActiveEndpoints.from_file(self.active_file)
+        endpoints = merge.listed_endpoints(self._merger.endpoints)
+        # Only in override mode does the first file remove servers. In the other modes discovery's stay.
+        replaced = ready_names(endpoints) if self._mode is MergeMode.OVERRIDE else frozenset()
+        return ActiveEndpoints(None, served_sites(endpoints), replaced)
+
+    def _activate(
+        self, endpoint_file: EndpointFile, origin: FileOrigin, **details: tuple[str, ...] | float
+    ) -> None:
+        """Put the file in force, and log it with the details that are neither empty, zero nor False."""
+        self.active_file = endpoint_file
+        self._problems.reset()
+        self._merger.decisions.counters[f"endpoint_file_accepted_{origin}"] += 1
+        log.info(
+            "endpoint_file_accepted",
+            origin=origin,
+            generation=endpoint_file.generation,
+            digest=endpoint_file.digest,
+            sealed=endpoint_file.sealed,
+            servers=len(endpoint_file.servers),
+            **{key: value for key, value in details.items() if value},
+        )
+        self._merger.set_file(endpoint_file)
+
+    def _activate_stored(self, stored: LastKnownGood) -> None:
+        age_s = time.time() - stored.accepted_at_ms / MILLISECONDS_PER_SECOND
+        self._activate(
+            stored.endpoint_file,
+            FileOrigin.LAST_KNOWN_GOOD,
+            age_s=round(age_s, 1),
+            clock_went_back=age_s < 0,
+        )
+
+    async def _store(self, endpoint_file: EndpointFile) -> None:
+        """Replace the stored copy. A failure is logged and counted, and changes nothing else."""
+        if self._state_folder is None:
+            return
+        accepted_at_ms = int(time.time() * MILLISECONDS_PER_SECOND)
+        try:
+            await self._worker.call(last_known_good.save, self._state_folder, endpoint_file, accepted_at_ms)
+        except OSError as error:
+            self._merger.decisions.counters["last_known_good_write_failed"] += 1
+            log.error(
+                "last_known_good_write_failed",
+                folder=str(self._state_folder),
+                reason=error.strerror or str(error),
+            )
--- a/wheatstile/resolvers/endpoint_rows.py
+++ b/wheatstile/resolvers/endpoint_rows.py
@@ -1,4 +1,4 @@
-"""The servers of an endpoint file, row by row: endpoints, or every violation. Pure: no input or output."""
+"""Parses the servers of an endpoint file, or reports every violation in them. Pure: no input or output."""
 
 import re
 import sys
@@ -12,23 +12,28 @@
 
 from wheatstile import interface as api
 from wheatstile.config import shape
-from wheatstile.config.endpoints import ResolvedEndpoint
+from wheatstile.config.endpoints import MAX_PORT, ResolvedEndpoint
 from wheatstile.config.networks import Networks
 from wheatstile.config.violations import Violation, pointer
 from wheatstile.resolvers.canonical_json import MAX_EXACT_INTEGER, JsonValue
 
-MAX_WEIGHT_RATIO = 1000.0  # between the largest weight and the smallest
-MAX_PORT = 65535
+MAX_WEIGHT_RATIO = 1000.0  # largest weight in a file, as a multiple of the smallest
 MICROSECONDS_PER_MILLISECOND = 1000
+# The values of `state` in the file.
+ENDPOINT_STATES = {"ready": api.EndpointState.READY, "draining": api.EndpointState.DRAINING}
 
-_OCTET = "(25[0-5]|2[0-4][0-9]|1[0-9]{2}|[1-9]?[0-9])"  # no leading zeros, which some read as octal
+_OCTET = "(25[0-5]|2[0-4][0-9]|1[0-9]{2}|[1-9]?[0-9])"  # no leading zeros: some programs read them as octal
 _match_address = re.compile(rf"({_OCTET}\.{_OCTET}\.{_OCTET}\.{_OCTET}):([0-9]{{1,5}})").fullmatch
 
 Address = tuple[str, int]  # host and port
 
 
+class InvalidAddressError(ValueError):
+    """An address that a server must not have. The text is the reason."""
+
+
 class EndpointRow(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """One server as the file states it; the fields are the file's keys."""
+    """One server of the file. The fields are the keys of the file."""
 
     id: Annotated[str, Meta(min_length=1, max_length=255)]
     address: str
@@ -38,10 +43,10 @@
     started: Annotated[int, Meta(ge=0, le=1 << 53)] | None = None  # Unix time in milliseconds
 
     def resolve(self, address: Address) -> ResolvedEndpoint:
-        """Return the endpoint that this row states, at its parsed address."""
+        """Return the endpoint of this row, at its parsed address."""
         endpoint = api.Endpoint(
             name=self.id,
-            state=api.EndpointState(self.state),
+            state=ENDPOINT_STATES[self.state],
             zone=self.site,
             weight=self.weight,
             started_at_us=(self.started or 0) * MICROSECONDS_PER_MILLISECOND,
@@ -58,7 +63,7 @@
 
 
 def parse_rows(rows: list[JsonValue], networks: Networks) -> ParsedRows:
-    """Check each row on its own and against the others. Raises nothing."""
+    """Check each row by itself and against the others. Raises nothing."""
     parser = _RowParser(networks)
     for index, row in enumerate(rows):
         parser.add(index, row)
@@ -66,23 +71,23 @@
 
 
 def parse_address(text: str, networks: Networks) -> Address:
-    """Parse HOST:PORT with an IPv4 literal in these networks. Raises ValueError with the reason."""
+    """Parse HOST:PORT with an IPv4 literal in one of these networks. Raises InvalidAddressError."""
     match = _match_address(text)
     if match is None:
         if text.startswith("["):
-            raise ValueError(f'"{text}" is IPv6, which is not served')
-        raise ValueError(f'"{text}" is not HOST:PORT with an IPv4 literal as host')
+            raise InvalidAddressError(f'"{text}" is an IPv6 address; only IPv4 is supported')
+        raise InvalidAddressError(f'"{text}" is not HOST:PORT with an IPv4 literal as host')
     host, *octets, port_text = match.groups()
     port = int(port_text)
     if not 0 < port <= MAX_PORT:
-        raise ValueError(f'"{text}" has no port from 1 to {MAX_PORT}')
+        raise InvalidAddressError(f'"{text}" has no port from 1 to {MAX_PORT}')
     if int.from_bytes(map(int, octets), "big") not in networks:
-        raise ValueError(f"{host} lies outside servers.networks")
+        raise InvalidAddressError(f"{host} is outside servers.networks")
     return host, port
 
 
 class _RowParser:
-    """Takes the rows one by one and compares each with those before it."""
+    """Parses the rows one by one, and compares each with those before it."""
 
     def __init__(self, networks: Networks) -> None:
         self.endpoints: dict[str, ResolvedEndpoint] = {}
@@ -90,14 +95,14 @@
         self._networks = networks
         self._index_by_id: dict[str, int] = {}
         self._index_by_address: dict[Address, int] = {}
-        self._weights: list[tuple[float, int]] = []  # with the index of their row
+        self._weight_by_index: dict[int, float] = {}
 
     def add(self, index: int, value: JsonValue) -> None:
-        """Check the next row: its endpoint is kept, or its violations are."""
+        """Parse the next row: keep its endpoint, or its violations."""
         try:
             row = msgspec.convert(value, EndpointRow)
         except msgspec.ValidationError:
-            self._add_invalid(index, value)
+            self._add_malformed(index, value)
             return
         self._check_id(index, row.id)
         self._check_weight(index, row.weight)
@@ -106,8 +111,16 @@
         if address:
             self.endpoints[row.id] = row.resolve(address)
 
-    def _add_invalid(self, index: int, value: JsonValue) -> None:
-        """Report what is wrong with the row's form, and with those values that have the right type."""
+    def weight_ratio_violations(self) -> Iterator[Violation]:
+        """Yield a violation for each weight that is too large compared with the smallest one."""
+        smallest = min(self._weight_by_index.values(), default=1.0)
+        for index, weight in self._weight_by_index.items():
+            if weight > MAX_WEIGHT_RATIO * smallest > 0:
+                reason = f"{weight:g} is over {MAX_WEIGHT_RATIO:g} times the least, {smallest:g}"
+                yield Violation(pointer("servers", index, "weight"), reason)
+
+    def _add_malformed(self, index: int, value: JsonValue) -> None:
+        """Report the keys and types that are wrong, and check the values whose types are right."""
         self.violations += shape.find_violations(value, EndpointRow, ("servers", index))
         if not isinstance(value, dict):
             return
@@ -132,31 +145,24 @@
     def _check_weight(self, index: int, weight: float) -> None:
         if not 0 < weight < inf:
             self._report(index, "weight", f"{weight} is no finite number over 0")
-        elif weight <= sys.float_info.max:  # an integer may be larger, where the row's form is wrong anyhow
-            self._weights.append((float(weight), index))
+        elif weight <= sys.float_info.max:  # a larger integer is reported as a wrong type
+            self._weight_by_index[index] = float(weight)
 
     def _check_integers(self, index: int, row: JsonValue) -> None:
-        """Report integers that have no canonical form, so that the file could not be sealed."""
+        """Report integers that have no canonical form, because such a file could not be sealed."""
         members = row.items() if isinstance(row, dict) else ()
         for key, value in members:
             if isinstance(value, int) and abs(value) > MAX_EXACT_INTEGER:
                 self._report(index, key, f"{value} is over {MAX_EXACT_INTEGER}, the largest exact integer")
 
     def _check_address(self, index: int, text: str) -> Address | None:
+        """Return the parsed address; None if it is reported as invalid."""
         try:
             address = parse_address(text, self._networks)
-        except ValueError as error:
+        except InvalidAddressError as error:
             self._report(index, "address", str(error))
             return None
         first_index = self._index_by_address.setdefault(address, index)
         if first_index != index:
             self._report(index, "address", f"{text} is the address of /servers/{first_index} too")
         return address
-
-    def weight_ratio_violations(self) -> Iterator[Violation]:
-        """Find the weights that are too large beside the smallest one."""
-        smallest = min((weight for weight, _ in self._weights), default=1.0)
-        for weight, index in self._weights:
-            if weight > MAX_WEIGHT_RATIO * smallest > 0:
-                reason = f"{weight:g} is over {MAX_WEIGHT_RATIO:g} times the least, {smallest:g}"
-                yield Violation(pointer("servers", index, "weight"), reason)
--- a/wheatstile/resolvers/file_watcher.py
+++ b/wheatstile/resolvers/file_watcher.py
@@ -1,4 +1,4 @@
-"""Watches a path for changes by the file system's notifications, or by time where there are none."""
+"""Watches a path for changes: by the file system's notifications, or by polling if there are none."""
 
 import asyncio
 import os
@@ -12,26 +12,26 @@
 
 log = structlog.get_logger()
 
-QUIET_TIME_MS = 5  # without a change, after which the changes so far are reported
-MAX_DEBOUNCE_MS = 25  # for which changes are collected into one report at most
+QUIET_TIME_MS = 5  # changes are reported once none has come for this time
+MAX_DEBOUNCE_MS = 25  # changes are reported after this time even if more are coming
 MIN_NOTIFICATION_TIMEOUT_MS = 100
-MAX_SYMBOLIC_LINKS = 40  # that a path may lead through, as in the Linux kernel
+MAX_SYMBOLIC_LINKS = 40  # links followed for one path; the limit of the Linux kernel
 
 
 @dataclass(frozen=True, slots=True)
 class WatchedPaths:
-    """Where a change may make a path lead to another file."""
+    """The folders and names in which a change may make a path lead to another file."""
 
     folders: frozenset[str]  # absolute, without symbolic links, existing
-    names: frozenset[str]  # of the entries in these folders that matter
+    names: frozenset[str]  # relevant entries of these folders
 
     def concerns(self, _change: Change, path: str) -> bool:
-        """Return whether a change of this path matters: a filter for `watchfiles.awatch`."""
+        """Return whether a change of this path is relevant. A filter for `watchfiles.awatch`."""
         return os.path.basename(path) in self.names
 
 
 def watched_paths(path: Path) -> WatchedPaths:
-    """Find what to watch for a path that may lead through symbolic links. May block."""
+    """Return the folders and names to watch for a path, which may lead through symbolic links. May block."""
     folders: set[str] = set()
     names: set[str] = set()
     current: Path | None = Path(os.path.abspath(path))
@@ -53,13 +53,13 @@
 
 
 def _follow(link: Path, path: Path) -> Path:
-    """Return the path with this link, which is the path itself or a parent, replaced by its target."""
+    """Return the path with this link replaced by its target. The link is the path itself or a parent."""
     target = link.parent / os.readlink(link)
     return target if link == path else target / path.relative_to(link)
 
 
 class FileWatcher:
-    """Sets the event `changed` after each change of a path, and at least every `poll_interval_s`."""
+    """Sets the event `changed` after each change of a path, and at least every `poll_interval_s` seconds."""
 
     def __init__(self, path: Path, poll_interval_s: float) -> None:
         self.path = path
@@ -69,7 +69,7 @@
 
     @asynccontextmanager
     async def running(self) -> AsyncIterator[None]:
-        """Watch in a task of its own for as long as the block runs."""
+        """Watch in a background task until the end of the block."""
         task = asyncio.create_task(self.run())
         try:
             yield
@@ -78,10 +78,10 @@
             await asyncio.wait([task])
 
     async def run(self) -> None:
-        """Watch until cancelled. Without notifications, `changed` is set every `poll_interval_s`."""
+        """Watch until cancelled. Without notifications, `changed` is set every `poll_interval_s` seconds."""
         while True:
             watched = await asyncio.to_thread(watched_paths, self.path)
-            self.changed.set()  # a change before the watch began is found by reading the file
+            self.changed.set()  # there may have been a change before the watch began
             try:
                 if not await self._watch(watched):
                     return
@@ -90,7 +90,7 @@
                 await asyncio.sleep(self.poll_interval_s)
 
     async def _watch(self, watched: WatchedPaths) -> bool:
-        """Report changes until a symbolic link leads elsewhere: True. False if the watch was stopped."""
+        """Set `changed` at each change. Return True once other paths must be watched, False at the end."""
         changes = awatch(
             *watched.folders,
             watch_filter=watched.concerns,
@@ -107,6 +107,7 @@
         return False
 
     def _report_failure(self, error: Exception) -> None:
+        """Log the first failure."""
         if not self._failure_reported:
             log.warning("file_watch_failed", reason=str(error), poll_interval_s=self.poll_interval_s)
         self._failure_reported = True
--- a/wheatstile/resolvers/gc_pause.py
+++ b/wheatstile/resolvers/gc_pause.py
@@ -1,4 +1,4 @@
-"""Holds the garbage collector off while long lists of servers are built."""
+"""Pauses garbage collection while long lists of servers are built."""
 
 import gc
 from collections.abc import Iterator
@@ -7,16 +7,16 @@
 
 @contextmanager
 def gc_paused() -> Iterator[None]:
-    """Run the block without garbage collection, then move what it made to the oldest generation.
+    """Run the block without garbage collection, then move the objects that it made to the oldest generation.
 
-    Lists of servers hold no reference cycles, so they are freed by their reference counts and only cost the
-    collector time: it stopped the event loop for up to 50 ms over a list of 20,000 servers.
+    Lists of servers have no reference cycles and are freed by reference counting. Traversing them would only
+    block the event loop.
     """
     gc.disable()
     try:
         yield
     finally:
-        # Moves all objects to the permanent generation and from there to the oldest, without traversing them.
+        # Together these move all objects to the oldest generation without traversing them.
         gc.freeze()
         gc.unfreeze()
         gc.enable()
--- a/wheatstile/resolvers/last_known_good.py
+++ b/wheatstile/resolvers/last_known_good.py
@@ -1,6 +1,7 @@
-"""The last accepted endpoint file, stored so that a restart onto a broken file has servers to start from.
+"""Stores the last accepted endpoint file, and restores it at a restart.
 
-The stored form must stay readable: the structs here name its keys. May block: call it off the event loop.
+A balancer that restarts while the endpoint file is broken starts with these servers. Later versions must be
+able to read the stored format: the fields of the structs are its keys. May block: call it in a thread.
 """
 
 from dataclasses import dataclass, replace
@@ -11,18 +12,22 @@
 from wheatstile.config.endpoints import ResolvedEndpoint
 from wheatstile.config.violations import ConfigurationError, Violation, load
 from wheatstile.resolvers.atomic_write import write_atomic
-from wheatstile.resolvers.canonical_json import SEAL_KEY, digest_of
+from wheatstile.resolvers.canonical_json import SEAL_KEY, JsonValue, digest_of
 from wheatstile.resolvers.endpoint_file import EndpointFile, EndpointFileRules, parse_endpoint_file
+from wheatstile.resolvers.endpoint_rows import ENDPOINT_STATES, MICROSECONDS_PER_MILLISECOND
 from wheatstile.resolvers.regular_file import read_all
 
 FILE_NAME = "servers-last-good.json"
 FORMAT_VERSION = 1
-ENVELOPE_BYTES = 4096  # at most, of what is stored around the servers
-MICROSECONDS_PER_MILLISECOND = 1000
+MAX_ENVELOPE_BYTES = 4096  # size of the stored copy without its servers
+# A stored server has all its keys, so it may be longer than in the endpoint file.
+MAX_SERVER_GROWTH_FACTOR = 2
+
+STATE_WORDS = {state: word for word, state in ENDPOINT_STATES.items()}
 
 
 class StoredServer(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """One server with all the keys that an endpoint file may state of it."""
+    """One server, with all the keys that an endpoint file may have for it."""
 
     id: str
     address: str  # HOST:PORT
@@ -33,22 +38,22 @@
 
     @classmethod
     def from_endpoint(cls, resolved: ResolvedEndpoint) -> "StoredServer":
-        """Take the stored form of a server with an address. Raises ValueError where it has none."""
+        """Return the stored form of a server. Raises ValueError if the server has no address."""
         if resolved.address is None:
-            raise ValueError(f"server {resolved.endpoint.name} has no address")
+            raise ValueError(f'server "{resolved.endpoint.name}" has no address')
         host, port = resolved.address
         return cls(
             id=resolved.endpoint.name,
             address=f"{host}:{port}",
             site=resolved.endpoint.zone,
             weight=resolved.endpoint.weight,
-            state=resolved.endpoint.state,
+            state=STATE_WORDS[resolved.endpoint.state],
             started=resolved.endpoint.started_at_us // MICROSECONDS_PER_MILLISECOND,
         )
 
 
 class StoredFile(msgspec.Struct, forbid_unknown_fields=True, omit_defaults=True, frozen=True):
-    """The endpoint file without its seal; a key that the file did not have is left out."""
+    """The endpoint file without its seal. A key that the file did not have is not stored."""
 
     servers: list[StoredServer]
     sites: list[str] | None = None
@@ -56,11 +61,11 @@
 
 
 class StoredCopy(msgspec.Struct, frozen=True):
-    """All that is stored; `seal` is added, over the rest, when it is written."""
+    """The stored copy without its seal, which is added when the copy is written."""
 
     form: int  # FORMAT_VERSION
     taken_at_ms: int  # Unix time
-    digest: str  # of the endpoint file as it was accepted
+    digest: str  # digest of the endpoint file when it was accepted
     document: StoredFile
 
 
@@ -73,7 +78,7 @@
 
 
 def save(folder: Path, endpoint_file: EndpointFile, accepted_at_ms: int) -> None:
-    """Store the file, sealed. Raises OSError; what was stored before stays then."""
+    """Store the file, sealed. Raises OSError; the copy that was stored before then stays."""
     document = StoredFile(
         servers=[StoredServer.from_endpoint(resolved) for resolved in endpoint_file.servers.values()],
         sites=None if endpoint_file.sites is None else list(endpoint_file.sites),
@@ -85,25 +90,28 @@
 
 
 def restore(folder: Path, rules: EndpointFileRules) -> LastKnownGood | None:
-    """Read the stored file and check it by the rules of today; None if there is none.
+    """Return the stored file, checked by the present rules; None if none is stored.
 
     Raises:
-        ConfigurationError: it is damaged, or does not keep to the rules.
+        ConfigurationError: the copy is damaged, or breaks a rule.
 
     """
     path = folder / FILE_NAME
     if not path.exists():
         return None
-    # Servers are stored with all their keys, so they are longer than they may have been in the file.
-    max_bytes = 2 * rules.max_bytes + ENVELOPE_BYTES
+    max_bytes = MAX_SERVER_GROWTH_FACTOR * rules.max_bytes + MAX_ENVELOPE_BYTES
     _, value = load(str(path), read_all(path, max_bytes), max_bytes)
-    if (
-        not isinstance(value, dict)
-        or value.get("form") != FORMAT_VERSION
-        or value.get(SEAL_KEY) != digest_of(value)
-    ):
-        raise ConfigurationError(str(path), [Violation("/seal", "is not what this program wrote")])
+    if not _is_intact(value):
+        reason = "does not fit the content of the file, or the format is unknown"
+        raise ConfigurationError(str(path), [Violation("/seal", reason)])
     stored = msgspec.convert(value, StoredCopy)
     document = msgspec.json.encode(stored.document)
     parsed = parse_endpoint_file(str(path), document, replace(rules, max_bytes=max_bytes), check_seal=False)
     return LastKnownGood(replace(parsed, digest=stored.digest), stored.taken_at_ms)
+
+
+def _is_intact(value: JsonValue) -> bool:
+    """Return whether this is a stored copy of the known format, with the right seal."""
+    if not isinstance(value, dict):
+        return False
+    return value.get("form") == FORMAT_VERSION and value.get(SEAL_KEY) == digest_of(value)
--- a/wheatstile/resolvers/merge.py
+++ b/wheatstile/resolvers/merge.py
@@ -1,8 +1,8 @@
-"""The servers in force, merged from discovery and the endpoint file, with a reason for each.
+"""Merges discovery and the endpoint file into the list of servers in force, with a reason for each server.
 
-Pure: the time is an argument, in microseconds. Whichever source is in force, a server that discovery reported
-draining or gone gets no new connections, and a server that is no longer named because the source changed
-keeps the connections that it has.
+Pure: the time is an argument, in microseconds. Two rules apply with every source: a server that discovery
+reports draining or gone gets no new connections; and a server that is no longer listed because the source
+changed keeps its connections.
 """
 
 from collections.abc import Iterable, Mapping
@@ -13,7 +13,7 @@
 from wheatstile.resolvers.discovery_state import DiscoveryState
 from wheatstile.resolvers.source_selection import MICROSECONDS_PER_SECOND, EndpointSource, SourceSelection
 
-# How long a server that left with its source stays reachable for the connections that it has.
+# How long a server that no source lists any more stays reachable for its connections.
 RETIREMENT_US = 3600 * MICROSECONDS_PER_SECOND
 
 FROM_DISCOVERY = "discovery"
@@ -24,21 +24,21 @@
 
 @dataclass(frozen=True, slots=True)
 class MergedEndpoint:
-    """One server in force, and why it is listed as it is."""
+    """One server in force, and the reason why it is listed."""
 
     resolved: ResolvedEndpoint
-    reason: str  # for `servers explain`
-    retired_until_us: int = 0  # when it is dropped, as no source names it; 0: a source names it
+    reason: str  # printed by `wheatstile servers explain`
+    retired_until_us: int = 0  # when a retired server is removed; 0: a source lists the server
 
     @property
-    def is_ready(self) -> bool:
-        """Whether it may get new connections."""
-        return self.resolved.endpoint.state == api.EndpointState.READY
+    def endpoint(self) -> api.Endpoint:
+        """The server without its address."""
+        return self.resolved.endpoint
 
 
 @dataclass(frozen=True, slots=True)
 class MergeResult:
-    """A merged list, and what differs from the one before."""
+    """A merged list, and its differences from the previous one."""
 
     selection: SourceSelection
     endpoints: dict[str, MergedEndpoint]  # by name
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MergeInput:
-    """All that a merge depends on."""
+    """Everything that a merge depends on."""
 
     now_us: int
     selection: SourceSelection
@@ -56,11 +56,11 @@
     previous: dict[str, MergedEndpoint]
 
     def copy(self) -> "MergeInput":
-        """Copy what may change during a merge in another thread."""
+        """Copy what may change while the merge runs in another thread."""
         return replace(self, discovery=self.discovery.copy(), previous=dict(self.previous))
 
     def run(self) -> MergeResult:
-        """Merge, and compare with the previous list."""
+        """Merge, and compare the result with the previous list."""
         endpoints = merge_endpoints(
             self.now_us, self.selection, self.discovery, self.file_endpoints, self.previous
         )
@@ -76,8 +76,8 @@
 ) -> dict[str, MergedEndpoint]:
     """Return the servers in force, by name.
 
-    Servers in `previous`, the last result, that no source names any more are retired: listed as draining for
-    RETIREMENT_US, unless discovery reported them gone.
+    A server of the previous result that no source lists any more is retired: it is listed as draining for
+    RETIREMENT_US, unless discovery has reported it gone.
     """
     merged: dict[str, MergedEndpoint] = {}
     if selection.source is not EndpointSource.FILE:
@@ -87,10 +87,10 @@
         for name, resolved in file_endpoints.items():
             if name not in discovery.gone:
                 merged[name] = _merge_file_endpoint(resolved, discovery.endpoints.get(name))
-    for name, endpoint in previous.items():
+    for name, server in previous.items():
         if name in merged or name in discovery.gone:
             continue
-        retired = _retire(now_us, endpoint, selection.source)
+        retired = _retire(now_us, server, selection.source)
         if now_us < retired.retired_until_us:
             merged[name] = retired
     return merged
@@ -99,34 +99,35 @@
 def _merge_file_endpoint(
     from_file: ResolvedEndpoint, from_discovery: ResolvedEndpoint | None
 ) -> MergedEndpoint:
-    """Combine both: the file decides on weight and address, discovery on draining, the later start counts.
+    """Combine the file's entry of a server with discovery's.
 
-    A server that started within the slow-start time is protected whichever source reports the start.
+    The file sets the weight and the address. Either source can drain the server. The later start time is
+    used, so that slow start applies if one source has not reported the restart yet.
     """
     if from_discovery is None:
         return MergedEndpoint(from_file, FROM_FILE)
-    endpoint = from_file.endpoint
+    filed = from_file.endpoint
     reported = from_discovery.endpoint
-    is_drained = endpoint.state == api.EndpointState.READY and reported.state != api.EndpointState.READY
+    is_drained = filed.is_ready and not reported.is_ready
     endpoint = replace(
-        endpoint,
-        state=reported.state if is_drained else endpoint.state,
-        started_at_us=max(endpoint.started_at_us, reported.started_at_us),
-        zone=endpoint.zone or reported.zone,
+        filed,
+        state=reported.state if is_drained else filed.state,
+        started_at_us=max(filed.started_at_us, reported.started_at_us),
+        zone=filed.zone or reported.zone,
         cell=reported.cell,
     )
     resolved = ResolvedEndpoint(endpoint, from_file.address)
     return MergedEndpoint(resolved, FROM_FILE_DRAINED if is_drained else FROM_FILE)
 
 
-def _retire(now_us: int, endpoint: MergedEndpoint, source: EndpointSource) -> MergedEndpoint:
-    """Return the endpoint as draining; one that has been retired before stays as it is."""
-    if endpoint.retired_until_us:
-        return endpoint
-    draining = replace(endpoint.resolved.endpoint, state=api.EndpointState.DRAINING)
+def _retire(now_us: int, server: MergedEndpoint, source: EndpointSource) -> MergedEndpoint:
+    """Return the server as retired. One that is already retired is returned as it is."""
+    if server.retired_until_us:
+        return server
+    draining = replace(server.endpoint, state=api.EndpointState.DRAINING)
     return MergedEndpoint(
-        ResolvedEndpoint(draining, endpoint.resolved.address),
-        f"no longer named; {source} holds",
+        ResolvedEndpoint(draining, server.resolved.address),
+        f"no longer listed; the source in force is {source}",
         now_us + RETIREMENT_US,
     )
 
@@ -134,14 +135,14 @@
 def changed_endpoints(
     before: Mapping[str, MergedEndpoint], after: Mapping[str, MergedEndpoint]
 ) -> list[ResolvedEndpoint]:
-    """Return what differs between two merges, as a delta: new, changed and gone servers."""
+    """Return the new, changed and gone servers: the delta from one merged list to the next."""
     changes = [
-        endpoint.resolved
-        for name, endpoint in after.items()
-        if name not in before or before[name].resolved != endpoint.resolved
+        server.resolved
+        for name, server in after.items()
+        if name not in before or before[name].resolved != server.resolved
     ]
     for name in before.keys() - after.keys():
-        gone = replace(before[name].resolved.endpoint, state=api.EndpointState.GONE)
+        gone = replace(before[name].endpoint, state=api.EndpointState.GONE)
         changes.append(ResolvedEndpoint(gone, None))
     return changes
 
@@ -149,25 +150,19 @@
 def withdrawn_endpoints(
     merged: Mapping[str, MergedEndpoint], unavailable: Iterable[ResolvedEndpoint]
 ) -> list[ResolvedEndpoint]:
-    """Return the servers in force that must change at once: discovery reports them draining or gone."""
+    """Return the changes to the servers in force that discovery reports draining or gone."""
     withdrawn = []
     for reported in unavailable:
-        endpoint = merged.get(reported.endpoint.name)
-        if endpoint is None:
+        server = merged.get(reported.endpoint.name)
+        if server is None:
             continue
         is_gone = reported.endpoint.state == api.EndpointState.GONE
-        if endpoint.is_ready or is_gone:
-            changed = replace(endpoint.resolved.endpoint, state=reported.endpoint.state)
-            withdrawn.append(ResolvedEndpoint(changed, None if is_gone else endpoint.resolved.address))
+        if server.endpoint.is_ready or is_gone:
+            changed = replace(server.endpoint, state=reported.endpoint.state)
+            withdrawn.append(ResolvedEndpoint(changed, None if is_gone else server.resolved.address))
     return withdrawn
 
 
-def ready_names(merged: Mapping[str, MergedEndpoint]) -> frozenset[str]:
-    """Return the names of the servers that may get new connections."""
-    return frozenset(name for name, endpoint in merged.items() if endpoint.is_ready)
-
-
-def served_sites(merged: Mapping[str, MergedEndpoint]) -> tuple[str, ...]:
-    """Return the sites with a ready server, sorted by name, without the empty name."""
-    sites = {endpoint.resolved.endpoint.zone for endpoint in merged.values() if endpoint.is_ready}
-    return tuple(sorted(sites - {""}))
+def listed_endpoints(merged: Mapping[str, MergedEndpoint]) -> list[api.Endpoint]:
+    """Return the servers in force without their addresses."""
+    return [server.endpoint for server in merged.values()]
--- a/wheatstile/resolvers/problem_reporter.py
+++ b/wheatstile/resolvers/problem_reporter.py
@@ -1,4 +1,4 @@
-"""Logs what is wrong with the endpoint file: each problem once, then once a minute while it stays."""
+"""Logs problems with the endpoint file: a new one at once, and one that persists once a minute."""
 
 import time
 from collections import Counter
@@ -13,11 +13,11 @@
 
 
 class ProblemReporter:
-    """Counts every problem and logs those that are new or due again.
+    """Counts every problem, and logs those that are new or due again.
 
     Args:
-        counters: the process's counters, by the name of the log event.
-        clock: seconds, monotonic.
+        counters: the process's counters; the names of the log events are the keys.
+        clock: returns monotonic seconds.
 
     """
 
@@ -28,11 +28,11 @@
         self._last_logged_at_s = 0.0
 
     def reset(self) -> None:
-        """Forget the last problem, as the file is in order: whatever comes next is new."""
+        """Forget the last problem, because the file has been accepted. The next problem is logged at once."""
         self._last_problem = ()
 
     def report_rejected(self, reasons: Sequence[str], digest: str | None = None) -> None:
-        """Report that the file cannot be used; the digest is known where its content is valid in itself."""
+        """Report that the file cannot be used. The digest is known if the file itself is valid."""
         if self._is_due("endpoint_file_rejected", reasons):
             known_digest = {"digest": digest} if digest else {}
             log.warning(
@@ -40,7 +40,7 @@
             )
 
     def report_unreadable(self, reasons: Sequence[str]) -> None:
-        """Report that the file is missing, is no regular file, or cannot be read."""
+        """Report that the file is missing, is not a regular file, or cannot be read."""
         if self._is_due("endpoint_file_unreadable", reasons):
             log.warning("endpoint_file_unreadable", reasons=_shown(reasons), violations=len(reasons))
 
@@ -55,7 +55,7 @@
             )
 
     def _is_due(self, event: str, reasons: Sequence[str]) -> bool:
-        """Count the problem, and return whether it has to be logged now."""
+        """Count the problem, and return whether it must be logged now."""
         self._counters[event] += 1
         now_s = self._clock()
         problem = (event, *reasons)
--- a/wheatstile/resolvers/regular_file.py
+++ b/wheatstile/resolvers/regular_file.py
@@ -1,4 +1,4 @@
-"""Reads regular files, and nothing else that a path may lead to. May block: call it off the event loop."""
+"""Reads regular files, and rejects FIFOs, devices and folders. May block: call it in a thread."""
 
 import os
 import stat
@@ -11,7 +11,7 @@
 
 from wheatstile.config.violations import ConfigurationError, Violation
 
-READ_SIZE = 1 << 18  # bytes read at once
+READ_SIZE_BYTES = 1 << 18
 FILE_TYPE_NAMES = {
     stat.S_IFDIR: "a directory",
     stat.S_IFIFO: "a FIFO",
@@ -23,9 +23,9 @@
 
 @dataclass(frozen=True, slots=True)
 class FileSignature:
-    """What the file system says of a file's content.
+    """The metadata of a file that change with its content.
 
-    The time of the inode's change is left out: it changes when another file is renamed over the file's name.
+    The inode's change time is not included: it also changes when another file is renamed over this one.
     """
 
     device: int
@@ -35,47 +35,56 @@
 
     @classmethod
     def from_descriptor(cls, descriptor: int) -> "FileSignature":
-        """Take the signature of an open file. Raises OSError."""
+        """Return the signature of an open file. Raises OSError."""
         status = os.fstat(descriptor)
         return cls(status.st_dev, status.st_ino, status.st_size, status.st_mtime_ns)
 
 
+@dataclass(frozen=True, slots=True)
+class FileVersion:
+    """Identifies one content of one file: two equal versions have the same metadata and the same bytes."""
+
+    signature: FileSignature
+    fingerprint: bytes  # a hash of the bytes
+
+
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """A file's bytes at one moment, and what the file system says of them."""
+    """The bytes of a file as they were read."""
 
     data: bytes
-    signature: FileSignature  # after the bytes were read
+    signature: FileSignature  # taken after the bytes were read
     fingerprint: bytes  # a hash of the bytes
     torn: bool  # the file changed while it was read
 
-    def has_same_content(self, other: "Snapshot") -> bool:
-        """Whether both show the same file with the same content, by the file system and by the bytes."""
-        return self.signature == other.signature and self.fingerprint == other.fingerprint
+    @property
+    def version(self) -> FileVersion:
+        """The version of the file that was read."""
+        return FileVersion(self.signature, self.fingerprint)
 
 
 def open_regular(path: Path) -> int:
-    """Open a regular file for reading, without blocking on anything else.
+    """Open a regular file for reading. Does not block if the path is something else.
 
     Returns:
         A descriptor, which the caller closes.
 
     Raises:
-        OSError: it cannot be opened, or is no regular file.
+        OSError: the file cannot be opened, or is not a regular file.
 
     """
-    # Without O_NONBLOCK a FIFO in the file's place would stop the reader until somebody writes to it.
+    # Without O_NONBLOCK the call would block on a FIFO until another process opens it for writing.
     descriptor = os.open(path, os.O_RDONLY | os.O_NONBLOCK | os.O_CLOEXEC | os.O_NOCTTY)
     file_type = stat.S_IFMT(os.fstat(descriptor).st_mode)
     if file_type != stat.S_IFREG:
         os.close(descriptor)
-        raise OSError(f"is {FILE_TYPE_NAMES.get(file_type, 'no file')}")
+        raise OSError(f"is {FILE_TYPE_NAMES.get(file_type, 'not a regular file')}")
     return descriptor
 
 
 @contextmanager
 def opened_regular(path: Path) -> Iterator[int]:
-    """Open a regular file for the block. Raises OSError."""
+    """Open a regular file, and close it at the end of the block. Raises OSError."""
     descriptor = open_regular(path)
     try:
         yield descriptor
@@ -84,12 +93,12 @@
 
 
 def snapshot(descriptor: int, max_bytes: int) -> Snapshot:
-    """Read an open file from its start: one byte more than max_bytes at most. Raises OSError."""
+    """Read an open file from its start, up to max_bytes + 1 bytes. Raises OSError."""
     before = FileSignature.from_descriptor(descriptor)
     limit = max_bytes + 1
     parts = []
     offset = 0
-    while offset < limit and (part := os.pread(descriptor, min(READ_SIZE, limit - offset), offset)):
+    while offset < limit and (part := os.pread(descriptor, min(READ_SIZE_BYTES, limit - offset), offset)):
         parts.append(part)
         offset += len(part)
     data = b"".join(parts)
@@ -99,7 +108,7 @@
 
 
 def read_all(path: Path, max_bytes: int) -> bytes:
-    """Read a regular file, one byte more than max_bytes at most. Raises ConfigurationError."""
+    """Read a regular file, up to max_bytes + 1 bytes. Raises ConfigurationError."""
     try:
         with opened_regular(path) as descriptor:
             return snapshot(descriptor, max_bytes).data
--- a/wheatstile/resolvers/section.py
+++ b/wheatstile/resolvers/section.py
@@ -1,12 +1,11 @@
-"""The `servers` section of the operator's file, applied at the start and at each reload."""
+"""Applies the `servers` section of the operator's file, at the start and at each reload."""
 
 import asyncio
 import sys
-from pathlib import Path
 
 import structlog
 
-from wheatstile.config.operator import OperatorFile, Servers
+from wheatstile.config.operator import OperatorFile
 from wheatstile.net.decision_loop import DecisionLoop
 from wheatstile.net.discovery_watcher import DiscoveryOnlyObserver, DiscoveryWatcher
 from wheatstile.net.upstream_pool import UpstreamPool
@@ -16,10 +15,10 @@
 
 log = structlog.get_logger()
 
-# After so long a thread that computes gives way to the event loop, which may have to wait for it at each of
-# its system calls: at Python's own 0.005 s a setup beside a reader of 1,000 servers took up to 80 ms.
+# Time after which a computing thread gives way to the event loop, which may have to wait for it after each of
+# its system calls. Python's default is 0.005 s.
 THREAD_SWITCH_INTERVAL_S = 0.0005
-RESTART_DELAY_S = 1.0  # after a fault of the program in the source
+RESTART_DELAY_S = 1.0  # pause after an unexpected exception in the source
 
 
 class ServersSection:
@@ -37,15 +36,14 @@
         self._merger: EndpointMerger | None = None
         self._source: EndpointFileSource | None = None
         self._task: asyncio.Task[None] | None = None
-        self._applied: tuple[Path, Servers] | None = None  # the operator's file and its section
+        self._applied: OperatorFile | None = None
 
     def follow(self, operator: OperatorFile) -> None:
-        """Apply the section. What it does not change goes on undisturbed."""
-        servers = operator.settings.servers
-        if self._applied == (operator.path, servers):
+        """Apply the section. Does nothing if the section is the same as before."""
+        if self._is_applied(operator):
             return
-        self._applied = (operator.path, servers)
-        if servers.file:
+        self._applied = operator
+        if operator.settings.servers.file:
             self._switch_on(operator)
         else:
             self._switch_off()
@@ -56,19 +54,25 @@
         if self._merger:
             self._merger.close()
 
+    def _is_applied(self, operator: OperatorFile) -> bool:
+        """Return whether the section and the folder of its relative paths are those applied last."""
+        if self._applied is None:
+            return False
+        same_section = self._applied.settings.servers == operator.settings.servers
+        return same_section and self._applied.path == operator.path
+
     def _switch_on(self, operator: OperatorFile) -> None:
+        """Follow the endpoint file that the section names, by the section's settings."""
         policy = MergePolicy.from_settings(operator.settings.servers)
         if self._merger is None:
             self._merger = self._install_merger(policy)
         self._merger.set_policy(policy)
         self._cancel_task()
-        source = EndpointFileSource(operator, self._merger)
-        if self._source and self._source.path == source.path:
-            source.active_file = self._source.active_file  # another path starts anew, as at the start
-        self._source = source
-        self._task = asyncio.create_task(self._run(source))
+        self._source = EndpointFileSource(operator, self._merger, previous=self._source)
+        self._task = asyncio.create_task(self._run(self._source))
 
     def _install_merger(self, policy: MergePolicy) -> EndpointMerger:
+        """Make a merger the observer of discovery."""
         sys.setswitchinterval(THREAD_SWITCH_INTERVAL_S)
         merger = EndpointMerger(self.decisions, self.upstreams, policy)
         merger.adopt_known_endpoints()
@@ -76,6 +80,7 @@
         return merger
 
     def _switch_off(self) -> None:
+        """Put discovery alone in force."""
         self._cancel_task()
         self._source = None
         if self._merger:
@@ -84,6 +89,7 @@
             self._merger = None
 
     async def _run(self, source: EndpointFileSource) -> None:
+        """Run the source, and restart it after an unexpected exception, until cancelled."""
         while True:
             try:
                 await source.run()
--- a/wheatstile/resolvers/source_selection.py
+++ b/wheatstile/resolvers/source_selection.py
@@ -1,7 +1,7 @@
-"""Which source of servers is in force: discovery, the endpoint file, or both.
+"""Selects the source of servers that is in force: discovery, the endpoint file, or both.
 
-Pure: the time is an argument, in microseconds. The selection remembers when discovery was lost, so that a
-discovery which flaps (is lost and found again and again) has to answer for longer before it takes over.
+Pure: the time is an argument, in microseconds. A discovery that is lost and found repeatedly is flapping; it
+has to answer for longer after each loss before it is in force again.
 """
 
 from dataclasses import dataclass
@@ -11,14 +11,14 @@
 from wheatstile.resolvers.discovery_state import DiscoveryState
 
 MICROSECONDS_PER_SECOND = 1_000_000
-MAX_RECOVERY_FACTOR = 8  # times the recovery delay that a flapping discovery has to answer for, at most
-FLAP_WINDOW_FACTOR = 32  # times the recovery delay for which a loss of discovery counts as flapping
+MAX_RECOVERY_FACTOR = 8  # upper bound of the required recovery time, as a multiple of the recovery delay
+FLAP_WINDOW_FACTOR = 32  # age at which a loss is forgotten, as a multiple of the recovery delay
 MAX_REMEMBERED_LOSSES = 16
 MIN_SILENCE_US = MICROSECONDS_PER_SECOND  # a shorter silence does not interrupt discovery's recovery
 
 
 class EndpointSource(StrEnum):
-    """Where the servers in force come from. The values are logged and printed."""
+    """The source of the servers in force. The values are logged and printed."""
 
     DISCOVERY = "discovery"
     FILE = "file"
@@ -39,11 +39,11 @@
 
     mode: MergeMode
     discovery_timeout_us: int  # silence of discovery after which the file is in force (servers.after_s)
-    recovery_delay_us: int  # steady answers required of a discovery that flaps (servers.hold_down_s)
+    recovery_delay_us: int  # time for which a flapping discovery must answer (servers.hold_down_s)
 
     @classmethod
     def from_settings(cls, servers: Servers) -> "MergePolicy":
-        """Take the policy from the operator's `servers` section."""
+        """Build the policy from the `servers` section of the operator's file."""
         return cls(
             MergeMode(servers.mode),
             int(servers.after_s * MICROSECONDS_PER_SECOND),
@@ -53,16 +53,16 @@
 
 @dataclass(frozen=True, slots=True)
 class SourceSelection:
-    """The source in force and why."""
+    """The source in force, and the reason for it."""
 
     source: EndpointSource
-    reason: str  # for the log and for `servers explain`
+    reason: str  # logged, and printed by `wheatstile servers explain`
     recheck_at_us: int | None = None  # when time alone may change the selection; None: never
-    discovery_lost_at_us: tuple[int, ...] = ()  # recent times at which the file took over from discovery
+    discovery_lost_at_us: tuple[int, ...] = ()  # recent times at which the file replaced discovery
 
 
 def required_recovery_us(losses: int, policy: MergePolicy) -> int:
-    """Return how long discovery must answer to take over: not at all after one loss, then doubling."""
+    """Return how long discovery must answer before it is in force again: 0 after one loss, then doubling."""
     if losses <= 1:
         return 0
     doublings = losses - 2
@@ -76,20 +76,31 @@
     has_file: bool,
     previous: SourceSelection | None,
 ) -> SourceSelection:
-    """Select the source in force from now on, given the previous selection (None: none yet)."""
+    """Select the source that is in force from now on.
+
+    Args:
+        now_us: the time.
+        policy: the operator's settings.
+        discovery: the reports of discovery so far.
+        has_file: an endpoint file has been accepted.
+        previous: the selection until now; None if this is the first.
+
+    """
     losses = _recent_losses(now_us, policy, previous)
     if not has_file:
-        return SourceSelection(EndpointSource.DISCOVERY, "no file has been taken yet", None, losses)
+        reason = "no endpoint file has been accepted yet"
+        return SourceSelection(EndpointSource.DISCOVERY, reason, discovery_lost_at_us=losses)
     if policy.mode is MergeMode.OVERRIDE:
-        return SourceSelection(EndpointSource.FILE, "the mode is override", None, losses)
+        return SourceSelection(EndpointSource.FILE, "the mode is override", discovery_lost_at_us=losses)
     if policy.mode is MergeMode.MERGE:
-        return SourceSelection(EndpointSource.BOTH, "the mode is merge", None, losses)
+        return SourceSelection(EndpointSource.BOTH, "the mode is merge", discovery_lost_at_us=losses)
     if previous is None or previous.source is not EndpointSource.FILE:
-        return _select_after_discovery(now_us, policy, discovery, losses)
-    return _select_after_file(now_us, policy, discovery, previous.reason, losses)
+        return _fallback_from_discovery(now_us, policy, discovery, losses)
+    return _fallback_from_file(now_us, policy, discovery, previous.reason, losses)
 
 
 def _recent_losses(now_us: int, policy: MergePolicy, previous: SourceSelection | None) -> tuple[int, ...]:
+    """Return the times of the losses that count as flapping."""
     if previous is None:
         return ()
     window_us = FLAP_WINDOW_FACTOR * policy.recovery_delay_us
@@ -98,13 +109,14 @@
     )
 
 
-def _select_after_discovery(
+def _fallback_from_discovery(
     now_us: int, policy: MergePolicy, discovery: DiscoveryState, losses: tuple[int, ...]
 ) -> SourceSelection:
     """Select in fallback mode while discovery is in force."""
     last_report_at_us = discovery.last_report_at_us
     if last_report_at_us is None and not discovery.endpoints:
-        return SourceSelection(EndpointSource.FILE, "discovery has never told anything", None, losses)
+        reason = "discovery has never reported anything"
+        return SourceSelection(EndpointSource.FILE, reason, discovery_lost_at_us=losses)
     silent_since_us = discovery.listening_since_us if last_report_at_us is None else last_report_at_us
     silence_us = now_us - silent_since_us
     if silence_us < policy.discovery_timeout_us:
@@ -112,22 +124,26 @@
         return SourceSelection(EndpointSource.DISCOVERY, "discovery answers", timeout_at_us, losses)
     reason = f"discovery has told nothing for {silence_us / MICROSECONDS_PER_SECOND:.1f} s"
     losses = (*losses, now_us)[-MAX_REMEMBERED_LOSSES:]
-    return SourceSelection(EndpointSource.FILE, reason, None, losses)
+    return SourceSelection(EndpointSource.FILE, reason, discovery_lost_at_us=losses)
 
 
-def _select_after_file(
+def _fallback_from_file(
     now_us: int, policy: MergePolicy, discovery: DiscoveryState, reason: str, losses: tuple[int, ...]
 ) -> SourceSelection:
-    """Select in fallback mode while the file is in force, which it is for this reason."""
+    """Select in fallback mode while the file is in force for this reason."""
     steady_since_us = discovery.steady_since_us
     last_report_at_us = discovery.last_report_at_us
     if steady_since_us is None or last_report_at_us is None:
-        return SourceSelection(EndpointSource.FILE, reason, None, losses)
+        return SourceSelection(EndpointSource.FILE, reason, discovery_lost_at_us=losses)
     if now_us - last_report_at_us > max(policy.discovery_timeout_us, MIN_SILENCE_US):
-        return SourceSelection(EndpointSource.FILE, reason, None, losses)
-    recovered_at_us = steady_since_us + required_recovery_us(len(losses), policy)
+        return SourceSelection(EndpointSource.FILE, reason, discovery_lost_at_us=losses)
+    recovery_us = required_recovery_us(len(losses), policy)
+    recovered_at_us = steady_since_us + recovery_us
     if now_us >= recovered_at_us:
         timeout_at_us = last_report_at_us + policy.discovery_timeout_us
         return SourceSelection(EndpointSource.DISCOVERY, "discovery answers again", timeout_at_us, losses)
-    flapping = f"discovery answers, but was lost {len(losses)} times of late: held down"
+    flapping = (
+        f"discovery answers, but was lost {len(losses)} times recently: "
+        f"it must answer for {recovery_us / MICROSECONDS_PER_SECOND:g} s first"
+    )
     return SourceSelection(EndpointSource.FILE, flapping, recovered_at_us, losses)
--- a/wheatstile/resolvers/update_guard.py
+++ b/wheatstile/resolvers/update_guard.py
@@ -1,49 +1,44 @@
 """Decides whether a new endpoint file replaces the active endpoints. Pure: no input or output, no clock.
 
-`parse_endpoint_file` checks a file on its own; here it is compared with what it would replace.
+`parse_endpoint_file` checks a file by itself; this module compares it with what it would replace.
 """
 
 from dataclasses import dataclass
 from enum import StrEnum
 
-from wheatstile import interface as api
-from wheatstile.resolvers.endpoint_file import EndpointFile, EndpointFileRules, site_violations
+from wheatstile.resolvers.endpoint_file import EndpointFile, EndpointFileRules, site_shortages
+from wheatstile.resolvers.ready_endpoints import served_sites
 
 
 @dataclass(frozen=True, slots=True)
 class ActiveEndpoints:
-    """What a new endpoint file is compared with."""
+    """The endpoints that a new endpoint file would replace."""
 
-    endpoint_file: EndpointFile | None  # the file in force, which may be from before a restart
-    sites: tuple[str, ...]  # that the active endpoints serve
-    ready: frozenset[str]  # names of the ready servers, of which one change may remove only a share
+    endpoint_file: EndpointFile | None  # the file in force; it may have been accepted before a restart
+    sites: tuple[str, ...]  # sites that must keep ready servers
+    ready: frozenset[str]  # names of the ready servers that the new file may remove
 
     @classmethod
     def from_file(cls, endpoint_file: EndpointFile) -> "ActiveEndpoints":
-        """Take the endpoints of a file in force: its sites are those it names, else those it serves."""
-        served_sites = {
-            resolved.endpoint.zone
-            for resolved in endpoint_file.servers.values()
-            if resolved.endpoint.state == api.EndpointState.READY
-        }
-        sites = endpoint_file.sites or tuple(sorted(served_sites - {""}))
+        """Return the endpoints of a file in force. Its sites are those it names, else those it serves."""
+        sites = endpoint_file.sites or served_sites(endpoint_file.endpoints())
         return cls(endpoint_file, sites, endpoint_file.ready_names())
 
 
 @dataclass(frozen=True, slots=True)
 class PendingApproval:
-    """A file that removes too many servers: a newer one has to repeat it, or an operator to accept it."""
+    """A file that removes too many servers: a newer generation must repeat it, or an operator accept it."""
 
     digest: str
     generation: int | None
-    removed: frozenset[str]  # names of the ready servers that it removes
+    removed: frozenset[str]  # names of the ready servers that the file removes
 
 
 class EvaluationOutcome(StrEnum):
-    """What becomes of a new endpoint file."""
+    """The result of comparing a new endpoint file with the active endpoints."""
 
     ACCEPTED = "accepted"
-    UNCHANGED = "unchanged"  # it is in force already
+    UNCHANGED = "unchanged"  # the file is already in force
     AWAITING_APPROVAL = "awaiting approval"
     REJECTED = "rejected"
 
@@ -54,11 +49,11 @@
 
     outcome: EvaluationOutcome
     reasons: tuple[str, ...] = ()
-    pending: PendingApproval | None = None  # what awaits approval from now on
+    pending: PendingApproval | None = None  # what awaits approval after this evaluation
 
     @property
     def is_blocked(self) -> bool:
-        """Whether the file does not come into force now."""
+        """Whether the file is rejected or awaits approval."""
         return self.outcome in (EvaluationOutcome.REJECTED, EvaluationOutcome.AWAITING_APPROVAL)
 
 
@@ -73,14 +68,15 @@
 
     Args:
         candidate: the new file.
-        active: what it would replace.
+        active: the endpoints that it would replace.
         pending: the file that has awaited approval so far, if any.
-        accepted_digests: accepted by an operator; they approve the removal of servers and nothing else.
+        accepted_digests: files that an operator has accepted. Acceptance approves the removal of servers; it
+            does not lift any other rule.
         rules: the operator's limits.
 
     """
     if active.endpoint_file and active.endpoint_file.digest == candidate.digest:
-        reasons = ("the list in force says the same",)
+        reasons = ("the file in force has the same content",)
         return Evaluation(EvaluationOutcome.UNCHANGED, reasons, pending)
     violations = _violations(candidate, active, rules)
     if violations:
@@ -100,24 +96,26 @@
     accepted_digests: frozenset[str],
     rules: EndpointFileRules,
 ) -> Evaluation:
+    """Accept the removal if it is approved; otherwise it awaits approval."""
     if removal.digest in accepted_digests:
         return Evaluation(EvaluationOutcome.ACCEPTED, (f"{change}, as accepted",))
     if pending and _confirms(removal, pending):
         reason = f"{change}, as generation {pending.generation} did before it"
         return Evaluation(EvaluationOutcome.ACCEPTED, (reason,))
     if pending and pending.digest == removal.digest:
-        return Evaluation(EvaluationOutcome.AWAITING_APPROVAL, (f"{change}; still held",), pending)
+        reason = f"{change}; still awaiting approval"
+        return Evaluation(EvaluationOutcome.AWAITING_APPROVAL, (reason,), pending)
     reason = (
-        f"{change}, more than servers.most_removed ({rules.max_removed_share:g}) allows: held until a newer "
-        f"generation repeats it or `wheatstile servers accept` names {removal.digest}"
+        f"{change}, more than servers.most_removed ({rules.max_removed_share:g}) allows: awaiting approval "
+        f"until a newer generation repeats it or `wheatstile servers accept` names {removal.digest}"
     )
     return Evaluation(EvaluationOutcome.AWAITING_APPROVAL, (reason,), removal)
 
 
 def _violations(candidate: EndpointFile, active: ActiveEndpoints, rules: EndpointFileRules) -> list[str]:
     violations = _generation_violations(candidate, active.endpoint_file)
-    if candidate.sites is None:  # else its own sites were checked when it was parsed
-        violations += [violation.reason for violation in site_violations(candidate, active.sites, rules)]
+    if candidate.sites is None:  # sites that the file names were checked when it was parsed
+        violations += [shortage.reason for shortage in site_shortages(candidate, active.sites, rules)]
     return violations
 
 
@@ -125,16 +123,16 @@
     if active is None or active.generation is None:
         return []
     if candidate.generation is None:
-        return [f"has no generation, and the list in force has {active.generation}"]
+        return [f"has no generation, and the file in force has generation {active.generation}"]
     if candidate.generation < active.generation:
         return [f"generation {candidate.generation} goes back behind {active.generation}"]
     if candidate.generation == active.generation:
-        return [f"generation {candidate.generation} is in force with another content: raise it"]
+        return [f"generation {candidate.generation} is in force with another content: raise the generation"]
     return []
 
 
 def _confirms(removal: PendingApproval, pending: PendingApproval) -> bool:
-    """Whether a newer generation removes servers that the pending one did, and no others."""
+    """Return whether a newer generation removes no servers but those that the pending one removes."""
     if removal.generation is None or pending.generation is None:
         return False
     return removal.generation > pending.generation and removal.removed <= pending.removed
