--- a/wheatstile/store/errors.py
+++ b/wheatstile/store/errors.py
@@ -1,4 +1,4 @@
-"""The store's exceptions: all derive from `StoreError` and carry their data as attributes."""
+"""The store's exceptions. All derive from `StoreError` and carry their data as attributes."""
 
 from __future__ import annotations
 
@@ -7,37 +7,46 @@
     """Base of the store's exceptions."""
 
 
-class NotLeaderError(StoreError):
-    """The operation needs the leader and reached another member.
+class ReasonError(StoreError):
+    """Base of the exceptions whose message is their `reason`."""
 
-    `leader` is the leader that the member knows of, or None.
-    """
+    def __init__(self, reason: str) -> None:
+        super().__init__(reason)
+        self.reason = reason
 
-    def __init__(self, leader: str | None) -> None:
-        super().__init__(f"not leader; leader {leader or '?'}")
-        self.leader = leader
 
+class MembershipChangeRejectedError(ReasonError):
+    """The membership change or the leadership transfer is unsafe, or impossible at the moment."""
 
-class MembershipChangeRejectedError(StoreError):
-    """A membership change or a leadership transfer that is not safe or not possible now."""
 
-    def __init__(self, reason: str) -> None:
-        super().__init__(reason)
-        self.reason = reason
+class OutcomeUnknownError(ReasonError):
+    """It is unknown whether the request was carried out. A write may have been applied or not."""
 
 
-class OutcomeUnknownError(StoreError):
-    """Whether the request was carried out is not known: a write may or may not be applied."""
+class InvalidCommandError(ReasonError):
+    """The command exceeds a limit, or writes a key twice."""
 
-    def __init__(self, reason: str) -> None:
-        super().__init__(reason)
-        self.reason = reason
+
+class RestoreRejectedError(ReasonError):
+    """The backup must not be restored under this cluster name or into this directory."""
+
+
+class NotLeaderError(StoreError):
+    """The operation needs the leader and reached another member.
+
+    `leader` is the leader that this member knows of, or None.
+    """
+
+    def __init__(self, leader: str | None) -> None:
+        known_leader = "no leader is known" if leader is None else f'the leader is "{leader}"'
+        super().__init__(f"this member is not the leader; {known_leader}")
+        self.leader = leader
 
 
 class StorageFailedError(StoreError):
-    """Writing to a member's directory failed.
+    """A write to the member's directory failed.
 
-    What is on the disk is no longer known, so the member must stop without another answer.
+    The contents of the disk are unknown from then on, so the member must stop and answer nothing more.
     """
 
     def __init__(self, directory: str, cause: OSError) -> None:
@@ -47,9 +56,9 @@
 
 
 class CorruptStorageError(StoreError):
-    """A file holds what no crash leaves behind.
+    """A file has contents that no crash can leave behind.
 
-    `offset` is the byte offset of the bad record, or None where the file as a whole is meant.
+    `offset` is the byte offset of the corrupt record, or None if the error concerns the whole file.
     """
 
     def __init__(self, path: str, offset: int | None, reason: str) -> None:
@@ -61,49 +70,33 @@
 
 
 class WatchCompactedError(StoreError):
-    """A watch asks for events that are no longer stored; the keys have to be read anew.
+    """A watch asks for events that were discarded. The client has to read the keys again.
 
     `compacted_revision` is the revision of the latest event that was discarded.
     """
 
     def __init__(self, compacted_revision: int) -> None:
-        super().__init__(f"the oldest is after {compacted_revision}")
+        super().__init__(f"events up to revision {compacted_revision} were discarded")
         self.compacted_revision = compacted_revision
 
 
-class InvalidCommandError(StoreError):
-    """A command that breaks a limit, or writes a key twice."""
-
-    def __init__(self, reason: str) -> None:
-        super().__init__(reason)
-        self.reason = reason
-
-
-class RestoreRejectedError(StoreError):
-    """A backup may not be restored under this cluster's name or into this directory."""
+class RequestRejectedError(StoreError):
+    """The store rejected a client's request. `code` is the error code of the reply."""
 
-    def __init__(self, reason: str) -> None:
-        super().__init__(reason)
+    def __init__(self, code: str, reason: str) -> None:
+        super().__init__(f"{code}: {reason}")
+        self.code = code
         self.reason = reason
 
 
 class ProtocolError(StoreError, ValueError):
-    """A peer or a client sent what the protocol does not allow; the connection is closed."""
+    """A peer or a client violated the protocol. The connection is closed."""
 
 
 class FrameTooLargeError(ProtocolError):
-    """A frame announces more bytes than the receiver accepts."""
+    """The length prefix of a frame exceeds the receiver's limit."""
 
     def __init__(self, length_bytes: int, max_bytes: int) -> None:
-        super().__init__(f"a frame of {length_bytes} bytes, {max_bytes} at most")
+        super().__init__(f"a frame has {length_bytes} bytes; the limit is {max_bytes}")
         self.length_bytes = length_bytes
         self.max_bytes = max_bytes
-
-
-class RequestRejectedError(StoreError):
-    """The store has rejected a client's request; `code` is the reply's error code."""
-
-    def __init__(self, code: str, reason: str) -> None:
-        super().__init__(f"{code}: {reason}")
-        self.code = code
-        self.reason = reason
--- a/wheatstile/store/raft/__init__.py
+++ b/wheatstile/store/raft/__init__.py
@@ -1,8 +1,9 @@
-"""Raft as a pure step function: ticks, messages, proposals and reads in, a `Ready` for the host out.
+"""Raft as a pure step function. Its inputs are ticks, messages, proposals and reads; its output is a `Ready`.
 
-`node.RaftNode` is the entry point. The other modules are its parts, each a set of functions over one typed
-`state.RaftState`: `log`, `election`, `replication` (the leader's side), `follower` (the follower's side),
-`read_index`, `transfer` and `membership`. Nothing here does input or output or reads a clock.
+`node.RaftNode` is the entry point. `state.RaftState` is the state of one node, and `log.RaftLog` its log. The
+parts of the algorithm are functions over that state: `election`, `replication` (the leader's side),
+`follower` (the follower's side), `read_index`, `transfer`, `membership` and `terms`. This package does no
+input or output and reads no clock.
 
 The algorithm is that of Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm"
 (USENIX ATC 2014), with these parts of Ongaro's dissertation, "Consensus: Bridging Theory and Practice"
--- a/wheatstile/store/raft/election.py
+++ b/wheatstile/store/raft/election.py
@@ -1,4 +1,4 @@
-"""Elections: pre-vote (§9.6), votes (§3.4), and a leader's check that a quorum still answers it (§6.2)."""
+"""Elections: pre-vote (§9.6), votes (§3.4), and the leader's check that it still has a quorum (§6.2)."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 
 def tick(state: RaftState) -> None:
-    """Start a pre-vote where the leader was not heard from for an election time-out."""
+    """Starts a pre-vote if there was no contact with a leader for an election time-out."""
     if state.election_elapsed >= state.election_timeout and state.name in state.configuration.electors:
         start_pre_vote(state)
 
 
 def check_quorum(state: RaftState) -> None:
-    """Have a leader step down that no quorum has answered for an election time-out (§6.2)."""
+    """Makes the leader step down if no quorum has replied to it for an election time-out (§6.2)."""
     if state.election_elapsed < state.timing.election_ticks:
         return
     state.election_elapsed = 0
@@ -25,7 +25,7 @@
 
 
 def start_pre_vote(state: RaftState) -> None:
-    """Ask whether an election could be won, without taking a new term (§9.6)."""
+    """Asks the other voters whether they would vote for this node, without starting a term (§9.6)."""
     state.reset_election_timer()
     state.set_leader(None)
     state.role = Role.PRE_CANDIDATE
@@ -33,7 +33,7 @@
 
 
 def start_election(state: RaftState, is_transfer: bool = False) -> None:
-    """Campaign in a new term; `is_transfer` where the leader has asked for it (§3.10)."""
+    """Starts a campaign in a new term; `is_transfer` tells that the leader has asked for it (§3.10)."""
     state.reset_election_timer()
     state.set_leader(None)
     state.role = Role.CANDIDATE
@@ -62,14 +62,24 @@
 
 
 def on_vote_request(state: RaftState, message: Message) -> None:
-    """Answer a candidate, or a pre-candidate, whose log has to be as up to date as this node's (§3.6.1)."""
+    """Answers a candidate or pre-candidate, whose log must be as up to date as this node's (§3.6.1)."""
     last_entry = (state.log.last_term, state.log.last_index)
     is_up_to_date = (message.log_term, message.index) >= last_entry
     if message.kind is MessageKind.PRE_VOTE:
-        granted = is_up_to_date and message.term > state.term and not state.is_leader_recent
-        term = message.term if granted else state.term
-        state.send(MessageKind.PRE_VOTE_REPLY, message.sender, term=term, granted=granted)
-        return
+        _answer_pre_vote(state, message, is_up_to_date)
+    else:
+        _answer_vote(state, message, is_up_to_date)
+
+
+def _answer_pre_vote(state: RaftState, message: Message, is_up_to_date: bool) -> None:
+    """Replies in the pre-candidate's term if the pre-vote is granted, otherwise in the current term."""
+    granted = is_up_to_date and message.term > state.term and not state.is_leader_recent
+    term = message.term if granted else state.term
+    state.send(MessageKind.PRE_VOTE_REPLY, message.sender, term=term, granted=granted)
+
+
+def _answer_vote(state: RaftState, message: Message, is_up_to_date: bool) -> None:
+    """Grants at most one candidate a vote in the current term."""
     granted = is_up_to_date and state.vote in (None, message.sender)
     if granted:
         state.vote = message.sender
@@ -78,13 +88,13 @@
 
 
 def on_pre_vote_reply(state: RaftState, message: Message) -> None:
-    """Count an answer to a pre-vote."""
+    """Counts a reply to a pre-vote request."""
     if state.role is Role.PRE_CANDIDATE and message.term == state.term + 1:
         _count_vote(state, message)
 
 
 def on_vote_reply(state: RaftState, message: Message) -> None:
-    """Count an answer to a vote."""
+    """Counts a reply to a vote request."""
     if state.role is Role.CANDIDATE and message.term == state.term:
         _count_vote(state, message)
 
@@ -105,7 +115,7 @@
 
 
 def become_leader(state: RaftState) -> None:
-    """Lead the current term, beginning with an entry of it that lets older entries be committed (§6.4)."""
+    """Makes this node the leader; its no-op entry lets it commit the entries of earlier terms (§6.4)."""
     state.role = Role.LEADER
     state.set_leader(state.name)
     state.election_elapsed = 0
@@ -117,7 +127,7 @@
     state.leadership.noop_index = replication.propose(state, EntryKind.NOOP)
 
 
-def on_timeout_now(state: RaftState) -> None:
-    """Campaign at once, since the leader hands over (§3.10)."""
+def on_timeout_now(state: RaftState, _message: Message) -> None:
+    """Starts a campaign at once, because the leader transfers its leadership to this node (§3.10)."""
     if state.name in state.configuration.voters and state.role is Role.FOLLOWER:
         start_election(state, is_transfer=True)
--- a/wheatstile/store/raft/follower.py
+++ b/wheatstile/store/raft/follower.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+from dataclasses import dataclass
+
 import msgspec
 
 from wheatstile.store.raft.log import RaftLog
@@ -9,47 +11,56 @@
 from wheatstile.store.raft.state import IncomingSnapshot, RaftState
 
 
+@dataclass(frozen=True, slots=True)
+class UncommittedEntries:
+    """The entries of an append after the follower's commit index, and the entry that precedes them."""
+
+    previous_index: int
+    previous_term: int
+    entries: tuple[Entry, ...]
+
+
 def on_append(state: RaftState, message: Message) -> None:
-    """Store the leader's entries, if the entry before them matches, and advance the commit index."""
+    """Stores the leader's entries if the preceding entry matches, and advances the commit index."""
     state.on_leader_contact(message.sender)
     log = state.log
-    previous_index = message.index
-    previous_term = message.log_term
-    entries = message.entries
-    if previous_index < log.commit_index:  # entries up to the commit index are final and match
-        entries = tuple(entry for entry in entries if entry.index > log.commit_index)
-        previous_index = log.commit_index
-        previous_term = log.term_at(log.commit_index) or 0
-    if log.term_at(previous_index) != previous_term:
-        _reject_append(state, message, previous_index, previous_term)
+    uncommitted = _skip_committed(log, message)
+    if log.term_at(uncommitted.previous_index) != uncommitted.previous_term:
+        _reject_append(state, message, uncommitted)
         return
-    _store_entries(log, entries)
-    last_new_index = max(message.index + len(message.entries), previous_index)
-    log.commit_index = max(log.commit_index, min(message.commit, last_new_index))
-    if log.commit_index >= message.commit and message.echoed_tick:
-        confirmed_at_tick = message.echoed_tick - message.commit_age_ticks
-        state.confirmed_at_tick = max(state.confirmed_at_tick, confirmed_at_tick)
-    state.send(
-        MessageKind.APPEND_REPLY,
-        message.sender,
-        index=last_new_index,
-        granted=True,
-        context=message.context,
-        sender_tick=state.ticks,
-    )
+    _store_entries(log, uncommitted.entries)
+    matching_index = max(message.index + len(message.entries), uncommitted.previous_index)
+    log.commit_index = max(log.commit_index, min(message.commit, matching_index))
+    _update_confirmed_tick(state, message)
+    _reply_to_append(state, message, index=matching_index, granted=True)
 
 
-def _reject_append(state: RaftState, message: Message, previous_index: int, previous_term: int) -> None:
-    """Tell the leader that the entry before does not match, and from where on the logs may match."""
+def _skip_committed(log: RaftLog, message: Message) -> UncommittedEntries:
+    """Returns the entries of an append without those up to the commit index, which match already."""
+    if message.index >= log.commit_index:
+        return UncommittedEntries(message.index, message.log_term, message.entries)
+    entries = tuple(entry for entry in message.entries if entry.index > log.commit_index)
+    return UncommittedEntries(log.commit_index, log.term_at(log.commit_index) or 0, entries)
+
+
+def _reject_append(state: RaftState, message: Message, uncommitted: UncommittedEntries) -> None:
+    """Tells the leader that the preceding entry does not match, and at which index the logs may match."""
     log = state.log
-    resume_from = min(previous_index - 1, log.last_index)
-    # No entry of a later term than the leader's entry can match before that entry.
-    while resume_from > log.commit_index and (log.term_at(resume_from) or 0) > previous_term:
+    resume_from = min(uncommitted.previous_index - 1, log.last_index)
+    # An entry of a later term than the leader's preceding entry cannot match.
+    while resume_from > log.commit_index and (log.term_at(resume_from) or 0) > uncommitted.previous_term:
         resume_from -= 1
+    _reply_to_append(state, message, index=uncommitted.previous_index, resume_from=resume_from)
+
+
+def _reply_to_append(
+    state: RaftState, message: Message, *, index: int, granted: bool = False, resume_from: int = 0
+) -> None:
     state.send(
         MessageKind.APPEND_REPLY,
         message.sender,
-        index=previous_index,
+        index=index,
+        granted=granted,
         resume_from=resume_from,
         context=message.context,
         sender_tick=state.ticks,
@@ -57,7 +68,7 @@
 
 
 def _store_entries(log: RaftLog, entries: tuple[Entry, ...]) -> None:
-    """Append the entries that are new, in place of those from the first conflict on."""
+    """Appends the entries that are missing, after removing those that conflict with them."""
     for position, entry in enumerate(entries):
         known_term = log.term_at(entry.index)
         if known_term == entry.term:
@@ -68,10 +79,18 @@
         break
 
 
+def _update_confirmed_tick(state: RaftState, message: Message) -> None:
+    """Records as of which tick of this node the commit index is known to have been the leader's."""
+    if state.log.commit_index < message.commit or not message.echoed_tick:
+        return
+    confirmed_at_tick = message.echoed_tick - message.commit_age_ticks
+    state.confirmed_at_tick = max(state.confirmed_at_tick, confirmed_at_tick)
+
+
 def on_snapshot(state: RaftState, message: Message) -> None:
-    """Collect the chunks of a snapshot and install it when it is complete.
+    """Stores a chunk of a snapshot, and installs the snapshot when it is complete.
 
-    A transfer resumes where it stopped, also under another leader with the same snapshot.
+    Another leader with the same snapshot continues where the previous one stopped.
     """
     state.on_leader_contact(message.sender)
     chunk = message.snapshot
@@ -79,27 +98,28 @@
     if chunk.index > state.log.commit_index:
         data = _collect_chunk(state, chunk, message.snapshot_offset)
         if len(data) < message.snapshot_size:
-            state.send(
-                MessageKind.SNAPSHOT_REPLY,
-                message.sender,
-                index=chunk.index,
-                resume_from=len(data),
-                context=message.context,
-            )
+            _reply_to_snapshot(state, message, index=chunk.index, resume_from=len(data))
             return
         state.log.install(msgspec.structs.replace(chunk, data=bytes(data)))
     state.incoming_snapshot = None
+    _reply_to_snapshot(state, message, index=state.log.commit_index, granted=True)
+
+
+def _reply_to_snapshot(
+    state: RaftState, message: Message, *, index: int, granted: bool = False, resume_from: int = 0
+) -> None:
     state.send(
         MessageKind.SNAPSHOT_REPLY,
         message.sender,
-        index=state.log.commit_index,
-        granted=True,
+        index=index,
+        granted=granted,
+        resume_from=resume_from,
         context=message.context,
     )
 
 
 def _collect_chunk(state: RaftState, chunk: Snapshot, offset: int) -> bytearray:
-    """Add a chunk, if it is the next one of its snapshot; returns all data of that snapshot so far."""
+    """Adds a chunk if it is the next one of its snapshot, and returns the snapshot's data so far."""
     incoming = state.incoming_snapshot
     if incoming is None or (incoming.index, incoming.term) != (chunk.index, chunk.term):
         incoming = IncomingSnapshot(chunk.index, chunk.term)
--- a/wheatstile/store/raft/log.py
+++ b/wheatstile/store/raft/log.py
@@ -1,4 +1,4 @@
-"""The log of one Raft node: a snapshot, the entries that follow it, and the configurations among them."""
+"""The log of one Raft node: a snapshot, the entries after it, and the configurations in both."""
 
 from __future__ import annotations
 
@@ -8,24 +8,24 @@
 from wheatstile.store.raft.messages import Configuration, Entry, Snapshot
 
 MAX_BATCH_ENTRIES = 256
-"""Entries in one append at most."""
+"""Entries in one append message."""
 MAX_BATCH_BYTES = 1 << 20
-"""Bytes of data in one append, after which no further entry is added."""
+"""Bytes of data in one append message; the entry that reaches this size is the last one added."""
 
 
 @dataclass(frozen=True, slots=True)
 class LoggedConfiguration:
-    """A configuration and the index of the entry, or of the snapshot, that holds it."""
+    """A configuration, and the index of the entry or of the snapshot that contains it."""
 
     index: int
     configuration: Configuration
 
 
 class RaftLog:
-    """Entries by index, contiguous from `snapshot.index + 1` on.
+    """A snapshot and the contiguous entries from `snapshot.index + 1` on.
 
-    `unpersisted_entries` and `unpersisted_snapshot` are what the host has not been given to persist yet
-    (etcd's unstable log). Raises ValueError where `entries` has a gap.
+    `unpersisted_entries` and `unpersisted_snapshot` have not been passed to the host yet (etcd's unstable
+    log). Raises ValueError if the indices of `entries` are not contiguous.
     """
 
     def __init__(self, snapshot: Snapshot, entries: Iterable[Entry], commit_index: int = 0) -> None:
@@ -42,7 +42,7 @@
         self.unpersisted_snapshot: Snapshot | None = None
 
     def _find_configurations(self) -> list[LoggedConfiguration]:
-        """Return every configuration in the log, oldest first; the snapshot's is always there."""
+        """Returns the snapshot's configuration and those in the log, oldest first."""
         found = [LoggedConfiguration(self.snapshot.index, self.snapshot.configuration)]
         found += [
             LoggedConfiguration(entry.index, entry.configuration)
@@ -53,12 +53,12 @@
 
     @property
     def configuration(self) -> Configuration:
-        """The configuration in force: the latest in the log, committed or not (§4.1)."""
+        """The configuration in force, which is the latest one in the log, committed or not (§4.1)."""
         return self.configurations[-1].configuration
 
     @property
     def is_configuration_committed(self) -> bool:
-        """Whether the configuration in force is committed, so that the next change may begin."""
+        """Whether the configuration in force is committed. Otherwise no further change may begin."""
         return self.configurations[-1].index <= self.commit_index
 
     @property
@@ -72,7 +72,7 @@
         return self.entries[-1].term if self.entries else self.snapshot.term
 
     def term_at(self, index: int) -> int | None:
-        """Return the term of the entry at `index`; None where it is compacted away or not there yet."""
+        """Returns the term of the entry at `index`, or None if it is compacted or not in the log yet."""
         if index == self.snapshot.index:
             return self.snapshot.term
         if index < self.snapshot.index or index > self.last_index:
@@ -80,7 +80,7 @@
         return self.entries[index - self.snapshot.index - 1].term
 
     def batch_from(self, first: int) -> tuple[Entry, ...]:
-        """Return the entries from index `first` on that go into one append."""
+        """Returns the entries from index `first` on that fit into one append message."""
         start = first - self.snapshot.index - 1
         entries = self.entries[start : start + MAX_BATCH_ENTRIES]
         size_bytes = 0
@@ -91,7 +91,7 @@
         return tuple(entries)
 
     def append(self, entries: Iterable[Entry]) -> None:
-        """Add `entries`, which continue the log."""
+        """Appends `entries`, the first of which follows the last entry of the log."""
         for entry in entries:
             self.entries.append(entry)
             self.unpersisted_entries.append(entry)
@@ -99,9 +99,9 @@
                 self.configurations.append(LoggedConfiguration(entry.index, entry.configuration))
 
     def truncate_from(self, index: int) -> None:
-        """Remove the entries from `index` on.
+        """Removes the entries from `index` on.
 
-        The host learns of it from the index of the next entry that is appended.
+        The host removes them from its disk when it stores the next entry, which has an index that is in use.
         """
         del self.entries[index - self.snapshot.index - 1 :]
         self.unpersisted_entries = [entry for entry in self.unpersisted_entries if entry.index < index]
@@ -109,26 +109,26 @@
             self.configurations.pop()
 
     def take_committed(self) -> list[Entry]:
-        """Return the entries that are committed and not applied yet, which count as applied from now on."""
+        """Returns the committed entries that are not applied, and marks them as applied."""
         start = self.applied_index - self.snapshot.index
         end = self.commit_index - self.snapshot.index
         self.applied_index = self.commit_index
         return self.entries[start:end]
 
     def take_unpersisted_entries(self) -> list[Entry]:
-        """Return the entries to persist, once."""
+        """Returns the entries that the host has to store, and marks them as stored."""
         entries = self.unpersisted_entries
         self.unpersisted_entries = []
         return entries
 
     def take_unpersisted_snapshot(self) -> Snapshot | None:
-        """Return the snapshot to persist, once."""
+        """Returns the snapshot that the host has to store, if any, and marks it as stored."""
         snapshot = self.unpersisted_snapshot
         self.unpersisted_snapshot = None
         return snapshot
 
     def compact(self, data: bytes) -> None:
-        """Replace the applied entries by a snapshot with `data`, the state after the last of them (§5.1)."""
+        """Replaces the applied entries by a snapshot; `data` is the state after the last of them (§5.1)."""
         index = self.applied_index
         term = self.term_at(index)
         if index == self.snapshot.index or term is None:
@@ -139,7 +139,7 @@
         self.configurations = self._find_configurations()
 
     def install(self, snapshot: Snapshot) -> None:
-        """Replace the log by the leader's `snapshot`; later entries stay where the log matches it (§5.3)."""
+        """Replaces the log by the leader's `snapshot`; keeps later entries if the log matches it (§5.3)."""
         matches = self.term_at(snapshot.index) == snapshot.term
         self.entries = [entry for entry in self.entries if matches and entry.index > snapshot.index]
         self.unpersisted_entries = [
--- a/wheatstile/store/raft/membership.py
+++ b/wheatstile/store/raft/membership.py
@@ -1,7 +1,8 @@
 """The rules of membership changes by joint consensus (§4.3).
 
-A change of voters appends two configurations: a joint one, in which decisions need a majority of the outgoing
-and of the new voters, and, once that is committed, the new one alone. Learners change in one step.
+A change of voters appends two configurations. The first one is joint: decisions need a majority of the
+outgoing voters and a majority of the new voters. Once it is committed, the leader appends the final one,
+which has only the new voters. A change of learners alone needs one configuration.
 """
 
 from __future__ import annotations
@@ -10,21 +11,20 @@
 
 import msgspec
 
-from wheatstile.store.errors import MembershipChangeRejectedError, NotLeaderError
-from wheatstile.store.raft.messages import Configuration, Role
+from wheatstile.store.errors import MembershipChangeRejectedError
+from wheatstile.store.raft.messages import Configuration
 from wheatstile.store.raft.state import RaftState
 
 
 def plan_change(state: RaftState, voters: Iterable[str], learners: Iterable[str]) -> Configuration:
-    """Return the first configuration that leads to these members; a voter is no learner.
+    """Returns the first configuration of the change to these members. A voter is removed from the learners.
 
-    Raises `NotLeaderError`, or `MembershipChangeRejectedError` while another change is under way, before this
-    leader has committed an entry, or where no voter would be left.
+    Raises `NotLeaderError`. Raises `MembershipChangeRejectedError` during another change, before this leader
+    has committed an entry, and if there would be no voter.
     """
     target = Configuration(frozenset(voters), learners=frozenset(learners) - frozenset(voters))
     current = state.configuration
-    if state.role is not Role.LEADER:
-        raise NotLeaderError(state.leader)
+    state.require_leader()
     if current.outgoing_voters or not state.log.is_configuration_committed:
         raise MembershipChangeRejectedError("a change of members is still under way")
     if not state.has_committed_in_term:
@@ -37,10 +37,10 @@
 
 
 def final_configuration(joint: Configuration) -> Configuration:
-    """Return the configuration that ends the change which `joint` began."""
+    """Returns the configuration that completes the change started by `joint`."""
     return msgspec.structs.replace(joint, outgoing_voters=frozenset())
 
 
 def is_removed(state: RaftState) -> bool:
-    """Whether this leader is no voter any more, so that it has to step down (§4.2.2)."""
+    """Returns whether this leader is no longer a voter and has to step down (§4.2.2)."""
     return state.name not in state.configuration.voters
--- a/wheatstile/store/raft/messages.py
+++ b/wheatstile/store/raft/messages.py
@@ -1,7 +1,7 @@
-"""Values that Raft nodes store and exchange: entries, configurations, snapshots, messages, and `Ready`.
+"""The values that Raft nodes store and exchange: entries, configurations, snapshots, messages, and `Ready`.
 
-All but `Ready` are encoded as MessagePack maps. Fields whose key on the wire or on disk differs from the
-field's name give the key with `msgspec.field(name=...)`: the keys are part of the stored format.
+Each msgspec struct is encoded as a MessagePack map. The keys of the map are part of the stored format; where
+a key differs from the field's name, `msgspec.field(name=...)` gives the key.
 """
 
 from __future__ import annotations
@@ -23,34 +23,34 @@
 
 
 class MessageKind(enum.StrEnum):
-    """What a `Message` asks or answers; the values are those on the wire."""
+    """The kind of a `Message`; the values are those on the wire."""
 
     PRE_VOTE = "pre-vote"
     PRE_VOTE_REPLY = "pre-vote-reply"
     VOTE = "vote"
     VOTE_REPLY = "vote-reply"
-    APPEND = "append"  # replicates entries; without entries it is the heartbeat
+    APPEND = "append"  # replicates entries; a heartbeat is an append without entries
     APPEND_REPLY = "append-reply"
     SNAPSHOT = "snapshot"  # one chunk of a snapshot
     SNAPSHOT_REPLY = "snapshot-reply"
-    READ = "read"  # a follower asks the leader for a read index
+    READ = "read"  # a follower requests a read index from the leader
     READ_REPLY = "read-reply"
-    TIMEOUT_NOW = "timeout-now"  # leadership transfer: the receiver campaigns at once
+    TIMEOUT_NOW = "timeout-now"  # in a leadership transfer, tells the target to campaign at once
 
 
 class EntryKind(enum.StrEnum):
-    """What a log entry holds; the values are those on disk and on the wire."""
+    """The kind of a log entry; the values are those on disk and on the wire."""
 
-    NOOP = "noop"  # a new leader's first entry, which lets it commit the entries of earlier terms
+    NOOP = "noop"  # a new leader's first entry; earlier terms' entries are committed with it
     DATA = "data"  # a command for the state machine
-    CONFIGURATION = "config"  # in force from the moment that it is in the log (§4.1)
+    CONFIGURATION = "config"  # takes effect as soon as it is in the log (§4.1)
 
 
 class Configuration(msgspec.Struct, frozen=True):
     """The members of the cluster.
 
-    While `outgoing_voters` is not empty, a change is under way (joint consensus, §4.3): a decision needs a
-    majority of `voters` and a majority of `outgoing_voters`. Learners receive the log and do not vote.
+    `outgoing_voters` is set during a membership change (joint consensus, §4.3). A decision then needs a
+    majority of `voters` and a majority of `outgoing_voters`. Learners receive the log but do not vote.
     """
 
     voters: frozenset[str]
@@ -69,22 +69,22 @@
 
     @property
     def majorities(self) -> list[frozenset[str]]:
-        """The sets of voters of each of which a decision needs a majority: two during a change, else one."""
+        """The sets of voters that each need a majority: two sets during a change, otherwise one."""
         return [voters for voters in (self.voters, self.outgoing_voters) if voters]
 
     def has_quorum(self, names: Set[str]) -> bool:
-        """Whether the nodes `names` suffice for a decision."""
+        """Returns whether the nodes `names` contain the majorities that a decision needs."""
         return all(len(names & voters) * 2 > len(voters) for voters in self.majorities)
 
     def quorum_value(self, value_of: Callable[[str], int]) -> int:
-        """Return the largest value that a quorum has reached; `value_of` gives each voter's."""
+        """Returns the highest value that a quorum has reached; `value_of` returns the value of one voter."""
         return min(
             sorted(map(value_of, voters), reverse=True)[len(voters) // 2] for voters in self.majorities
         )
 
 
 class Entry(msgspec.Struct, frozen=True):
-    """One entry of the log; `configuration` is set for entries of that kind."""
+    """One entry of the log; `configuration` is set if `kind` is `EntryKind.CONFIGURATION`."""
 
     term: int
     index: int
@@ -94,7 +94,7 @@
 
 
 class Snapshot(msgspec.Struct, frozen=True):
-    """The applied state up to `index`, whose entry had `term`, and the configuration at that index."""
+    """The state after the entry at `index` with `term` was applied, and the configuration at that index."""
 
     index: int
     term: int
@@ -103,9 +103,9 @@
 
 
 class HardState(msgspec.Struct, frozen=True):
-    """What a node must have on disk before it sends a message (paper, figure 2: persistent state).
+    """The values that must be on disk before a message is sent (paper, figure 2: persistent state).
 
-    `commit` is stored with it so that a restarted node applies its log without a leader.
+    `commit` is the commit index. With it a restarted node can apply its log before it has found a leader.
     """
 
     term: int
@@ -114,10 +114,11 @@
 
 
 class Message(msgspec.Struct, frozen=True):
-    """One message between two nodes; as in etcd's raft, one type carries the fields of every kind.
+    """A message between two nodes. As in etcd's raft, one type has the fields of all kinds.
 
-    `index` and `log_term` name the sender's last entry in votes, the entry before `entries` in appends, and
-    the rejected entry in a rejection.
+    `index` and `log_term` identify the sender's last entry in vote requests, and the entry that precedes
+    `entries` in appends. `index` is the last matching entry in an accepting append reply, and the rejected
+    preceding entry in a rejecting one.
     """
 
     kind: MessageKind
@@ -130,29 +131,29 @@
     commit: int = 0
     """The leader's commit index, in appends."""
     granted: bool = False
-    """In replies: the vote is given, the entries are stored, the snapshot is installed."""
+    """In replies: the vote was granted, the entries were stored, or the snapshot was installed."""
     resume_from: int = msgspec.field(default=0, name="hint")
-    """In rejections the index to continue from; in snapshot replies the next byte."""
+    """In append replies, the last index that may match; in snapshot replies, the offset of the next byte."""
     context: int = msgspec.field(default=0, name="round")
-    """The leader's heartbeat round, returned in replies; for reads the identifier of the read."""
+    """In appends, snapshots and their replies, the heartbeat round; in reads, the identifier of the read."""
     sender_tick: int = msgspec.field(default=0, name="sent")
-    """In append replies: the follower's tick when it replied."""
+    """In append replies, the follower's tick when it replied."""
     echoed_tick: int = msgspec.field(default=0, name="echo")
-    """In appends: the latest `sender_tick` that the leader had from this follower."""
+    """In appends, the latest `sender_tick` that the leader received from this follower."""
     commit_age_ticks: int = msgspec.field(default=0, name="age")
-    """In appends: ticks since a quorum last confirmed the leader's commit index."""
+    """In appends, the ticks since a quorum last confirmed the leader's commit index."""
     is_transfer: bool = msgspec.field(default=False, name="force")
-    """In votes: the leader asked for the campaign, so the check against disruptive servers does not apply."""
+    """In vote requests: the campaign is part of a leadership transfer."""
     snapshot: Snapshot | None = None
-    """In snapshot messages; its `data` is one chunk, which starts at `snapshot_offset`."""
+    """In snapshot messages, the snapshot; its `data` is one chunk, which starts at `snapshot_offset`."""
     snapshot_offset: int = msgspec.field(default=0, name="offset")
     snapshot_size: int = msgspec.field(default=0, name="total")
-    """Bytes of the complete snapshot."""
+    """The size of the complete snapshot's data in bytes."""
 
 
 @dataclass(frozen=True, slots=True)
 class ReadState:
-    """The read `request_id` is linearizable once the entry at `index` is applied (§6.4)."""
+    """A read index: the read `request_id` is linearizable once the entry at `index` is applied (§6.4)."""
 
     request_id: int
     index: int
@@ -160,26 +161,26 @@
 
 @dataclass(slots=True)
 class Ready:
-    """The work that a node has for its host, to be done in the order of the fields."""
+    """The work that a node has for its host, which does it in the order of the fields."""
 
     hard_state: HardState | None = None
     snapshot: Snapshot | None = None
-    """To be persisted with the log's entries after it, and to replace the state machine's state."""
+    """The host stores it, together with the log's entries after it, and loads it into the state machine."""
     entries: list[Entry] = field(default_factory=list)
-    """To be persisted, unless that was done with `snapshot`.
+    """The host stores them, unless it has stored them with `snapshot`.
 
-    They replace whatever stands at the first one's index and after it.
+    They replace all stored entries from the first one's index on.
     """
     messages: list[Message] = field(default_factory=list)
-    """To be sent once the fields above are on disk."""
+    """The host sends them after the fields above are on disk."""
     committed_entries: list[Entry] = field(default_factory=list)
-    """To be applied to the state machine."""
+    """The host applies them to the state machine."""
     read_states: list[ReadState] = field(default_factory=list)
     rejected_reads: list[int] = field(default_factory=list)
-    """Identifiers of reads that will not be answered."""
+    """Identifiers of reads that were rejected."""
 
     def is_empty(self) -> bool:
-        """Whether there is nothing to do."""
+        """Returns whether there is no work."""
         persistent = self.hard_state or self.snapshot or self.entries
         volatile = self.messages or self.committed_entries or self.read_states or self.rejected_reads
         return not (persistent or volatile)
--- a/wheatstile/store/raft/node.py
+++ b/wheatstile/store/raft/node.py
@@ -1,8 +1,8 @@
-"""`RaftNode`: one member of the cluster as a pure step function, in the manner of etcd's raft.
+"""`RaftNode`: one member of the cluster as a pure step function, similar to etcd's raft.
 
-The host owns every side effect. It carries out a `Ready` in the order of its fields: it persists, sends,
-applies, then answers reads, and lets nothing in between. Time is a count of ticks, and randomness is a
-callable that the host passes in.
+The host performs every side effect. It carries out a `Ready` completely, in the order of its fields: it
+persists, sends messages, applies entries, then answers reads. The node's time is a count of ticks. Its
+random numbers come from a callable that the host passes in.
 """
 
 from __future__ import annotations
@@ -24,13 +24,17 @@
 )
 from wheatstile.store.raft.state import RaftState, Timing
 
+MessageHandler = Callable[[RaftState, Message], None]
+
 
 class RaftNode:
-    """One member of the cluster; `step`, `tick` and the requests change `state`, `ready` gives the work.
+    """One member of the cluster.
+
+    `step`, `tick` and the requests change `state`; `ready` returns the resulting work for the host.
 
-    `voters` is the first configuration, used where nothing is on disk yet; a node that is to join starts with
-    none. `draw(low, high)` returns an integer in [low, high) from a generator that the host has seeded.
-    `ticks` is the host's clock in ticks at the start: it must not repeat over restarts.
+    `voters` is the initial configuration, which is used if nothing is stored yet. It is empty for a node that
+    will be added to a running cluster. `draw(low, high)` returns an integer in [low, high) from a generator
+    that the host has seeded. `ticks` is the host's clock at the start; it must not go back at a restart.
     """
 
     def __init__(
@@ -48,11 +52,12 @@
         stored = hard_state or HardState(0, None, 0)
         snapshot = snapshot or Snapshot(0, 0, Configuration(frozenset(voters)), b"")
         log = RaftLog(snapshot, entries, stored.commit)
-        # After a crash an entry may be on disk and the term that it was written in not.
+        # A crash may leave an entry on disk whose term was not stored in the hard state.
         term = max(stored.term, log.last_term)
         vote = stored.vote if stored.term == term else None
         self.state = RaftState(name, timing or Timing(), draw, log, ticks, term, vote)
         self._persisted_hard_state = self.state.hard_state
+        self._handlers = message_handlers()
 
     @property
     def name(self) -> str:
@@ -61,7 +66,7 @@
 
     @property
     def role(self) -> Role:
-        """Follower, pre-candidate, candidate or leader."""
+        """The node's role in the current term."""
         return self.state.role
 
     @property
@@ -71,7 +76,7 @@
 
     @property
     def leader(self) -> str | None:
-        """The leader that this node knows of, if any."""
+        """The current term's leader, or None if this node does not know it."""
         return self.state.leader
 
     @property
@@ -81,7 +86,7 @@
 
     @property
     def hard_state(self) -> HardState:
-        """Term, vote and commit index as they stand."""
+        """The current term, vote and commit index."""
         return self.state.hard_state
 
     @property
@@ -91,105 +96,82 @@
 
     @property
     def commit_age_ticks(self) -> int:
-        """Ticks by which the commit index may, at the most, be behind the leader's."""
+        """Upper bound, in ticks, for how far the commit index is behind the leader's."""
         return self.state.commit_age_ticks
 
     def tick(self) -> None:
-        """Let one tick pass."""
-        state = self.state
-        state.ticks += 1
-        state.election_elapsed += 1
-        if state.role is not Role.LEADER:
-            election.tick(state)
-            return
-        state.leadership.heartbeat_elapsed += 1
-        if state.leadership.heartbeat_elapsed >= state.timing.heartbeat_ticks:
-            replication.broadcast_heartbeat(state)
-        transfer.tick(state)
-        election.check_quorum(state)
+        """Advances the clock by one tick, which may start an election or send a heartbeat."""
+        self.state.ticks += 1
+        self.state.election_elapsed += 1
+        if self.role is Role.LEADER:
+            self._tick_as_leader()
+        else:
+            election.tick(self.state)
+
+    def _tick_as_leader(self) -> None:
+        leadership = self.state.leadership
+        leadership.heartbeat_elapsed += 1
+        if leadership.heartbeat_elapsed >= self.state.timing.heartbeat_ticks:
+            replication.broadcast_heartbeat(self.state)
+        transfer.tick(self.state)
+        election.check_quorum(self.state)
 
     def skip_ticks(self, count: int) -> None:
-        """Move the clock on by `count` ticks that the host has missed, without letting them count."""
+        """Advances the clock by `count` ticks without counting them towards any time-out."""
         self.state.ticks += count
 
     def propose(self, data: bytes) -> int:
-        """Append `data` as the leader and return its index.
+        """Appends `data` to the leader's log and returns the index of the entry.
 
-        Raises `NotLeaderError`, also during a leadership transfer.
+        Raises `NotLeaderError` on another node, and on the leader during a leadership transfer.
         """
         return replication.propose(self.state, EntryKind.DATA, data)
 
     def change_members(self, voters: Iterable[str], learners: Iterable[str] = ()) -> int:
-        """Begin the change to these members and return the index of its first entry.
+        """Starts a membership change and returns the index of its first entry.
 
-        The entry that ends the change follows by itself, once the first one is committed. Raises
+        The leader appends the entry that completes the change once the first one is committed. Raises
         `NotLeaderError` and `MembershipChangeRejectedError`.
         """
         configuration = membership.plan_change(self.state, voters, learners)
         return replication.propose(self.state, EntryKind.CONFIGURATION, configuration=configuration)
 
     def transfer_leadership(self, target: str) -> None:
-        """Hand leadership to `target`, once its log is as long as this leader's.
+        """Starts a transfer of leadership to `target`, which campaigns once its log is complete.
 
         Raises `NotLeaderError` and `MembershipChangeRejectedError`.
         """
         transfer.start(self.state, target)
 
     def read(self, request_id: int) -> None:
-        """Ask from which index on a read is linearizable; a `Ready` gives it under `request_id`.
+        """Requests a read index; a later `Ready` returns it under `request_id`.
 
-        Raises `NotLeaderError` where no leader is known. An answer that is lost never comes.
+        There is no reply if a message is lost. Raises `NotLeaderError` if no leader is known.
         """
         read_index.request(self.state, request_id)
 
     def cancel_read(self, request_id: int) -> None:
-        """Stop waiting for the answer to a read."""
+        """Discards a forwarded read, so that a later reply to it is ignored."""
         self.state.forwarded_reads.discard(request_id)
 
     def compact(self, data: bytes) -> None:
-        """Replace the applied entries by a snapshot with `data`, the state after the last of them."""
+        """Replaces the applied entries by a snapshot; `data` is the state machine's state after them."""
         self.state.log.compact(data)
 
     def step(self, message: Message) -> None:
-        """Handle a message from another member. Raises ValueError where it is meant for another one."""
+        """Handles a message from another member. Raises ValueError if it is addressed to another node."""
         if message.recipient != self.name:
             raise ValueError(f"a message for {message.recipient} reached {self.name}")
         if message.term < self.term:
             terms.reply_to_earlier_term(self.state, message)
         elif message.term == self.term or terms.accept_later_term(self.state, message):
-            self._dispatch(message)
-
-    def _dispatch(self, message: Message) -> None:  # noqa: C901  one case for each kind of message
-        match message.kind:
-            case MessageKind.PRE_VOTE | MessageKind.VOTE:
-                election.on_vote_request(self.state, message)
-            case MessageKind.PRE_VOTE_REPLY:
-                election.on_pre_vote_reply(self.state, message)
-            case MessageKind.VOTE_REPLY:
-                election.on_vote_reply(self.state, message)
-            case MessageKind.APPEND:
-                follower.on_append(self.state, message)
-            case MessageKind.APPEND_REPLY:
-                replication.on_append_reply(self.state, message)
-            case MessageKind.SNAPSHOT:
-                follower.on_snapshot(self.state, message)
-            case MessageKind.SNAPSHOT_REPLY:
-                replication.on_snapshot_reply(self.state, message)
-            case MessageKind.READ:
-                read_index.on_read(self.state, message)
-            case MessageKind.READ_REPLY:
-                read_index.on_read_reply(self.state, message)
-            case MessageKind.TIMEOUT_NOW:
-                election.on_timeout_now(self.state)
+            self._handlers[message.kind](self.state, message)
 
     def ready(self) -> Ready:
-        """Return the work for the host, once."""
+        """Returns the work for the host that has accumulated since the last call."""
         state = self.state
         if state.role is Role.LEADER:
-            if state.leadership.heartbeat_requested:
-                replication.broadcast_heartbeat(state)
-            for peer in state.peers:
-                replication.replicate_to(state, peer)
+            replication.replicate(state)
         ready = Ready(
             hard_state=self._take_changed_hard_state(),
             snapshot=state.log.take_unpersisted_snapshot(),
@@ -210,3 +192,23 @@
             return None
         self._persisted_hard_state = hard_state
         return hard_state
+
+
+def message_handlers() -> dict[MessageKind, MessageHandler]:
+    """Returns the function that handles each kind of message.
+
+    It is a function and not a constant so that a test can replace a handler in its module.
+    """
+    return {
+        MessageKind.PRE_VOTE: election.on_vote_request,
+        MessageKind.PRE_VOTE_REPLY: election.on_pre_vote_reply,
+        MessageKind.VOTE: election.on_vote_request,
+        MessageKind.VOTE_REPLY: election.on_vote_reply,
+        MessageKind.APPEND: follower.on_append,
+        MessageKind.APPEND_REPLY: replication.on_append_reply,
+        MessageKind.SNAPSHOT: follower.on_snapshot,
+        MessageKind.SNAPSHOT_REPLY: replication.on_snapshot_reply,
+        MessageKind.READ: read_index.on_read,
+        MessageKind.READ_REPLY: read_index.on_read_reply,
+        MessageKind.TIMEOUT_NOW: election.on_timeout_now,
+    }
--- a/wheatstile/store/raft/progress.py
+++ b/wheatstile/store/raft/progress.py
@@ -1,4 +1,4 @@
-"""The leader's view of one follower's log, and flow control of what is sent to it (etcd's `Progress`)."""
+"""The leader's view of one follower's log, and the flow control of its appends (etcd's `Progress`)."""
 
 from __future__ import annotations
 
@@ -8,42 +8,43 @@
 from wheatstile.store.raft.messages import Snapshot
 
 MAX_INFLIGHT_APPENDS = 32
-"""Unanswered appends to one follower at most; further entries wait for an answer."""
+"""Unacknowledged appends to one follower."""
 
 
 @dataclass(slots=True)
 class Progress:
     """Replication state of one follower.
 
-    While `probing`, one append at a time is sent, until the follower's log is found to match; then up to
-    `MAX_INFLIGHT_APPENDS` at once. While `snapshot` is set, its chunks are sent in place of entries.
+    While `probing`, the leader sends one append at a time, until it knows where the follower's log matches
+    its own. After that, up to `MAX_INFLIGHT_APPENDS` may be unacknowledged. While `snapshot` is set, the
+    leader sends the snapshot's chunks and no entries.
     """
 
     match_index: int = 0
-    """The last index at which the follower's log is known to match the leader's."""
+    """The highest index up to which the follower's log is known to match the leader's."""
     next_index: int = 1
     """The index of the next entry to send."""
     probing: bool = True
     awaiting_reply: bool = False
-    """While probing or sending a snapshot: a message is out and unanswered."""
+    """While probing or sending a snapshot: the last message is unacknowledged."""
     inflight: deque[int] = field(default_factory=deque)
-    """The last index of each unanswered append, oldest first."""
+    """The last index of each unacknowledged append, oldest first."""
     snapshot: Snapshot | None = None
     snapshot_offset: int = 0
-    """The first byte of `snapshot` that the follower does not have."""
+    """The offset of the first byte of `snapshot` that the follower does not have."""
     acknowledged_round: int = 0
-    """The latest heartbeat round that the follower has answered."""
+    """The latest heartbeat round that the follower has acknowledged."""
     reported_tick: int = 0
     """The latest tick of its own clock that the follower has reported."""
 
     def can_send(self) -> bool:
-        """Whether flow control allows another message."""
+        """Returns whether flow control allows another message."""
         if self.probing or self.snapshot:
             return not self.awaiting_reply
         return len(self.inflight) < MAX_INFLIGHT_APPENDS
 
     def on_append_sent(self, entry_count: int) -> None:
-        """Record that an append of `entry_count` entries from `next_index` on was sent."""
+        """Records that an append of `entry_count` entries, starting at `next_index`, was sent."""
         if self.probing:
             self.awaiting_reply = True
         elif entry_count:
@@ -51,7 +52,7 @@
             self.inflight.append(self.next_index - 1)
 
     def on_append_accepted(self, index: int) -> None:
-        """Record that the follower's log matches up to `index`."""
+        """Records that the follower's log matches up to `index`."""
         while self.inflight and self.inflight[0] <= index:
             self.inflight.popleft()
         self.match_index = max(self.match_index, index)
@@ -62,9 +63,9 @@
         self.next_index = max(self.next_index, index + 1)
 
     def on_append_rejected(self, index: int, resume_from: int) -> bool:
-        """Go back after the follower rejected the entry at `index`; it may match at `resume_from`.
+        """Lowers `next_index` after the follower rejected the preceding entry, which was at `index`.
 
-        Returns False where the rejection is outdated and nothing changes.
+        The logs may match at `resume_from`. Returns False without a change if the rejection is outdated.
         """
         if index <= self.match_index or (self.probing and index != self.next_index - 1):
             return False
@@ -75,14 +76,14 @@
         return True
 
     def start_snapshot(self, snapshot: Snapshot) -> None:
-        """Send `snapshot` from its first byte, in place of entries."""
+        """Switches from entries to `snapshot`, from its first byte."""
         self.snapshot = snapshot
         self.snapshot_offset = 0
         self.awaiting_reply = False
         self.inflight.clear()
 
     def finish_snapshot(self, index: int) -> None:
-        """Return to probing with entries; the follower's log matches up to `index`."""
+        """Switches back to probing with entries; the follower's log matches up to `index`."""
         self.snapshot = None
         self.probing = True
         self.awaiting_reply = False
--- a/wheatstile/store/raft/replication.py
+++ b/wheatstile/store/raft/replication.py
@@ -11,19 +11,20 @@
 from wheatstile.store.raft.state import RaftState
 
 SNAPSHOT_CHUNK_BYTES = 256 * 1024
-"""Bytes of a snapshot in one message."""
+"""Bytes of a snapshot's data in one message."""
 
 
 def propose(
     state: RaftState, kind: EntryKind, data: bytes = b"", configuration: Configuration | None = None
 ) -> int:
-    """Append an entry as the leader and return its index.
+    """Appends an entry to the leader's log and returns its index.
 
-    Raises `NotLeaderError`, also during a leadership transfer.
+    Raises `NotLeaderError` on another node, and on the leader during a leadership transfer.
     """
+    state.require_leader()
     leadership = state.leadership
-    if state.role is not Role.LEADER or leadership.transfer_target:
-        raise NotLeaderError(leadership.transfer_target or state.leader)
+    if leadership.transfer_target:
+        raise NotLeaderError(leadership.transfer_target)
     index = state.log.last_index + 1
     state.log.append([Entry(state.term, index, kind, data, configuration)])
     for peer in state.peers:
@@ -33,9 +34,9 @@
 
 
 def advance_commit(state: RaftState) -> None:
-    """Commit what a quorum has stored, and go on with a membership change that this commits."""
+    """Commits the entries that a quorum has stored, and continues a membership change among them."""
     quorum_index = state.configuration.quorum_value(state.match_index)
-    # Only an entry of the leader's own term is committed by counting its copies (paper, §5.4.2).
+    # A majority of copies commits only an entry of the leader's own term (paper, §5.4.2).
     if quorum_index <= state.log.commit_index or state.log.term_at(quorum_index) != state.term:
         return
     state.log.commit_index = quorum_index
@@ -51,12 +52,15 @@
         final = membership.final_configuration(configuration)
         propose(state, EntryKind.CONFIGURATION, configuration=final)
     elif membership.is_removed(state):
-        broadcast_heartbeat(state)  # the others learn that the change is committed
+        broadcast_heartbeat(state)  # tells the followers that the change is committed
         state.become_follower(state.term, None)
 
 
 def broadcast_heartbeat(state: RaftState) -> None:
-    """Begin a heartbeat round: who answers it still took this node for its leader after now."""
+    """Starts a heartbeat round.
+
+    A follower that acknowledges the round still accepted this node as its leader after the round's start.
+    """
     leadership = state.leadership
     leadership.heartbeat_elapsed = 0
     leadership.heartbeat_requested = False
@@ -72,8 +76,16 @@
     read_index.update_confirmed_round(state)
 
 
-def replicate_to(state: RaftState, peer: str) -> None:
-    """Send `peer` all entries, or the chunk of a snapshot, that flow control allows."""
+def replicate(state: RaftState) -> None:
+    """Sends a requested heartbeat, and to each peer what flow control allows."""
+    if state.leadership.heartbeat_requested:
+        broadcast_heartbeat(state)
+    for peer in state.peers:
+        _replicate_to(state, peer)
+
+
+def _replicate_to(state: RaftState, peer: str) -> None:
+    """Sends `peer` the entries, or the chunk of a snapshot, that flow control allows."""
     progress = state.leadership.progress[peer]
     while progress.can_send() and (progress.snapshot or progress.next_index <= state.log.last_index):
         if progress.snapshot is None and state.log.term_at(progress.next_index - 1) is None:
@@ -87,9 +99,9 @@
 
 
 def send_append(state: RaftState, peer: str, entries: tuple[Entry, ...]) -> None:
-    """Send `entries`, which follow the peer's `next_index - 1`; none make it a heartbeat."""
+    """Sends `entries`, the first of which has the peer's `next_index`. Without entries it is a heartbeat."""
     progress = state.leadership.progress[peer]
-    # Where the entry before is compacted away, a heartbeat names the snapshot's: it still tells who leads.
+    # A heartbeat to a peer whose preceding entry is compacted refers to the snapshot's last entry instead.
     previous_index = max(progress.next_index - 1, state.log.snapshot.index)
     state.messages.append(
         Message(
@@ -109,7 +121,7 @@
 
 
 def send_snapshot_chunk(state: RaftState, peer: str) -> None:
-    """Send the chunk of the snapshot at the peer's offset; sent again with a heartbeat if it is lost."""
+    """Sends the chunk of the snapshot at the peer's offset. Each heartbeat sends it again."""
     progress = state.leadership.progress[peer]
     snapshot = progress.snapshot
     assert snapshot is not None
@@ -131,7 +143,7 @@
 
 
 def on_append_reply(state: RaftState, message: Message) -> None:
-    """Handle a follower's answer to an append."""
+    """Handles a follower's reply to an append."""
     progress = _record_reply(state, message)
     if progress is None:
         return
@@ -146,7 +158,7 @@
 
 
 def on_snapshot_reply(state: RaftState, message: Message) -> None:
-    """Handle a follower's answer to a chunk of a snapshot."""
+    """Handles a follower's reply to a chunk of a snapshot."""
     progress = _record_reply(state, message)
     if progress is None or progress.snapshot is None:
         return
@@ -159,7 +171,10 @@
 
 
 def _record_reply(state: RaftState, message: Message) -> Progress | None:
-    """Record that the follower answered; returns its progress, or None where this node does not lead."""
+    """Records a follower's reply and returns the follower's progress.
+
+    Returns None if this node is not the leader or the sender is not a member.
+    """
     if state.role is not Role.LEADER:
         return None
     progress = state.leadership.progress.get(message.sender)
--- a/wheatstile/store/raft/state.py
+++ b/wheatstile/store/raft/state.py
@@ -1,10 +1,11 @@
-"""The state of one Raft node and the transitions that every part of the algorithm shares."""
+"""The state of one Raft node, and the transitions that several parts of the algorithm use."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
+from wheatstile.store.errors import NotLeaderError
 from wheatstile.store.raft.log import RaftLog
 from wheatstile.store.raft.messages import (
     Configuration,
@@ -17,14 +18,15 @@
 from wheatstile.store.raft.progress import Progress
 
 NEVER_CONFIRMED_TICKS = 1_000_000
-"""Age of the commit index of a node that has not heard from a leader since its start, in ticks."""
+"""Age of the commit index, in ticks, before the node has heard from a leader for the first time."""
 
 
 @dataclass(frozen=True, slots=True)
 class Timing:
-    """Time-outs in ticks. Election time-outs are drawn from [`election_ticks`, 2 * `election_ticks`).
+    """Time-outs in ticks.
 
-    Raises ValueError where the heartbeat is not shorter than the election time-out.
+    An election time-out is drawn at random from [`election_ticks`, 2 * `election_ticks`). Raises ValueError
+    if the heartbeat interval is not shorter than `election_ticks`.
     """
 
     election_ticks: int = 10
@@ -33,13 +35,14 @@
     def __post_init__(self) -> None:
         if not 0 < self.heartbeat_ticks < self.election_ticks:
             raise ValueError(
-                f"heartbeat {self.heartbeat_ticks} must be positive and below {self.election_ticks}"
+                f"heartbeat_ticks is {self.heartbeat_ticks}; it must be at least 1 and less than "
+                f"election_ticks, which is {self.election_ticks}"
             )
 
 
 @dataclass(slots=True)
 class PendingRead:
-    """A read that the leader answers with `index` once a quorum has answered heartbeat `round` (§6.4)."""
+    """A read that the leader answers with `index` once a quorum has acknowledged heartbeat `round` (§6.4)."""
 
     request_id: int
     requester: str
@@ -49,7 +52,7 @@
 
 @dataclass(slots=True)
 class IncomingSnapshot:
-    """The chunks received so far of the snapshot whose last entry is at `index` with `term`."""
+    """The received part of a snapshot that includes the entries up to `index`; `term` is the last one's."""
 
     index: int
     term: int
@@ -58,33 +61,33 @@
 
 @dataclass(slots=True)
 class Leadership:
-    """What a node keeps only while it leads; empty otherwise, and new in each term."""
+    """State of a leader. It is empty on other nodes, and created anew in each term."""
 
     progress: dict[str, Progress] = field(default_factory=dict)
     """Replication state by peer."""
     active_peers: set[str] = field(default_factory=set)
-    """Peers that have answered since the last quorum check."""
+    """Peers that have replied since the last quorum check."""
     heartbeat_elapsed: int = 0
     """Ticks since the last heartbeat."""
     heartbeat_requested: bool = False
-    """A read waits for a heartbeat round that begins now, before the next one is due."""
+    """A pending read needs a heartbeat round before the next one is due."""
     round: int = 0
-    """Number of the latest heartbeat round."""
+    """The number of the latest heartbeat round."""
     confirmed_round: int = 0
-    """The latest heartbeat round that a quorum has answered."""
+    """The latest heartbeat round that a quorum has acknowledged."""
     round_started_at: dict[int, int] = field(default_factory=dict)
     """The tick at which each unconfirmed heartbeat round was sent."""
     pending_reads: list[PendingRead] = field(default_factory=list)
     noop_index: int = 0
-    """Index of this leader's first entry."""
+    """The index of this leader's first entry."""
     transfer_target: str | None = None
-    """The voter to which leadership is being transferred; proposals are rejected meanwhile."""
+    """The voter to which leadership is being transferred. While it is set, proposals are rejected."""
     transfer_ticks_remaining: int = 0
 
 
 @dataclass(slots=True)
 class RaftState:
-    """Everything that one node knows; the parts of the algorithm are functions over it.
+    """The state of one node. The parts of the algorithm are functions that take it as first argument.
 
     `draw(low, high)` returns an integer in [low, high) from the host's seeded generator.
     """
@@ -94,21 +97,21 @@
     draw: Callable[[int, int], int]
     log: RaftLog
     ticks: int
-    """The node's clock, which does not go back over restarts."""
+    """The node's clock. It does not go back at a restart."""
     term: int = 0
     vote: str | None = None
     role: Role = Role.FOLLOWER
     leader: str | None = None
     election_elapsed: int = 0
-    """Ticks since the leader was last heard from; for a leader, since its last quorum check."""
+    """Ticks since the last contact with the leader; on the leader, since the last quorum check."""
     election_timeout: int = 0
     votes_received: set[str] = field(default_factory=set)
     leadership: Leadership = field(default_factory=Leadership)
     forwarded_reads: set[int] = field(default_factory=set)
-    """Identifiers of this node's reads that the leader has not answered."""
+    """Identifiers of the reads that this node has forwarded and the leader has not answered."""
     incoming_snapshot: IncomingSnapshot | None = None
     confirmed_at_tick: int = 0
-    """The tick of this node's clock as of which its commit index is known to have been the leader's."""
+    """The latest tick of this node's clock at which its commit index is known to have been the leader's."""
     messages: list[Message] = field(default_factory=list)
     read_states: list[ReadState] = field(default_factory=list)
     rejected_reads: list[int] = field(default_factory=list)
@@ -124,32 +127,37 @@
 
     @property
     def hard_state(self) -> HardState:
-        """What has to be on disk before the next message is sent."""
+        """The values that must be on disk before the next message is sent."""
         return HardState(self.term, self.vote, self.log.commit_index)
 
     @property
     def peers(self) -> list[str]:
-        """The other members, in a fixed order."""
+        """The other members, sorted by name."""
         return sorted(self.configuration.members - {self.name})
 
     @property
     def commit_age_ticks(self) -> int:
-        """Ticks by which the commit index may, at the most, be behind the leader's."""
+        """Upper bound, in ticks, for how far the commit index is behind the leader's."""
         return self.ticks - self.confirmed_at_tick
 
     @property
     def has_committed_in_term(self) -> bool:
         """Whether an entry of the current term is committed.
 
-        Until then a new leader's commit index may be behind what earlier leaders have answered for (§6.4).
+        Until then, the commit index of a new leader may be lower than that of the previous leader (§6.4).
         """
         return self.log.term_at(self.log.commit_index) == self.term
 
     @property
     def is_leader_recent(self) -> bool:
-        """Whether the leader was heard from within the minimum election time-out (§4.2.3)."""
+        """Whether the last contact with the leader was within the minimum election time-out (§4.2.3)."""
         return self.leader is not None and self.election_elapsed < self.timing.election_ticks
 
+    def require_leader(self) -> None:
+        """Raises `NotLeaderError` unless this node is the leader."""
+        if self.role is not Role.LEADER:
+            raise NotLeaderError(self.leader)
+
     def send(
         self,
         kind: MessageKind,
@@ -162,7 +170,7 @@
         context: int = 0,
         sender_tick: int = 0,
     ) -> None:
-        """Queue a request or a reply of few fields; `term` is the current one unless it is given."""
+        """Queues a message that needs only these fields; `term` defaults to the current term."""
         self.messages.append(
             Message(
                 kind=kind,
@@ -178,19 +186,19 @@
         )
 
     def reset_election_timer(self) -> None:
-        """Begin a new election time-out of random length (§3.4)."""
+        """Starts a new election time-out of random length (§3.4)."""
         self.election_elapsed = 0
         self.election_timeout = self.draw(self.timing.election_ticks, 2 * self.timing.election_ticks)
 
     def set_leader(self, leader: str | None) -> None:
-        """Follow `leader` from now on; reads forwarded to another one will not be answered."""
+        """Sets the known leader, and rejects the reads that were forwarded to another one."""
         if leader != self.leader:
             self.rejected_reads += sorted(self.forwarded_reads)
             self.forwarded_reads.clear()
         self.leader = leader
 
     def become_follower(self, term: int, leader: str | None) -> None:
-        """Become a follower in `term`, which is the current or a later one."""
+        """Makes this node a follower in `term`, which is the current term or a later one."""
         if term > self.term:
             self.term = term
             self.vote = None
@@ -203,13 +211,13 @@
         self.set_leader(leader)
 
     def on_leader_contact(self, leader: str) -> None:
-        """Record that the leader of the current term was heard from."""
+        """Records a message from the leader of the current term."""
         self.role = Role.FOLLOWER
         self.election_elapsed = 0
         self.set_leader(leader)
 
     def match_index(self, name: str) -> int:
-        """Return the last index at which the log of `name` is known to match this leader's."""
+        """Returns the highest index up to which the log of `name` is known to match this leader's."""
         if name == self.name:
             return self.log.last_index
         progress = self.leadership.progress.get(name)
--- a/wheatstile/store/raft/terms.py
+++ b/wheatstile/store/raft/terms.py
@@ -1,4 +1,4 @@
-"""Messages of another term than the node's (paper, §5.1)."""
+"""Messages whose term differs from the node's (paper, §5.1)."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 from wheatstile.store.raft.state import RaftState
 
 LEADER_MESSAGES = (MessageKind.APPEND, MessageKind.SNAPSHOT)
-"""Messages that only the leader of their term sends."""
+"""Messages that only a leader sends."""
 
 
 def reply_to_earlier_term(state: RaftState, message: Message) -> None:
-    """Let a leader or a pre-candidate know that its term is over; ignore all other messages."""
+    """Sends the current term to an outdated leader or pre-candidate; ignores all other messages."""
     if message.kind is MessageKind.PRE_VOTE:
         state.send(MessageKind.PRE_VOTE_REPLY, message.sender)
     elif message.kind in LEADER_MESSAGES:
@@ -18,12 +18,16 @@
 
 
 def accept_later_term(state: RaftState, message: Message) -> bool:
-    """Take over the message's term, where its kind calls for it; False where the message is to be ignored."""
-    if message.kind is MessageKind.PRE_VOTE:
-        return True  # asks about a term that nobody has begun
-    if message.kind is MessageKind.PRE_VOTE_REPLY and message.granted:
+    """Adopts the term of a message from a later term, and returns whether the message is to be handled.
+
+    A pre-vote request and a granting reply to it name a term that has not begun, so it is not adopted. A vote
+    request is ignored while the leader is active, unless it is part of a leadership transfer (§4.2.3).
+    """
+    is_granted_pre_vote = message.kind is MessageKind.PRE_VOTE_REPLY and message.granted
+    if message.kind is MessageKind.PRE_VOTE or is_granted_pre_vote:
         return True
     if message.kind is MessageKind.VOTE and state.is_leader_recent and not message.is_transfer:
-        return False  # §4.2.3: nobody replaces a leader that is heard from
-    state.become_follower(message.term, message.sender if message.kind in LEADER_MESSAGES else None)
+        return False
+    leader = message.sender if message.kind in LEADER_MESSAGES else None
+    state.become_follower(message.term, leader)
     return True
--- a/wheatstile/store/raft/transfer.py
+++ b/wheatstile/store/raft/transfer.py
@@ -1,19 +1,18 @@
-"""Leadership transfer (§3.10): bring one voter's log up to date, then have it campaign at once."""
+"""Leadership transfer (§3.10): the leader completes one voter's log, then tells it to campaign at once."""
 
 from __future__ import annotations
 
-from wheatstile.store.errors import MembershipChangeRejectedError, NotLeaderError
-from wheatstile.store.raft.messages import MessageKind, Role
+from wheatstile.store.errors import MembershipChangeRejectedError
+from wheatstile.store.raft.messages import MessageKind
 from wheatstile.store.raft.state import RaftState
 
 
 def start(state: RaftState, target: str) -> None:
-    """Begin to hand leadership to `target`; the leader takes no proposals for up to an election time-out.
+    """Starts a transfer to `target`. The leader rejects proposals for up to an election time-out.
 
-    Raises `NotLeaderError`, or `MembershipChangeRejectedError` where `target` is not another voter.
+    Raises `NotLeaderError`, and `MembershipChangeRejectedError` if `target` is not another voter.
     """
-    if state.role is not Role.LEADER:
-        raise NotLeaderError(state.leader)
+    state.require_leader()
     if target == state.name or target not in state.configuration.voters:
         raise MembershipChangeRejectedError(f"{target} is not another voter")
     state.leadership.transfer_target = target
@@ -22,14 +21,14 @@
 
 
 def send_timeout_now_if_caught_up(state: RaftState) -> None:
-    """Have the target campaign, if its log has become as long as the leader's."""
+    """Tells the transfer's target, if there is one, to campaign once its log is complete."""
     target = state.leadership.transfer_target
     if target and state.match_index(target) == state.log.last_index:
         state.send(MessageKind.TIMEOUT_NOW, target)
 
 
 def tick(state: RaftState) -> None:
-    """Give up a transfer whose target has not taken over within an election time-out."""
+    """Cancels a transfer whose target has not become the leader within an election time-out."""
     leadership = state.leadership
     if leadership.transfer_target is None:
         return
