--- a/wheatstile/store/applied_state.py
+++ b/wheatstile/store/applied_state.py
@@ -1,4 +1,4 @@
-"""The state machine of one member, as far as the log is applied, with the store's clock."""
+"""The state machine of one member after the applied part of the log, and the store's clock."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 
 
 class AppliedState:
-    """Applies the node's committed entries, beginning with the state in `snapshot`, if there is one.
+    """Applies the node's committed entries to a state machine, which starts from `snapshot` or empty.
 
-    `trace` takes a line for each snapshot and each entry.
+    `trace` is called with one line for each installed snapshot and each applied entry.
     """
 
     def __init__(self, node: RaftNode, snapshot: Snapshot | None, trace: Callable[[str], None]) -> None:
@@ -27,39 +27,39 @@
         self._leader_clock = LeaderClock()
         self.state_machine = StateMachine.load(snapshot.data if snapshot else b"")
         self.next_application = asyncio.Event()
-        """Set when something is applied next, and then replaced by a new event."""
+        """Set at the next application, and then replaced by a new event."""
 
     @property
     def index(self) -> int:
-        """The index of the last applied entry, which is the store's revision on this member."""
+        """The index of the last applied entry, which is the revision of this member's state."""
         return self._node.log.applied_index
 
     async def wait_for(self, index: int) -> None:
-        """Return once the entry at `index` is applied."""
+        """Waits until the entry at `index` is applied."""
         while self.index < index:
             await self.next_application.wait()
 
     def clock_ms(self) -> int:
-        """Return the committed clock, as this member runs it on while it leads."""
+        """Returns the running clock on the leader, and the committed clock on other members."""
         committed_ms = self.state_machine.clock_ms
         if self._leader_clock.term != self._node.term or self._node.role is not Role.LEADER:
             return committed_ms
         return self._leader_clock.now_ms(committed_ms)
 
     def is_expiration_due(self) -> bool:
-        """Whether a key has expired by this leader's clock and not yet by the committed one."""
+        """Returns whether a key has expired by the running clock, but not by the committed clock."""
         expires_at_ms = self.state_machine.next_expiration_ms()
         if expires_at_ms is None or self._leader_clock.term != self._node.term:
             return False
         return expires_at_ms <= self.clock_ms()
 
     def install(self, snapshot: Snapshot) -> None:
-        """Replace the state by that of a snapshot."""
+        """Replaces the state by that of a snapshot."""
         self.state_machine = StateMachine.load(snapshot.data)
         self._trace(f"snapshot {snapshot.index}")
 
     def apply(self, entry: Entry) -> CommandResult:
-        """Apply a committed entry."""
+        """Applies a committed entry and returns its result."""
         result = CommandResult(True, entry.index)
         if entry.kind is EntryKind.DATA:
             command = msgspec.msgpack.decode(entry.data, type=Command)
@@ -74,7 +74,7 @@
         return is_leader and self._leader_clock.term != entry.term
 
     def announce_application(self) -> None:
-        """Wake all that wait for something to be applied."""
+        """Wakes all tasks that wait for the next application."""
         event = self.next_application
         self.next_application = asyncio.Event()
         event.set()
--- a/wheatstile/store/backup.py
+++ b/wheatstile/store/backup.py
@@ -1,6 +1,6 @@
-"""Backups: a store's whole state in one file, and a member's directory made from one; no process needed.
+"""Backups: writes a store's complete state to a file, and creates a member's directory from such a file.
 
-The file has two records, as the log has them: a `BackupHeader`, and the state machine's data.
+The file has two records in the format of `record_file`: a `BackupHeader`, and the state machine's data.
 """
 
 from __future__ import annotations
@@ -13,17 +13,17 @@
 
 from wheatstile.store.errors import CorruptStorageError, RestoreRejectedError
 from wheatstile.store.raft.messages import Configuration, HardState, Snapshot
-from wheatstile.store.record_file import encode_record, read_records
+from wheatstile.store.record_file import read_records, replace_file
 from wheatstile.store.state_machine import SnapshotData
-from wheatstile.store.storage import FORMAT, Storage
+from wheatstile.store.storage import FORMAT, Storage, check_format
 
 RECORD_COUNT = 2
 RESTORED_TERM = 1
-"""The term of the snapshot from which a restored cluster begins."""
+"""The term of the first snapshot of a restored cluster."""
 
 
 class BackupHeader(msgspec.Struct, frozen=True):
-    """The first record: the cluster that was backed up, and the revision of its state."""
+    """The first record: the name of the cluster that was backed up, and the revision of its state."""
 
     format: int
     cluster: str
@@ -32,49 +32,42 @@
 
 @dataclass(frozen=True, slots=True)
 class Backup:
-    """What a backup holds; `data` is the state machine's, as in a snapshot."""
+    """The contents of a backup; `data` is the state machine's data, as in a snapshot."""
 
     header: BackupHeader
     data: bytes
 
 
 def write_backup(path: Path, cluster: str, revision: int, data: bytes) -> None:
-    """Write a backup, completely or not at all. Raises OSError."""
-    temporary = path.with_name(f".{path.name}.new")
-    with open(temporary, "wb") as file:
-        file.write(encode_record(BackupHeader(FORMAT, cluster, revision)) + encode_record(data))
-        file.flush()
-        os.fsync(file.fileno())
-    os.replace(temporary, path)
+    """Writes a backup, completely or not at all. Raises OSError."""
+    replace_file(path, [BackupHeader(FORMAT, cluster, revision), data], os.fsync)
 
 
 def read_backup(path: Path) -> Backup:
-    """Read a backup. Raises `CorruptStorageError`, OSError."""
+    """Reads a backup. Raises `CorruptStorageError`, OSError."""
     if not path.exists():
-        raise CorruptStorageError(str(path), None, "not there")
+        raise CorruptStorageError(str(path), None, "the file does not exist")
     records = list(read_records(path))
     if len(records) != RECORD_COUNT:
-        raise CorruptStorageError(str(path), 0, f"{len(records)} whole records, two wanted")
+        raise CorruptStorageError(str(path), 0, f"{len(records)} whole records; a backup has {RECORD_COUNT}")
     header = records[0].decode(BackupHeader)
     data = records[1].decode(bytes)
-    if header.format != FORMAT:
-        reason = f"format {header.format}, and this program reads {FORMAT}"
-        raise CorruptStorageError(str(path), 0, reason)
+    check_format(path, header.format)
     return Backup(header, data)
 
 
 def restore_backup(path: Path, directory: Path, cluster: str, name: str) -> BackupHeader:
-    """Make `directory` that of the one voter of a new cluster, to which others are added.
+    """Creates the directory of the first member of a new cluster from a backup, and returns its header.
 
-    Revisions go on from the backup's. Clients' sessions are left out, since what they did after the backup is
-    not known. Raises `CorruptStorageError`, `RestoreRejectedError`, OSError.
+    Revisions continue from the backup's revision. Client sessions are omitted, because it is unknown what the
+    clients wrote after the backup. Raises `CorruptStorageError`, `RestoreRejectedError`, OSError.
     """
     backup = read_backup(path)
     header = backup.header
     if cluster == header.cluster:
         raise RestoreRejectedError(
-            f"the backup is of cluster {cluster!r}: a restored one needs another name, or "
-            "members of both would take each other for their own"
+            f"the backup is of cluster {cluster!r}: a restored cluster needs another name, "
+            "so that members of the two clusters reject each other"
         )
     if directory.exists() and any(directory.iterdir()):
         raise RestoreRejectedError(f"{directory} is not empty")
--- a/wheatstile/store/client_connections.py
+++ b/wheatstile/store/client_connections.py
@@ -1,4 +1,4 @@
-"""A client's connections to the members, one for each, opened when they are first used."""
+"""A client's connections to the members: one for each member, opened at its first use."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 
 class ClientConnections:
-    """Connections to the loopback ports of `members`, NAME to port; `close` ends them.
+    """Connections to `members`, a mapping from name to loopback port. `close` closes them.
 
-    A connection on which anything failed is closed: a reply that is still to come would be taken for that to
-    the next request.
+    A connection is closed after any failure. Otherwise a late reply could be mistaken for the reply to the
+    next request.
     """
 
     def __init__(self, members: Mapping[str, int]) -> None:
@@ -21,7 +21,7 @@
         self._readers: dict[str, FrameReader] = {}
 
     async def request(self, name: str, request: Request) -> Reply:
-        """Send a request to a member and return its reply.
+        """Sends a request to a member and returns its reply.
 
         Raises OSError, `ProtocolError`, `msgspec.DecodeError`.
         """
@@ -36,7 +36,7 @@
         return await self.receive(name)
 
     async def receive(self, name: str) -> Reply:
-        """Return the member's next reply. Raises as `request` does."""
+        """Returns the member's next reply. Raises the same errors as `request`."""
         try:
             reply = await self._readers[name].read(Reply)
             if reply is None:
@@ -47,11 +47,11 @@
         return reply
 
     def discard(self, name: str) -> None:
-        """Close the connection to a member, if there is one."""
+        """Closes the connection to a member, if there is one."""
         if reader := self._readers.pop(name, None):
             reader.sock.close()
 
     def close(self) -> None:
-        """Close all connections."""
+        """Closes all connections."""
         for name in list(self._readers):
             self.discard(name)
--- a/wheatstile/store/client_service.py
+++ b/wheatstile/store/client_service.py
@@ -1,10 +1,11 @@
-"""Requests of clients: one connection carries one request after another, or one watch."""
+"""Serves the requests of clients. A connection carries one request after another, or one watch."""
 
 from __future__ import annotations
 
 import asyncio
 import socket
 from functools import partial
+from itertools import islice
 
 from wheatstile.store.commands import validate
 from wheatstile.store.errors import (
@@ -20,31 +21,31 @@
 from wheatstile.store.watch_stream import WatchStream
 
 MAX_CLIENTS = 1024
-"""Client connections at once; further ones are closed."""
+"""Concurrent client connections. Further connections are closed."""
 MAX_LISTED_KEYS = 10_000
-"""Keys in one answer."""
+"""Keys in one reply."""
 MAX_REQUEST_TIMEOUT_MS = 60_000
 BACKUP_CHUNK_BYTES = 1 << 20
 SEND_TIMEOUT_S = 5.0
-"""Time in which a client has to take a reply, before its connection is closed."""
+"""Time for sending one reply. If the client does not read it in this time, the connection is closed."""
 TRANSFER_POLL_INTERVAL_S = 0.01
 
 
 async def send_reply(sock: socket.socket, reply: Reply) -> None:
-    """Send one reply. Raises TimeoutError where the client does not take it, OSError."""
+    """Sends one reply. Raises OSError, and TimeoutError if the client does not read it."""
     async with asyncio.timeout(SEND_TIMEOUT_S):
         await asyncio.get_running_loop().sock_sendall(sock, encode_frame(reply))
 
 
 class ClientService:
-    """Answers the requests of all clients of one member."""
+    """Replies to the requests of all clients of one member."""
 
     def __init__(self, member: Member) -> None:
         self._member = member
         self._client_count = 0
 
     async def serve(self, sock: socket.socket) -> None:
-        """Answer requests until the connection ends. Raises `ProtocolError`, DecodeError, OSError."""
+        """Serves one connection until it ends. Raises `ProtocolError`, `msgspec.DecodeError`, OSError."""
         if self._client_count >= MAX_CLIENTS:
             return
         self._client_count += 1
@@ -67,13 +68,13 @@
                 await send_reply(sock, reply)
 
     async def _answer(self, request: Request) -> Reply:
-        """Carry out a request within its time-out; what prevents it becomes the reply's error."""
+        """Carries out a request within its time-out, and returns the result or the error as a reply."""
         timeout_ms = min(max(request.timeout_ms, 1), MAX_REQUEST_TIMEOUT_MS)
         try:
             async with asyncio.timeout(timeout_ms / 1000):
                 return await self._handle(request)
         except TimeoutError:
-            reason = f"not decided within {request.timeout_ms} ms"
+            reason = f"the request was not completed within {request.timeout_ms} ms"
             return Reply(ErrorCode.OUTCOME_UNKNOWN, reason, self._member.node.leader or "")
         except OutcomeUnknownError as error:
             return Reply(ErrorCode.OUTCOME_UNKNOWN, error.reason)
@@ -103,35 +104,36 @@
 
     async def _write(self, request: Request) -> Reply:
         if request.command is None:
-            return Reply(ErrorCode.INVALID, "no command")
+            return Reply(ErrorCode.INVALID, "the write request has no command")
         validate(request.command)
         result = await self._member.write(request.command)
         return Reply(result=result, revision=result.revision)
 
     async def _transfer_leadership(self, target: str) -> Reply:
-        """Return once another term has begun."""
+        """Transfers leadership, and replies when a new term has begun."""
         term = self._member.node.term
         self._member.transfer_leadership(target)
-        while self._member.node.term == term:  # noqa: ASYNC110  the term is no event of the loop
+        while self._member.node.term == term:  # noqa: ASYNC110  no event is set when the term changes
             await asyncio.sleep(TRANSFER_POLL_INTERVAL_S)
         return Reply(status=self._member.status())
 
     async def _read(self, request: Request) -> Reply:
-        """Answer a get, a list or a history, from a state that is as recent as the request asks."""
+        """Replies to a get, a list or a history from a state that is as recent as the request demands."""
         member = self._member
         if request.max_staleness_ms <= LINEARIZABLE:
             await member.wait_until_current()
         elif member.commit_age_ms > request.max_staleness_ms:
             age_ms = member.commit_age_ms
-            reason = f"{age_ms} ms old, {request.max_staleness_ms} at most"
+            reason = f"the state may be {age_ms} ms old; the request allows {request.max_staleness_ms} ms"
             return Reply(ErrorCode.STALE, reason, commit_age_ms=age_ms)
         versions = self._find_versions(request)
         if len(versions) > MAX_LISTED_KEYS:
-            return Reply(ErrorCode.INVALID, f"over {MAX_LISTED_KEYS} keys match {request.key}")
+            reason = f'more than {MAX_LISTED_KEYS} keys match "{request.key}"'
+            return Reply(ErrorCode.INVALID, reason)
         return Reply(versions=versions, revision=member.applied.index, commit_age_ms=member.commit_age_ms)
 
     def _find_versions(self, request: Request) -> list[KeyVersion]:
-        """Return what a read asks for; one more than may be listed where there are too many keys."""
+        """Returns the versions that a read asks for, but not more than `MAX_LISTED_KEYS` + 1 keys."""
         state_machine = self._member.applied.state_machine
         found: list[tuple[str, Version]] = []
         match request.kind:
@@ -139,10 +141,7 @@
                 version = state_machine.get(request.key)
                 found = [(request.key, version)] if version else []
             case RequestKind.LIST:
-                for key_and_version in state_machine.matching(request.key):
-                    found.append(key_and_version)
-                    if len(found) > MAX_LISTED_KEYS:
-                        break
+                found = list(islice(state_machine.matching(request.key), MAX_LISTED_KEYS + 1))
             case RequestKind.HISTORY:
                 versions = state_machine.keys.get(request.key, [])
                 found = [(request.key, version) for version in versions]
@@ -152,7 +151,7 @@
         ]
 
     async def _send_backup(self, sock: socket.socket) -> None:
-        """Send the complete state as it is now, in chunks."""
+        """Sends the complete current state in chunks."""
         data = self._member.applied.state_machine.dump()
         revision = self._member.applied.index
         for start in range(0, len(data), BACKUP_CHUNK_BYTES):
--- a/wheatstile/store/commands.py
+++ b/wheatstile/store/commands.py
@@ -1,4 +1,4 @@
-"""Commands to the state machine and their results; MessagePack arrays in the log and on the wire."""
+"""Commands to the state machine and their results. They are MessagePack arrays in the log and on the wire."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 """Operations and preconditions in one command."""
 
 ANY_REVISION = -1
-"""As an expected revision: the key may be at any, or absent."""
+"""Expected revision of a key that may be at any revision, or absent."""
 ABSENT_REVISION = 0
-"""As an expected revision: the key must be absent."""
+"""Expected revision of a key that must be absent."""
 
 
 class OperationKind(enum.StrEnum):
@@ -30,8 +30,8 @@
 class Operation(msgspec.Struct, frozen=True, array_like=True):
     """One write of a command.
 
-    `expected_revision` is what the key must be at, `ANY_REVISION` or `ABSENT_REVISION`. `ttl_ms` is the time
-    to live; 0 means that the key does not expire.
+    `expected_revision` is the revision that the key must be at, `ANY_REVISION` or `ABSENT_REVISION`. `ttl_ms`
+    is the time to live; 0 means that the key does not expire.
     """
 
     kind: OperationKind
@@ -42,17 +42,17 @@
 
 
 class Precondition(msgspec.Struct, frozen=True, array_like=True):
-    """A key that a command does not write, and the revision that it must be at."""
+    """A key that a command does not write, and the revision that the key must be at."""
 
     key: str
     expected_revision: int
 
 
 class Command(msgspec.Struct, frozen=True, array_like=True):
-    """A transaction: all `operations` are applied if every precondition holds, else none.
+    """A transaction: all `operations` are applied if every precondition holds, otherwise none.
 
-    With a `session_id`, a `sequence` that was applied is not applied again: its first result is returned once
-    more. `clock_ms` is the leader's clock when it proposed the command.
+    A command with a `session_id` is applied at most once for each `sequence`; a repetition returns the first
+    result. `clock_ms` is the leader's clock when it proposed the command.
     """
 
     operations: list[Operation] = []
@@ -63,10 +63,11 @@
 
 
 class CommandResult(msgspec.Struct, frozen=True, array_like=True):
-    """What became of a command.
+    """The result of a command.
 
-    `revision` is that of the write, or that of the key which failed a precondition, and then `reason` says
-    so. `repeated` marks the result of an earlier application.
+    `ok` tells whether the command was applied. `revision` is the revision of the write; if a precondition
+    failed, it is the revision of that key, and `reason` describes the failure. `repeated` marks the result of
+    an earlier application.
     """
 
     ok: bool
@@ -76,24 +77,26 @@
 
 
 def validate(command: Command) -> None:
-    """Check a command before it is proposed. Raises `InvalidCommandError`."""
+    """Checks the limits of a command. Raises `InvalidCommandError`."""
     clauses = len(command.operations) + len(command.preconditions)
     if clauses > MAX_COMMAND_CLAUSES:
-        raise InvalidCommandError(f"{clauses} writes and conditions, {MAX_COMMAND_CLAUSES} at most")
+        raise InvalidCommandError(f"{clauses} writes and preconditions; the limit is {MAX_COMMAND_CLAUSES}")
     written: set[str] = set()
     for operation in command.operations:
         _validate_operation(operation)
         if operation.key in written:
-            raise InvalidCommandError(f"{operation.key}: written twice in one command")
+            raise InvalidCommandError(f'key "{operation.key}" is written twice in one command')
         written.add(operation.key)
 
 
 def _validate_operation(operation: Operation) -> None:
     key_bytes = len(operation.key.encode())
     if not 0 < key_bytes <= MAX_KEY_BYTES:
-        raise InvalidCommandError(f"key of {key_bytes} bytes, 1 to {MAX_KEY_BYTES} wanted")
+        raise InvalidCommandError(f"key of {key_bytes} bytes; it must have 1 to {MAX_KEY_BYTES} bytes")
     value_bytes = len(operation.value)
     if value_bytes > MAX_VALUE_BYTES:
-        raise InvalidCommandError(f"{operation.key}: value of {value_bytes} bytes, {MAX_VALUE_BYTES} at most")
+        raise InvalidCommandError(
+            f"{operation.key}: value of {value_bytes} bytes; the limit is {MAX_VALUE_BYTES} bytes"
+        )
     if operation.ttl_ms < 0:
-        raise InvalidCommandError(f"{operation.key}: ttl of {operation.ttl_ms} ms")
+        raise InvalidCommandError(f"{operation.key}: ttl of {operation.ttl_ms} ms is negative")
--- a/wheatstile/store/event_history.py
+++ b/wheatstile/store/event_history.py
@@ -1,4 +1,4 @@
-"""The latest changes of keys, in order, for watches."""
+"""The latest changes of keys, in the order of their revisions, for watches."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from wheatstile.store.errors import WatchCompactedError
 
 MAX_EVENTS = 10_000
-"""Stored events; a watch that is further behind has to read the keys anew."""
+"""Number of stored events. A watch that needs older events is rejected."""
 MAX_EVENTS_PER_READ = 256
 
 
 class ChangeKind(enum.StrEnum):
-    """What happened to a key; the values are those in snapshots and on the wire."""
+    """The kind of a change; the values are those in snapshots and on the wire."""
 
     PUT = "put"
     DELETE = "delete"
@@ -35,22 +35,22 @@
 
 
 class EventHistory:
-    """The last `MAX_EVENTS` events; `compacted_revision` is that of the latest one discarded."""
+    """The last `MAX_EVENTS` events; `compacted_revision` is the revision of the latest discarded event."""
 
     def __init__(self, events: Iterable[Event] = (), compacted_revision: int = 0) -> None:
         self.events: deque[Event] = deque(events)
         self.compacted_revision = compacted_revision
 
     def append(self, event: Event) -> None:
-        """Add an event, and discard the oldest above the bound."""
+        """Adds an event, and discards the oldest events above `MAX_EVENTS`."""
         self.events.append(event)
         while len(self.events) > MAX_EVENTS:
             self.compacted_revision = self.events.popleft().revision
 
     def after(self, revision: int, limit: int = MAX_EVENTS_PER_READ) -> list[Event]:
-        """Return up to `limit` events after `revision`, and all of the last one's revision.
+        """Returns the events after `revision`, up to `limit` and the remaining ones of the last revision.
 
-        Raises `WatchCompactedError` where some of them were discarded.
+        Raises `WatchCompactedError` if some of them were discarded.
         """
         if revision < self.compacted_revision:
             raise WatchCompactedError(self.compacted_revision)
--- a/wheatstile/store/framing.py
+++ b/wheatstile/store/framing.py
@@ -1,4 +1,4 @@
-"""Frames on the store's connections: a 4-byte big-endian length and a MessagePack body."""
+"""Frames on the store's connections. A frame is a 4-byte big-endian length and a MessagePack body."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 LOOPBACK = "127.0.0.1"
 LENGTH_PREFIX = struct.Struct(">I")
 MAX_FRAME_BYTES = 16 * 1024 * 1024
-"""Bytes of one frame at most: a batch of entries, each a command of at most `MAX_REQUEST_BYTES`."""
+"""Bytes of the body of a frame; enough for a batch of entries with commands of `MAX_REQUEST_BYTES`."""
 MAX_REQUEST_BYTES = 4 * 1024 * 1024
-"""Bytes of a client's frame."""
+"""Bytes of the body of a client's request."""
 RECEIVE_BYTES = 256 * 1024
-"""Bytes read at once."""
+"""Bytes requested in one read from a socket."""
 
 
 def encode_frame(value: object) -> bytes:
-    """Return `value` as one frame."""
+    """Returns `value` as one frame."""
     body = msgspec.msgpack.encode(value)
     return LENGTH_PREFIX.pack(len(body)) + body
 
@@ -39,9 +39,9 @@
         self._loop = asyncio.get_running_loop()
 
     async def read(self, kind: type[Decoded]) -> Decoded | None:
-        """Return the next frame as a `kind`; None at the end of the stream.
+        """Returns the next frame, decoded as a `kind`, or None at the end of the stream.
 
-        Raises `FrameTooLargeError`, `msgspec.DecodeError` where the body is no `kind`, OSError.
+        Raises `FrameTooLargeError`, OSError, and `msgspec.DecodeError` if the body is not a `kind`.
         """
         while True:
             body = self._take_body()
@@ -53,7 +53,7 @@
             self._buffer += data
 
     def _take_body(self) -> bytes | None:
-        """Return the body of the first frame in the buffer, if it is complete."""
+        """Removes the first frame from the buffer and returns its body, or None if it is not complete."""
         if len(self._buffer) < LENGTH_PREFIX.size:
             return None
         (length,) = LENGTH_PREFIX.unpack_from(self._buffer)
@@ -68,7 +68,7 @@
 
 
 async def connect(port: int) -> socket.socket:
-    """Return a connection to a loopback port, which the caller closes. Raises OSError."""
+    """Returns a connection to a loopback port, which the caller closes. Raises OSError."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
         sock.setblocking(False)
--- a/wheatstile/store/inspection.py
+++ b/wheatstile/store/inspection.py
@@ -1,4 +1,4 @@
-"""A summary of a member's directory for operators; the member need not run, and nothing is changed."""
+"""A summary of a member's directory for operators. It does not need a running member or change a file."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from wheatstile.store.storage import DirectoryContents, read_directory
 
 NO_FORMAT = 0
-"""The format of a directory to which nothing was written."""
+"""Value of `DirectorySummary.format` for a directory without a log."""
 
 
 class DirectorySummary(msgspec.Struct, frozen=True):
-    """What `store inspect` prints, by the keys that it prints."""
+    """The output of `store inspect`; the encoded names of the fields are the printed keys."""
 
     name: str
     cluster: str
@@ -34,7 +34,7 @@
 
 
 def inspect_directory(directory: Path) -> DirectorySummary:
-    """Summarise a member's directory. Raises `CorruptStorageError`, OSError."""
+    """Returns a summary of a member's directory. Raises `CorruptStorageError`, OSError."""
     contents = read_directory(directory)
     return _summarise(contents)
 
--- a/wheatstile/store/key_pattern.py
+++ b/wheatstile/store/key_pattern.py
@@ -1,4 +1,4 @@
-"""Patterns over keys, whose parts are separated by dots or slashes."""
+"""Patterns that match keys. The parts of a key are separated by dots or slashes."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 
 
 def split_parts(key: str) -> list[str]:
-    """Return the parts of a key or of a pattern."""
+    """Returns the parts of a key or of a pattern."""
     return key.replace("/", ".").split(".")
 
 
 def matches_pattern(pattern: str, key: str) -> bool:
-    """Whether `key` matches: `*` stands for one part, `>` at the end for one or more."""
+    """Returns whether `key` matches. `*` matches one part, and `>` at the end one or more parts."""
     pattern_parts = split_parts(pattern)
     key_parts = split_parts(key)
     last = len(pattern_parts) - 1
--- a/wheatstile/store/member.py
+++ b/wheatstile/store/member.py
@@ -1,6 +1,6 @@
-"""One member of the store without its sockets: Raft, storage, state machine, and the requests that wait.
+"""One member of the store without its sockets: Raft, storage, state machine, and pending requests.
 
-What comes up within one turn of the event loop is processed together, with one fsync for all (group commit).
+All messages and requests of one turn of the event loop are processed together with one fsync (group commit).
 """
 
 from __future__ import annotations
@@ -9,8 +9,6 @@
 import random
 from collections.abc import Callable, Iterator
 from contextlib import contextmanager, suppress
-from types import TracebackType
-from typing import Self
 
 import msgspec
 import structlog
@@ -31,10 +29,9 @@
 
 
 class Member:
-    """A running member; `close` releases its files, also at the end of a `with` statement.
+    """A running member. It needs a running event loop; `close` releases its files.
 
-    `send` takes a message for another member, and may lose it. Needs a running event loop. Raises
-    `CorruptStorageError`, OSError.
+    `send` sends a message to another member and may lose it. Raises `CorruptStorageError`, OSError.
     """
 
     def __init__(self, config: MemberConfig, send: Callable[[Message], None]) -> None:
@@ -57,24 +54,16 @@
         self.applied = AppliedState(self.node, recovered.snapshot, self._trace)
         self._proposals = ProposalQueue(self.node, self.applied.clock_ms)
         self._reads = PendingReads(self.node, self.schedule_flush)
-        self._failed: asyncio.Future[None] = self._loop.create_future()  # ends with StorageFailedError
+        self._failed: asyncio.Future[None] = self._loop.create_future()  # fails with StorageFailedError
         self._is_flush_scheduled = False
         self._last_logged_role = Role.FOLLOWER
 
-    def __enter__(self) -> Self:
-        return self
-
-    def __exit__(
-        self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
-    ) -> None:
-        self.close()
-
     def close(self) -> None:
-        """Close the files."""
+        """Closes the files."""
         self._storage.close()
 
     async def run(self) -> None:
-        """Keep time until the storage fails. Raises `StorageFailedError`."""
+        """Advances Raft's clock until the storage fails, and then raises `StorageFailedError`."""
         while not self._failed.done():
             catch_up(self.node)
             self._propose_due_expiration()
@@ -84,12 +73,12 @@
 
     @property
     def commit_age_ms(self) -> int:
-        """By how much, at the most, a read that asks no other member may be behind."""
+        """Upper bound, in milliseconds, for how old the state is that this member can read locally."""
         catch_up(self.node)
         return (self.node.commit_age_ticks + 1) * TICK_MS
 
     def status(self) -> MemberStatus:
-        """Return what this member reports of itself."""
+        """Returns the status that clients can request."""
         raft_log = self.node.log
         configuration = raft_log.configuration
         return MemberStatus(
@@ -111,7 +100,7 @@
         )
 
     async def write(self, command: Command) -> CommandResult:
-        """Return the command's result once it is committed and applied on this member.
+        """Returns the command's result after it has been committed and applied on this member.
 
         Raises `NotLeaderError`, `OutcomeUnknownError`.
         """
@@ -123,16 +112,19 @@
         return await result
 
     async def wait_until_current(self) -> None:
-        """Return once all that was committed before the call is applied on this member (read index).
+        """Waits until every entry that was committed before the call is applied on this member (read index).
 
-        Raises `NotLeaderError` where nobody leads; without a quorum it does not return.
+        Raises `NotLeaderError` if no leader is known. Without a quorum it does not return.
         """
         catch_up(self.node)
         index = await self._reads.read_index()
         await self.applied.wait_for(index)
 
     async def change_members(self, voters: list[str], learners: list[str]) -> None:
-        """Return once these are the members. Raises `NotLeaderError`, `MembershipChangeRejectedError`."""
+        """Changes the members, and returns when the change is complete.
+
+        Raises `NotLeaderError`, `MembershipChangeRejectedError`.
+        """
         index = self.node.change_members(voters, learners)
         self.schedule_flush()
         await self.applied.wait_for(index)
@@ -140,31 +132,31 @@
             await self.applied.next_application.wait()
 
     def transfer_leadership(self, target: str) -> None:
-        """Begin to hand leadership to `target`. Raises `NotLeaderError`, `MembershipChangeRejectedError`."""
+        """Starts a transfer to `target`. Raises `NotLeaderError`, `MembershipChangeRejectedError`."""
         self.node.transfer_leadership(target)
         self.schedule_flush()
 
     def on_message(self, message: Message) -> None:
-        """Handle a message from another member."""
+        """Handles a message from another member."""
         catch_up(self.node)
         self.node.step(message)
         self.schedule_flush()
 
     def _propose_due_expiration(self) -> None:
-        """Carry the committed clock on where a key expires and nobody writes."""
+        """Advances the committed clock by an empty command if a key has expired and there are no writes."""
         if self.applied.is_expiration_due():
             command = Command(clock_ms=self.applied.clock_ms())
             with suppress(NotLeaderError):
                 self.node.propose(msgspec.msgpack.encode(command))
 
     def schedule_flush(self) -> None:
-        """Process Raft's `Ready` in the next turn of the event loop."""
+        """Schedules the processing of Raft's `Ready` in the next turn of the event loop."""
         if not self._is_flush_scheduled and not self._failed.done():
             self._is_flush_scheduled = True
             self._loop.call_soon(self._flush)
 
     def _flush(self) -> None:
-        """Process one `Ready` in the order of its fields, unless the storage fails."""
+        """Processes one `Ready` in the order of its fields, and stops if the storage fails."""
         self._is_flush_scheduled = False
         if self._failed.done():
             return
@@ -183,6 +175,7 @@
 
     @contextmanager
     def _fail_on_storage_error(self) -> Iterator[None]:
+        """Makes `run` raise `StorageFailedError` if the body raises OSError."""
         try:
             yield
         except OSError as error:
@@ -196,7 +189,7 @@
             self._storage.save_snapshot(ready.snapshot, self.node.hard_state, entries)
 
     def _process_persisted(self, ready: Ready) -> None:
-        """Install the snapshot, send the messages, apply the entries and answer the reads, in this order."""
+        """Installs the snapshot, sends messages, applies entries and answers reads, in this order."""
         if ready.snapshot is not None:
             self.applied.install(ready.snapshot)
             self._proposals.on_snapshot_installed(ready.snapshot.index)
@@ -211,7 +204,7 @@
         self._log_role_change()
 
     def _compact(self) -> None:
-        """Replace the applied entries by a snapshot. Raises OSError."""
+        """Replaces the applied entries by a snapshot. Raises OSError."""
         self.node.compact(self.applied.state_machine.dump())
         raft_log = self.node.log
         self._storage.save_snapshot(raft_log.snapshot, self.node.hard_state, list(raft_log.entries))
--- a/wheatstile/store/member_config.py
+++ b/wheatstile/store/member_config.py
@@ -11,16 +11,16 @@
 
 @dataclass(frozen=True)
 class MemberConfig:
-    """Who this member is and where it stores its data."""
+    """The identity of one member, and where it stores its data."""
 
     name: str
     voters: frozenset[str]
-    """The cluster's first voters; empty for a member that is to be added to a running cluster."""
+    """The cluster's initial voters; empty for a member that will be added to a running cluster."""
     directory: Path
     cluster: str = DEFAULT_CLUSTER
     seed: int = 0
-    """Seeds the draw of election time-outs, together with the name."""
+    """Seeds the random election time-outs, together with the name."""
     trace: bool = False
-    """Print each role, snapshot and applied entry on standard output, for checkers over histories."""
+    """Prints each role, snapshot and applied entry on standard output, for tests that check histories."""
     compact_every: int = DEFAULT_COMPACT_EVERY
-    """Applied entries after which the log is compacted into a snapshot."""
+    """The number of applied entries after which the log is compacted into a snapshot."""
--- a/wheatstile/store/peer_transport.py
+++ b/wheatstile/store/peer_transport.py
@@ -1,4 +1,4 @@
-"""Messages between members over TCP: one connection for each direction of each pair."""
+"""Messages between members over TCP, with one connection for each direction of each pair."""
 
 from __future__ import annotations
 
@@ -17,18 +17,18 @@
 log = structlog.get_logger()
 
 MAX_OUTBOX_MESSAGES = 256
-"""Messages waiting for one peer at most; the oldest is discarded, which Raft bears as loss."""
+"""Messages queued for one peer. A full queue discards its oldest message; Raft tolerates the loss."""
 RECONNECT_DELAY_S = 0.1
-"""Time before a lost peer is connected to again."""
+"""Pause before the next attempt to connect to a peer."""
 ADDRESS_KEY_PREFIX = "_members"
-"""Members that were added later have the key `_members/NAME`, whose value begins with the port for peers."""
+"""Prefix of the keys `_members/NAME` of members added later; the value begins with the peer port."""
 
 
 class PeerTransport:
-    """Sends messages to peers, and receives theirs.
+    """Sends messages to peers and receives theirs.
 
-    `ports` are the peers' known loopback ports; `stored_address` returns the value of a peer's address key,
-    for those that are not among them.
+    `ports` contains the loopback ports of the configured peers. For other peers, `stored_address` returns the
+    value of the address key, or None.
     """
 
     def __init__(
@@ -44,14 +44,14 @@
         self._new_peers: asyncio.Queue[str] = asyncio.Queue()
 
     async def run(self) -> None:
-        """Send what is queued, until cancelled."""
+        """Sends the queued messages until cancelled, with one task for each peer."""
         async with asyncio.TaskGroup() as tasks:
             while True:
                 peer = await self._new_peers.get()
                 tasks.create_task(self._send_queued(peer))
 
     def send(self, message: Message) -> None:
-        """Queue a message for its recipient."""
+        """Queues a message for its recipient."""
         peer = message.recipient
         if peer not in self._outboxes:
             self._outboxes[peer] = asyncio.Queue(MAX_OUTBOX_MESSAGES)
@@ -68,7 +68,7 @@
         return int(fields[0]) if fields and fields[0].isdigit() else None
 
     async def _send_queued(self, peer: str) -> None:
-        """Connect to `peer` whenever there is something to send, and send until the connection is lost."""
+        """Connects to `peer` when a message is queued, and sends until the connection is lost."""
         outbox = self._outboxes[peer]
         while True:
             message = await outbox.get()
@@ -78,11 +78,11 @@
             try:
                 with await connect(port) as sock:
                     await self._send_over(sock, peer, message)
-            except OSError:  # what was on the way may be lost
+            except OSError:  # messages in flight may be lost
                 await asyncio.sleep(RECONNECT_DELAY_S)
 
     async def _send_over(self, sock: socket.socket, peer: str, message: Message) -> None:
-        """Send `message` and all that follows it in the peer's outbox, until an OSError."""
+        """Sends `message`, and all later messages to the peer, until an OSError."""
         loop = asyncio.get_running_loop()
         outbox = self._outboxes[peer]
         handshake = PeerHandshake(self._config.cluster, self._config.name, peer)
@@ -95,7 +95,7 @@
             message = await outbox.get()
 
     async def receive(self, sock: socket.socket, on_message: Callable[[Message], None]) -> None:
-        """Pass a peer's messages on until the connection ends.
+        """Calls `on_message` for each of a peer's messages until the connection ends.
 
         Raises `ProtocolError`, `msgspec.DecodeError`, OSError.
         """
@@ -105,14 +105,14 @@
             return
         while (message := await frames.read(Message)) is not None:
             if (message.sender, message.recipient) != (handshake.name, self._config.name):
-                route = f"from {message.sender} to {message.recipient}"
-                raise ProtocolError(f"a message {route} on the connection of {handshake.name}")
+                route = f'from "{message.sender}" to "{message.recipient}"'
+                raise ProtocolError(f'a message {route} on a connection from "{handshake.name}"')
             if message.kind is MessageKind.SNAPSHOT and message.snapshot is None:
                 raise ProtocolError("a snapshot message without a snapshot")
             on_message(message)
 
     def _accepts(self, handshake: PeerHandshake) -> bool:
-        """Whether the peer is of this cluster and means this member."""
+        """Returns whether the peer belongs to this cluster and the connection is meant for this member."""
         if (handshake.cluster, handshake.recipient) == (self._config.cluster, self._config.name):
             return True
         log.warning(
--- a/wheatstile/store/pending_reads.py
+++ b/wheatstile/store/pending_reads.py
@@ -1,4 +1,4 @@
-"""Linearizable reads of one member that wait for their read index."""
+"""Linearizable reads of one member that are waiting for their read index."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 
 
 class PendingReads:
-    """Reads by request identifier; `schedule_flush` has the node's `Ready` processed soon."""
+    """Requests read indices from the node; `schedule_flush` schedules the processing of its `Ready`."""
 
     def __init__(self, node: RaftNode, schedule_flush: Callable[[], None]) -> None:
         self._node = node
         self._schedule_flush = schedule_flush
         self._reads: dict[int, asyncio.Future[int]] = {}
-        # An answer to a read of this member's previous incarnation may still arrive: no identifier repeats.
+        # A reply to a read from before a restart may still arrive, so identifiers must not repeat.
         self._request_ids = itertools.count(time.monotonic_ns())
 
     async def read_index(self) -> int:
-        """Return the index that has to be applied before a read that begins now is answered.
+        """Returns the index that must be applied before a read that starts now is answered.
 
-        Raises `NotLeaderError` where nobody leads; without a quorum it does not return.
+        Raises `NotLeaderError` if no leader is known. Without a quorum it does not return.
         """
         request_id = next(self._request_ids)
         read: asyncio.Future[int] = asyncio.get_running_loop().create_future()
@@ -39,7 +39,7 @@
             self._node.cancel_read(request_id)
 
     def on_ready(self, ready: Ready) -> None:
-        """Resolve the reads that `ready` answers or rejects."""
+        """Resolves the reads that `ready` answers or rejects."""
         for read_state in ready.read_states:
             if read := self._unfinished(read_state.request_id):
                 read.set_result(read_state.index)
@@ -48,6 +48,6 @@
                 read.set_exception(NotLeaderError(self._node.leader))
 
     def _unfinished(self, request_id: int) -> asyncio.Future[int] | None:
-        """Return the read that waits under this identifier, unless its client has given up."""
+        """Returns the pending read with this identifier, unless its client has cancelled it."""
         read = self._reads.get(request_id)
         return None if read is None or read.done() else read
--- a/wheatstile/store/proposal_queue.py
+++ b/wheatstile/store/proposal_queue.py
@@ -1,4 +1,4 @@
-"""Commands on their way into the log: queued for group commit, then waiting to be applied."""
+"""Commands from their submission to their application: queued for group commit, then proposed."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 from wheatstile.store.raft.node import RaftNode
 
 MAX_GROUP_COMMANDS = 512
-"""Queued commands that are proposed at once, although earlier ones are not committed yet."""
+"""Queue length at which the queue is proposed before the previous group is committed."""
 MAX_GROUP_WAIT_S = 0.005
-"""Time after which a queued command is proposed, although earlier ones are not committed yet."""
+"""Waiting time after which the queue is proposed before the previous group is committed."""
 
 
 @dataclass(frozen=True, slots=True)
 class QueuedCommand:
-    """A command that is not in the log yet; `queued_at_s` is of the event loop's clock."""
+    """A command that is not in the log yet; `queued_at_s` is a time of the event loop's clock."""
 
     queued_at_s: float
     command: Command
@@ -39,7 +39,7 @@
 class ProposalQueue:
     """Proposes commands in groups, and resolves their futures when their entries are applied.
 
-    `clock_ms` gives the stamp of a command when it is proposed.
+    `clock_ms` returns the store's clock, with which a command is stamped when it is proposed.
     """
 
     def __init__(self, node: RaftNode, clock_ms: Callable[[], int]) -> None:
@@ -47,31 +47,35 @@
         self._clock_ms = clock_ms
         self._loop = asyncio.get_running_loop()
         self._queue: list[QueuedCommand] = []
-        self._proposed: dict[int, ProposedCommand] = {}  # by log index
+        self._proposed: dict[int, ProposedCommand] = {}  # keyed by log index
         self._last_proposed_index = 0
 
     def submit(self, command: Command) -> asyncio.Future[CommandResult]:
-        """Queue `command`; the future ends with its result, `NotLeaderError` or `OutcomeUnknownError`."""
+        """Queues `command` and returns the future of its result.
+
+        The future fails with `NotLeaderError` if the command was not applied, and with `OutcomeUnknownError`
+        if that is unknown.
+        """
         result: asyncio.Future[CommandResult] = self._loop.create_future()
         self._queue.append(QueuedCommand(self._loop.time(), command, result))
         return result
 
     def propose_due(self) -> None:
-        """Propose all queued commands, once those proposed before are committed.
+        """Proposes all queued commands, unless more should join their group.
 
-        The more there is to do, the more commands share one fsync. None waits longer than `MAX_GROUP_WAIT_S`
-        and a tick.
+        A group is proposed when the previous group is committed, so that more commands share one fsync under
+        load. The limits are `MAX_GROUP_COMMANDS` and `MAX_GROUP_WAIT_S`, the latter plus one tick.
         """
         if not self._queue or self._is_group_open():
             return
         queue = self._queue
         self._queue = []
         for queued in queue:
-            if not queued.result.done():  # else its client has given up, and nothing was done
+            if not queued.result.done():  # not cancelled by its client
                 self._propose(queued)
 
     def _is_group_open(self) -> bool:
-        """Whether further commands may still join those in the queue."""
+        """Returns whether further commands may join those in the queue."""
         return (
             self._node.log.commit_index < self._last_proposed_index
             and len(self._queue) < MAX_GROUP_COMMANDS
@@ -89,17 +93,17 @@
         self._proposed[index] = ProposedCommand(self._node.term, queued.result)
 
     def on_applied(self, entry: Entry, result: CommandResult) -> None:
-        """Resolve the command that was proposed at the entry's index, if there is one."""
+        """Resolves the command that was proposed at the entry's index, if there is one."""
         proposed = self._proposed.pop(entry.index, None)
         if proposed is None or proposed.result.done():
             return
         if proposed.term == entry.term:
             proposed.result.set_result(result)
-        else:  # another leader's entry took its place
+        else:  # replaced by the entry of another leader
             proposed.result.set_exception(NotLeaderError(self._node.leader))
 
     def on_snapshot_installed(self, index: int) -> None:
-        """Fail the commands whose entries the snapshot up to `index` covers: their results are not known."""
+        """Fails the commands up to `index`, which a snapshot covers, because their results are unknown."""
         covered = [proposed_index for proposed_index in self._proposed if proposed_index <= index]
         for proposed_index in covered:
             result = self._proposed.pop(proposed_index).result
--- a/wheatstile/store/protocol.py
+++ b/wheatstile/store/protocol.py
@@ -1,9 +1,9 @@
-"""Messages on the store's connections; each is a MessagePack map in a frame (`framing`).
+"""Messages on the store's connections. Each is a MessagePack map in a frame (`framing`).
 
-A member sends a `PeerHandshake` and then `raft.messages.Message`s to another, one way. A client sends
-`Request`s and gets one `Reply` for each, in order; a watch's replies go on until either side ends the
-connection, a backup's until no bytes remain. Fields whose key on the wire differs give it with
-`msgspec.field(name=...)`.
+A connection between members has one direction: the sender sends a `PeerHandshake` and then
+`raft.messages.Message`s. A client sends `Request`s and receives one `Reply` for each, in order. There are two
+exceptions: a watch gets replies until either side closes the connection, and a backup until no bytes remain.
+Where a key on the wire differs from the field's name, `msgspec.field(name=...)` gives the key.
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
 from wheatstile.store.raft.messages import Role
 
 LINEARIZABLE = -1
-"""As `Request.max_staleness_ms`: the read has to see every write acknowledged before it."""
+"""Value of `Request.max_staleness_ms` for a read that sees every write acknowledged before it."""
 DEFAULT_TIMEOUT_MS = 2000
 
 
 class RequestKind(enum.StrEnum):
-    """What a client asks for; the values are those on the wire."""
+    """The kind of a client's request; the values are those on the wire."""
 
     WRITE = "write"
     GET = "get"
@@ -36,19 +36,19 @@
 
 
 class ErrorCode(enum.StrEnum):
-    """Why a request was not carried out; the values are those on the wire."""
+    """The reason why a request was not carried out; the values are those on the wire."""
 
     NONE = ""
-    NOT_LEADER = "not-leader"  # `Reply.leader` may name the leader
-    OUTCOME_UNKNOWN = "unknown"  # a write may yet be applied
-    REJECTED = "refused"  # the membership change or transfer is not possible now
-    STALE = "stale"  # this member may be further behind than the read allows
-    WATCH_COMPACTED = "behind"  # events after the watch's revision were discarded
-    INVALID = "bad"
+    NOT_LEADER = "not-leader"  # `Reply.leader` is the leader, if this member knows it
+    OUTCOME_UNKNOWN = "unknown"  # a write may have been applied, or may be applied later
+    REJECTED = "refused"  # the membership change or the leadership transfer is not possible now
+    STALE = "stale"  # this member's state may be older than the read allows
+    WATCH_COMPACTED = "behind"  # some events after the watch's revision were discarded
+    INVALID = "bad"  # the request violates a limit
 
 
 class PeerHandshake(msgspec.Struct, frozen=True):
-    """The first frame from one member to another, with the names of both and of the cluster."""
+    """The first frame on a connection between members: the cluster, the sender and the recipient."""
 
     cluster: str
     name: str
@@ -58,8 +58,9 @@
 class Request(msgspec.Struct, frozen=True):
     """A client's request.
 
-    `key` is a key, a pattern or a member's name, by `kind`. A watch gives events after `after_revision`. A
-    read may be behind by `max_staleness_ms`. The member answers within `timeout_ms`.
+    Depending on `kind`, `key` is a key, a pattern or the name of a member. A watch returns the events after
+    `after_revision`. A read may return a state that is `max_staleness_ms` old. The member replies within
+    `timeout_ms`.
     """
 
     kind: RequestKind = msgspec.field(name="op")
@@ -83,7 +84,7 @@
 
 
 class MemberStatus(msgspec.Struct, frozen=True):
-    """What a member reports of itself; the keys on the wire are those that `store status --json` prints."""
+    """The status of a member; the keys on the wire are those that `store status --json` prints."""
 
     name: str
     role: Role
@@ -103,7 +104,7 @@
 
 
 class Reply(msgspec.Struct, frozen=True):
-    """The answer to a request; `error` is `ErrorCode.NONE` where the request was carried out."""
+    """The reply to a request; `error` is `ErrorCode.NONE` if the request was carried out."""
 
     error: ErrorCode = ErrorCode.NONE
     reason: str = ""
@@ -112,11 +113,11 @@
     versions: list[KeyVersion] = msgspec.field(default_factory=list, name="found")
     events: list[Event] = []
     revision: int = 0
-    """The revision as of which a read is answered, or up to which a watch has come."""
+    """The revision of the state that a read returns, or up to which a watch has sent all events."""
     commit_age_ms: int = msgspec.field(default=0, name="age_ms")
-    """By how much the answer may be behind."""
+    """Upper bound, in milliseconds, for the age of the returned state."""
     status: MemberStatus | None = None
     chunk: bytes = msgspec.field(default=b"", name="data")
-    """A part of a backup."""
+    """A part of a backup's data."""
     remaining_bytes: int = msgspec.field(default=0, name="left")
-    """Bytes of the backup that follow in further replies."""
+    """Bytes of the backup's data that follow in further replies."""
--- a/wheatstile/store/record_file.py
+++ b/wheatstile/store/record_file.py
@@ -1,15 +1,16 @@
-"""Files of checksummed records: encoding, reading, and replacing a file as a whole.
+"""Files of checksummed records: encoding, reading, and replacing a file atomically.
 
 A record is a header (length of the body, CRC-32 of the length, CRC-32 of the body; 4 bytes each, big-endian)
-and a body in MessagePack. The length has a checksum of its own, so that a record cut short by a crash is told
-from a damaged length.
+and a body in MessagePack. The separate checksum of the length distinguishes an incomplete record, which a
+crash leaves behind, from a corrupt length.
 """
 
 from __future__ import annotations
 
+import os
 import struct
 import zlib
-from collections.abc import Iterator
+from collections.abc import Callable, Iterable, Iterator
 from dataclasses import dataclass
 from pathlib import Path
 from typing import TypeVar
@@ -21,13 +22,14 @@
 Decoded = TypeVar("Decoded")
 
 HEADER = struct.Struct(">III")
+LENGTH_BYTES = 4
 MAX_RECORD_BYTES = 256 * 1024 * 1024
-"""Bytes of one body at most; a larger length is damage."""
+"""Bytes of the body of one record. A larger length is treated as corrupt."""
 
 
 @dataclass(frozen=True, slots=True)
 class FileRecord:
-    """The body of a complete record, and where the record stands in its file."""
+    """The body of a complete record, and the record's position in its file."""
 
     path: Path
     offset: int
@@ -39,7 +41,7 @@
         return self.offset + HEADER.size + len(self.body)
 
     def decode(self, kind: type[Decoded]) -> Decoded:
-        """Decode the body. Raises `CorruptStorageError` where it is no `kind`."""
+        """Decodes the body. Raises `CorruptStorageError` if it is not a `kind`."""
         try:
             return msgspec.msgpack.decode(self.body, type=kind)
         except msgspec.DecodeError as error:
@@ -47,23 +49,39 @@
 
 
 def encode_record(value: object) -> bytes:
-    """Return `value` as one record."""
+    """Returns `value` as one record."""
     body = msgspec.msgpack.encode(value)
-    length = len(body).to_bytes(4, "big")
-    return HEADER.pack(len(body), zlib.crc32(length), zlib.crc32(body)) + body
+    return HEADER.pack(len(body), _length_checksum(len(body)), zlib.crc32(body)) + body
+
+
+def _length_checksum(length: int) -> int:
+    return zlib.crc32(length.to_bytes(LENGTH_BYTES, "big"))
+
+
+def replace_file(path: Path, values: Iterable[object], fsync: Callable[[int], None]) -> None:
+    """Replaces a file atomically by one that has `values` as its records. Raises OSError.
+
+    `fsync` is called with the descriptor of the new file. The directory is not synced.
+    """
+    temporary = path.with_name(f".{path.name}.new")
+    with open(temporary, "wb") as file:
+        file.write(b"".join(map(encode_record, values)))
+        file.flush()
+        fsync(file.fileno())
+    os.replace(temporary, path)
 
 
 def read_records(path: Path) -> Iterator[FileRecord]:
-    """Yield each complete record; a file that is not there has none.
+    """Yields each complete record of a file. A missing file has none.
 
-    An incomplete record at the end is left out: the last one's `end_offset` says where it begins. Raises
+    An incomplete record at the end is omitted; it starts at the `end_offset` of the last complete one. Raises
     `CorruptStorageError` for a record whose checksums do not match.
     """
     data = path.read_bytes() if path.exists() else b""
     offset = 0
     while offset + HEADER.size <= len(data):
         length, length_checksum, checksum = HEADER.unpack_from(data, offset)
-        if zlib.crc32(length.to_bytes(4, "big")) != length_checksum or length > MAX_RECORD_BYTES:
+        if _length_checksum(length) != length_checksum or length > MAX_RECORD_BYTES:
             raise CorruptStorageError(str(path), offset, "the record's length does not check")
         start = offset + HEADER.size
         record = FileRecord(path, offset, data[start : start + length])
--- a/wheatstile/store/server.py
+++ b/wheatstile/store/server.py
@@ -1,4 +1,4 @@
-"""A member of the store as a process: peers and clients over TCP on loopback."""
+"""A member of the store as a process that serves peers and clients over TCP on loopback."""
 
 from __future__ import annotations
 
@@ -7,6 +7,7 @@
 import socket
 import sys
 from collections.abc import Awaitable, Callable
+from contextlib import closing
 from dataclasses import dataclass
 
 import msgspec
@@ -25,7 +26,7 @@
 
 LISTEN_BACKLOG = 256
 ACCEPT_RETRY_DELAY_S = 0.1
-"""Time before the next connection is accepted after accepting one failed."""
+"""Pause after a failed accept."""
 
 EXIT_STOPPED = 0
 EXIT_CANNOT_START = 1
@@ -36,7 +37,7 @@
 
 @dataclass(frozen=True)
 class Ports:
-    """Loopback ports: this member's for peers and for clients (0: any free one), and each peer's."""
+    """Loopback ports of this member for peers and for clients (0: any free port), and those of its peers."""
 
     peer: int
     client: int
@@ -44,7 +45,7 @@
 
 
 class StoreServer:
-    """Serves one member. Raises `CorruptStorageError`, or OSError where the directory cannot be used."""
+    """Serves one member. Raises `CorruptStorageError`, and OSError if the directory cannot be used."""
 
     def __init__(self, config: MemberConfig, ports: Ports) -> None:
         self._config = config
@@ -54,12 +55,12 @@
         self._clients = ClientService(self._member)
 
     async def serve(self) -> None:
-        """Serve until cancelled.
+        """Serves peers and clients until cancelled, and closes the member.
 
-        Raises an exception group with OSError where a port cannot be had, or with `StorageFailedError`.
+        Raises OSError if a port cannot be used, and an exception group with `StorageFailedError`.
         """
         with (
-            self._member,
+            closing(self._member),
             open_listener(self._ports.peer) as peer_listener,
             open_listener(self._ports.client) as client_listener,
         ):
@@ -81,20 +82,20 @@
 
 
 def open_listener(port: int) -> socket.socket:
-    """Return a listening socket on loopback, which the caller closes. Raises OSError."""
+    """Returns a listening socket on loopback, which the caller closes. Raises OSError."""
     listener = socket.create_server((LOOPBACK, port), backlog=LISTEN_BACKLOG)
     listener.setblocking(False)
     return listener
 
 
 async def accept_connections(listener: socket.socket, handle: ConnectionHandler) -> None:
-    """Run `handle` in a task of its own for each connection, until cancelled."""
+    """Accepts connections until cancelled, and runs `handle` on each in a task of its own."""
     loop = asyncio.get_running_loop()
     async with asyncio.TaskGroup() as tasks:
         while True:
             try:
                 sock, _ = await loop.sock_accept(listener)
-            except OSError as error:  # out of descriptors, or the connection has ended already
+            except OSError as error:  # no descriptor is free, or the connection was aborted
                 log.warning("store_accept_failed", reason=str(error))
                 await asyncio.sleep(ACCEPT_RETRY_DELAY_S)
                 continue
@@ -104,7 +105,7 @@
 
 
 async def handle_connection(sock: socket.socket, handle: ConnectionHandler) -> None:
-    """Run `handle` on a connection and close it; what a peer sends wrong ends this connection alone."""
+    """Runs `handle` on a connection and closes it. A protocol error affects this connection alone."""
     with sock:
         try:
             await handle(sock)
@@ -115,7 +116,7 @@
 
 
 async def serve_until_signalled(config: MemberConfig, ports: Ports) -> None:
-    """Serve until SIGTERM or SIGINT, which cancel this task."""
+    """Serves until SIGTERM or SIGINT, which cancel this task."""
     server = StoreServer(config, ports)
     task = asyncio.current_task()
     assert task is not None
@@ -125,10 +126,10 @@
 
 
 def run_server(config: MemberConfig, ports: Ports) -> int:
-    """Serve until SIGTERM and return the exit status.
+    """Serves until SIGTERM or SIGINT and returns the exit status.
 
-    `EXIT_STOPPED` then; `EXIT_CANNOT_START` where a port cannot be had or the directory is not usable;
-    `EXIT_STORAGE_FAILED` when writing fails, since nothing may be answered that might not be on the disk.
+    The status is `EXIT_STOPPED` after a signal, `EXIT_CANNOT_START` if a port or the directory cannot be
+    used, and `EXIT_STORAGE_FAILED` if a write to the directory fails.
     """
     logs.configure()
     status = EXIT_STOPPED
@@ -144,7 +145,7 @@
 
 
 def report_errors(config: MemberConfig, errors: BaseExceptionGroup[Exception], status: int) -> int:
-    """Print what ended the process on standard error; returns `status`."""
+    """Prints the errors that ended the process on standard error, and returns `status`."""
     for error in errors.exceptions:
         print(f"store: {config.name}: {error}", file=sys.stderr)
     return status
--- a/wheatstile/store/state_machine.py
+++ b/wheatstile/store/state_machine.py
@@ -1,9 +1,8 @@
 """The replicated state: keys with revisions and bounded history, times to live, client sessions, events.
 
-Pure: a `Command` is applied at its log index and answered with a `CommandResult`; the same commands give the
-same state on every member. A revision is the log index of the write. The clock is the leader's, in
-milliseconds, carried by commands: it runs only while somebody leads, never back, and never faster than a
-leader's own.
+This module is pure: the same commands produce the same state on every member. A revision is the log index of
+the write. The clock is in milliseconds and comes from the commands, which the leader stamps. It never goes
+back, never runs faster than a leader's own clock, and stops while there is no leader.
 """
 
 from __future__ import annotations
@@ -15,6 +14,7 @@
 import msgspec
 
 from wheatstile.store.commands import (
+    ABSENT_REVISION,
     ANY_REVISION,
     Command,
     CommandResult,
@@ -27,7 +27,7 @@
 
 SNAPSHOT_FORMAT = 1
 MAX_KEYS = 200_000
-"""Keys at most, including deleted ones whose history is still stored."""
+"""Number of keys, including deleted keys whose history is still stored."""
 MAX_VERSIONS_PER_KEY = 8
 MAX_SESSIONS = 10_000
 SESSION_TTL_MS = 3_600_000
@@ -37,7 +37,7 @@
 
 
 class Version(msgspec.Struct, frozen=True, array_like=True):
-    """One version of a key; `expires_at_ms` is 0 where it does not expire."""
+    """One version of a key; `expires_at_ms` is 0 if it does not expire."""
 
     revision: int
     change: ChangeKind
@@ -47,7 +47,7 @@
 
 
 class Session(msgspec.Struct, frozen=True, array_like=True):
-    """The last command of a client's session, so that its repetition is recognised."""
+    """The last command of a client's session, by which a repeated command is recognised."""
 
     sequence: int
     result: CommandResult
@@ -55,7 +55,7 @@
 
 
 class SnapshotData(msgspec.Struct, frozen=True):
-    """The data of a snapshot, as a map; `SNAPSHOT_FORMAT` is the only format so far."""
+    """The data of a snapshot, encoded as a MessagePack map; `format` is `SNAPSHOT_FORMAT`."""
 
     format: int
     clock_ms: int = msgspec.field(name="now_ms")
@@ -66,7 +66,7 @@
 
 
 class Expiration(NamedTuple):
-    """When a key expires, or is discarded if it is deleted; void once the key has another revision."""
+    """The time at which a key expires, or is discarded if it is deleted. Void if its revision has changed."""
 
     at_ms: int
     key: str
@@ -74,33 +74,33 @@
 
 
 class StateMachine:
-    """The state of the store after the commands applied so far."""
+    """The state of the store after the commands that were applied so far."""
 
     def __init__(self) -> None:
         self.clock_ms = 0
-        self.keys: dict[str, list[Version]] = {}  # the latest version last
-        self.sessions: dict[str, Session] = {}  # the least recently used first
+        self.keys: dict[str, list[Version]] = {}  # versions from the oldest to the latest
+        self.sessions: dict[str, Session] = {}  # from the least to the most recently used
         self.events = EventHistory()
         self._expirations: list[Expiration] = []  # a heap
 
     def get(self, key: str) -> Version | None:
-        """Return the key's latest version; None where it is absent or deleted."""
+        """Returns the key's latest version, or None if the key is absent or deleted."""
         versions = self.keys.get(key)
         return versions[-1] if versions and versions[-1].change is ChangeKind.PUT else None
 
     def matching(self, pattern: str) -> Iterator[tuple[str, Version]]:
-        """Yield the keys that match `pattern`, in order, each with its latest version."""
+        """Yields the keys that match `pattern` in alphabetical order, each with its latest version."""
         for key in sorted(self.keys):
             version = self.get(key)
             if version and matches_pattern(pattern, key):
                 yield key, version
 
     def next_expiration_ms(self) -> int | None:
-        """Return when, by the committed clock, a key expires or is discarded next."""
+        """Returns the committed clock's time at which the next key expires or is discarded, or None."""
         return self._expirations[0].at_ms if self._expirations else None
 
     def apply(self, index: int, command: Command) -> CommandResult:
-        """Apply the command at log index `index`, unless its session has applied it already."""
+        """Applies the command at log index `index`, unless it repeats a command of its session."""
         self.clock_ms = max(self.clock_ms, command.clock_ms)
         self._expire_keys(index)
         if not command.session_id:
@@ -111,20 +111,18 @@
         session_id = command.session_id
         session = self.sessions.pop(session_id, None)  # added again below, as the most recently used
         if session is None and command.sequence != 1:
-            reason = f"session {session_id} is not known, nor whether it was applied"
+            reason = f"session {session_id} is unknown; the command may have been applied before"
             return CommandResult(False, reason=reason)
         if session and command.sequence <= session.sequence:
             self.sessions[session_id] = session
-            if command.sequence < session.sequence:
-                reason = f"sequence {command.sequence} is before {session.sequence}"
-                return CommandResult(False, reason=reason)
-            return msgspec.structs.replace(session.result, repeated=True)
+            return _result_of_repetition(session, command)
         result = self._execute(index, command)
         self.sessions[session_id] = Session(command.sequence, result, self.clock_ms)
         self._discard_old_sessions()
         return result
 
     def _discard_old_sessions(self) -> None:
+        """Discards sessions that exceed `MAX_SESSIONS` or were unused for `SESSION_TTL_MS`."""
         while self.sessions:
             session_id, session = next(iter(self.sessions.items()))
             is_in_use = session.last_used_ms > self.clock_ms - SESSION_TTL_MS
@@ -133,23 +131,34 @@
             del self.sessions[session_id]
 
     def _execute(self, index: int, command: Command) -> CommandResult:
+        """Executes all operations, or none if a precondition or the limit on keys prevents it."""
+        failure = self._find_failed_precondition(command)
+        if failure is not None:
+            return failure
+        if self._exceeds_max_keys(command.operations):
+            return CommandResult(False, reason=f"{MAX_KEYS} keys at most")
+        for operation in command.operations:
+            self._execute_operation(index, operation)
+        return CommandResult(True, index)
+
+    def _find_failed_precondition(self, command: Command) -> CommandResult | None:
+        """Returns the result of a command that fails a precondition, or None if all of them hold."""
         preconditions = [*command.preconditions]
         preconditions += [
             Precondition(operation.key, operation.expected_revision) for operation in command.operations
         ]
         for precondition in preconditions:
             version = self.get(precondition.key)
-            revision = version.revision if version else 0
+            revision = version.revision if version else ABSENT_REVISION
             if precondition.expected_revision not in (ANY_REVISION, revision):
                 reason = f"{precondition.key} is at revision {revision}, not {precondition.expected_revision}"
                 return CommandResult(False, revision, reason)
-        puts = [operation for operation in command.operations if operation.kind is OperationKind.PUT]
-        new_keys = sum(operation.key not in self.keys for operation in puts)
-        if len(self.keys) + new_keys > MAX_KEYS:
-            return CommandResult(False, reason=f"{MAX_KEYS} keys at most")
-        for operation in command.operations:
-            self._execute_operation(index, operation)
-        return CommandResult(True, index)
+        return None
+
+    def _exceeds_max_keys(self, operations: list[Operation]) -> bool:
+        puts = [operation for operation in operations if operation.kind is OperationKind.PUT]
+        new_key_count = sum(operation.key not in self.keys for operation in puts)
+        return len(self.keys) + new_key_count > MAX_KEYS
 
     def _execute_operation(self, index: int, operation: Operation) -> None:
         if operation.kind is OperationKind.PUT:
@@ -160,12 +169,14 @@
             self._remove(index, operation.key, ChangeKind(operation.kind))
 
     def _remove(self, index: int, key: str, change: ChangeKind) -> None:
-        """Mark a key as removed; the mark is discarded later."""
+        """Adds a version that marks the key as removed. The key is discarded after `DELETED_KEY_TTL_MS`."""
         if change is ChangeKind.PURGE:
             self.keys[key] = []
-        self._add_version(key, Version(index, change, b"", self.clock_ms, self.clock_ms + DELETED_KEY_TTL_MS))
+        discarded_at_ms = self.clock_ms + DELETED_KEY_TTL_MS
+        self._add_version(key, Version(index, change, b"", self.clock_ms, discarded_at_ms))
 
     def _add_version(self, key: str, version: Version) -> None:
+        """Adds a key's latest version, discards its oldest above the limit, and records the event."""
         previous = self.keys.get(key, [])
         self.keys[key] = [*previous[-MAX_VERSIONS_PER_KEY + 1 :], version]
         if version.expires_at_ms:
@@ -173,18 +184,19 @@
         self.events.append(Event(version.revision, key, version.change, version.value))
 
     def _expire_keys(self, index: int) -> None:
+        """Marks the expired keys as removed, and discards the removed keys whose time has passed."""
         while self._expirations and self._expirations[0].at_ms <= self.clock_ms:
             expiration = heapq.heappop(self._expirations)
             versions = self.keys.get(expiration.key)
             if not versions or versions[-1].revision != expiration.revision:
-                continue  # written again since
+                continue  # the key was written again later
             if versions[-1].change is ChangeKind.PUT:
                 self._remove(index, expiration.key, ChangeKind.EXPIRE)
             else:
                 del self.keys[expiration.key]
 
     def dump(self) -> bytes:
-        """Return the state as the data of a snapshot."""
+        """Returns the state as the data of a snapshot."""
         state = SnapshotData(
             SNAPSHOT_FORMAT,
             self.clock_ms,
@@ -197,16 +209,17 @@
 
     @classmethod
     def load(cls, data: bytes) -> StateMachine:
-        """Return the state that `dump` returned; of no data, the empty state.
+        """Returns a state machine with the state that `dump` returned, or an empty one if `data` is empty.
 
-        Raises ValueError for another format, `msgspec.DecodeError` for other data.
+        Raises ValueError for an unsupported format, and `msgspec.DecodeError` if `data` is malformed.
         """
         machine = cls()
         if not data:
             return machine
         state = msgspec.msgpack.decode(data, type=SnapshotData)
         if state.format != SNAPSHOT_FORMAT:
-            raise ValueError(f"a snapshot of format {state.format}, and this program reads {SNAPSHOT_FORMAT}")
+            supported = f"this program reads format {SNAPSHOT_FORMAT}"
+            raise ValueError(f"snapshot format {state.format} is not supported; {supported}")
         machine.clock_ms = state.clock_ms
         machine.keys = state.keys
         machine.sessions = state.sessions
@@ -218,3 +231,11 @@
         ]
         heapq.heapify(machine._expirations)
         return machine
+
+
+def _result_of_repetition(session: Session, command: Command) -> CommandResult:
+    """Returns the result of a command whose sequence number was applied before in its session."""
+    if command.sequence == session.sequence:
+        return msgspec.structs.replace(session.result, repeated=True)
+    reason = f"sequence {command.sequence} is older than the session's last one, {session.sequence}"
+    return CommandResult(False, reason=reason)
--- a/wheatstile/store/storage.py
+++ b/wheatstile/store/storage.py
@@ -1,13 +1,13 @@
-"""The durable half of a Raft node: a log of records and a snapshot, in one directory.
+"""The persistent state of a Raft node: a log of records and a snapshot, in one directory.
 
-`snapshot` is replaced as a whole (written aside, synced, renamed, the directory synced). `log` is appended
-to, one record and at most one fsync for each `Ready`, however many clients it serves (group commit), and is
-begun anew with each snapshot. The log's first record gives the format, the directory's owner, and the
-snapshot that it follows. A record's entries replace whatever stood at their first index and after it.
+The file `snapshot` is replaced atomically: the new file is written and synced under another name and renamed,
+then the directory is synced. The file `log` gets one record and at most one fsync for each `Ready`, and is
+replaced with each snapshot. Its first record contains the format, the owner of the directory, and the
+snapshot that precedes the log. The entries of a record replace all earlier entries from their first index on.
 
-A crash during an append leaves an incomplete record: nothing in it was acknowledged, and it is cut off when
-the directory is opened. Anything else that does not check may have been acknowledged, so the member refuses
-to start, and has to be removed from the cluster and added anew.
+A crash during an append leaves an incomplete record, which is truncated when the directory is opened: nothing
+in it was acknowledged. Any other damage may affect acknowledged entries. The member then rejects its
+directory, and has to be removed from the cluster and added again with an empty one.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 from wheatstile.store.errors import CorruptStorageError
 from wheatstile.store.raft.messages import Entry, HardState, Snapshot
-from wheatstile.store.record_file import FileRecord, encode_record, read_records
+from wheatstile.store.record_file import FileRecord, encode_record, read_records, replace_file
 
 FORMAT = 1
 LOG_FILE = "log"
@@ -33,7 +33,7 @@
 
 
 class LogHeader(msgspec.Struct, frozen=True):
-    """The log's first record; `snapshot_*` are those of the snapshot that it follows (index 0: none)."""
+    """The log's first record; `snapshot_*` identify the snapshot that precedes the log (index 0: none)."""
 
     format: int
     cluster: str
@@ -43,7 +43,7 @@
 
 
 class LogRecord(msgspec.Struct, frozen=True, array_like=True):
-    """Every record of the log but the first: what one `Ready` asked to persist."""
+    """A record of the log after the first: the hard state and the entries of one `Ready`."""
 
     hard_state: HardState | None
     entries: list[Entry]
@@ -58,20 +58,20 @@
 
 @dataclass
 class DirectoryContents:
-    """What a directory holds. `header` is None where nothing was written yet."""
+    """The contents of a directory. `header` is None if there is no log."""
 
     header: LogHeader | None = None
     hard_state: HardState | None = None
     snapshot: Snapshot | None = None
     entries: list[Entry] = field(default_factory=list)
-    log_end: int = 0
-    """Bytes of the log up to the end of its last complete record."""
+    log_end_offset: int = 0
+    """The offset in bytes of the end of the log's last complete record."""
     torn_bytes: int = 0
-    """Bytes of an incomplete record at the log's end."""
+    """The size in bytes of an incomplete record at the log's end."""
 
 
 def read_directory(directory: Path) -> DirectoryContents:
-    """Read a member's directory without changing it. Raises `CorruptStorageError`, OSError."""
+    """Reads a member's directory without changing it. Raises `CorruptStorageError`, OSError."""
     contents = DirectoryContents(snapshot=_read_snapshot(directory / SNAPSHOT_FILE))
     log_path = directory / LOG_FILE
     for record in read_records(log_path):
@@ -79,9 +79,9 @@
             contents.header = _read_header(record)
         else:
             _replay(contents, record.decode(LogRecord))
-        contents.log_end = record.end_offset
+        contents.log_end_offset = record.end_offset
     size_bytes = log_path.stat().st_size if log_path.exists() else 0
-    contents.torn_bytes = size_bytes - contents.log_end
+    contents.torn_bytes = size_bytes - contents.log_end_offset
     _match_log_to_snapshot(contents, log_path)
     return contents
 
@@ -91,20 +91,25 @@
     for record in read_records(path):
         snapshot = record.decode(Snapshot)
     if snapshot is None and path.exists():
-        raise CorruptStorageError(str(path), 0, "not whole")
+        raise CorruptStorageError(str(path), 0, "the record is incomplete")
     return snapshot
 
 
 def _read_header(record: FileRecord) -> LogHeader:
     header = record.decode(LogHeader)
-    if header.format != FORMAT:
-        reason = f"format {header.format}, and this program reads {FORMAT}"
-        raise CorruptStorageError(str(record.path), 0, reason)
+    check_format(record.path, header.format)
     return header
 
 
+def check_format(path: Path, file_format: int) -> None:
+    """Raises `CorruptStorageError` unless this program reads the file's format."""
+    if file_format != FORMAT:
+        reason = f"format {file_format} is not supported; this program reads format {FORMAT}"
+        raise CorruptStorageError(str(path), 0, reason)
+
+
 def _replay(contents: DirectoryContents, record: LogRecord) -> None:
-    """Apply one record of the log to what the records before it gave."""
+    """Adds one record of the log to `contents`."""
     contents.hard_state = record.hard_state or contents.hard_state
     if not record.entries:
         return
@@ -115,15 +120,16 @@
 
 
 def _match_log_to_snapshot(contents: DirectoryContents, log_path: Path) -> None:
-    """Discard entries that do not follow the snapshot, as a crash between writing it and its log leaves them.
+    """Discards the entries that do not follow the snapshot.
 
-    Raises `CorruptStorageError` where the log or the snapshot that it follows is missing.
+    A crash between the replacement of the snapshot and that of the log leaves such entries. Raises
+    `CorruptStorageError` if there is no log for the snapshot, or the snapshot before the log is missing.
     """
     header = contents.header
     snapshot = contents.snapshot
     if header is None:
         if snapshot:
-            raise CorruptStorageError(str(log_path), 0, "no log for the snapshot")
+            raise CorruptStorageError(str(log_path), 0, "there is a snapshot, but no log")
         return
     if header.snapshot_index > (snapshot.index if snapshot else 0):
         reason = f"follows a snapshot at {header.snapshot_index} that is not there"
@@ -138,10 +144,10 @@
 
 
 class Storage:
-    """Owns the directory's files; `close` releases them, also at the end of a `with` statement.
+    """Owns the files of a directory. `close`, or the end of a `with` statement, releases them.
 
-    `recovered` is what the directory held when it was opened. Raises `CorruptStorageError`, or OSError
-    where the directory cannot be used (BlockingIOError where another process has it).
+    `recovered` has the contents of the directory when it was opened. Raises `CorruptStorageError`, and
+    OSError if the directory cannot be used (BlockingIOError if another process uses it).
     """
 
     def __init__(self, directory: Path, cluster: str = "", name: str = "", *, sync: bool = True) -> None:
@@ -171,12 +177,12 @@
         self.close()
 
     def close(self) -> None:
-        """Close the files and give up the directory."""
+        """Closes the files and unlocks the directory."""
         os.close(self._log)
         os.close(self._lock)
 
     def _recover(self) -> DirectoryContents:
-        """Read the directory, begin its log if there is none, and cut off an incomplete record."""
+        """Reads the directory, creates its log if there is none, and truncates an incomplete record."""
         log_path = self.directory / LOG_FILE
         contents = read_directory(self.directory)
         header = contents.header
@@ -189,14 +195,14 @@
             raise CorruptStorageError(str(log_path), 0, reason)
         if contents.torn_bytes:
             with open(log_path, "r+b") as file:
-                file.truncate(contents.log_end)
+                file.truncate(contents.log_end_offset)
                 os.fsync(file.fileno())
         return contents
 
     def append(self, hard_state: HardState | None, entries: list[Entry]) -> None:
-        """Persist what one `Ready` asks for, before its messages are sent.
+        """Stores the hard state and the entries of one `Ready`.
 
-        After an OSError what is on the disk is not known, and the member must stop.
+        Raises OSError. The contents of the disk are unknown then, and the member must stop.
         """
         if hard_state is None and not entries:
             return
@@ -205,13 +211,13 @@
             written_bytes = os.write(self._log, data)
             data = data[written_bytes:]
         ballot = Ballot(hard_state.term, hard_state.vote) if hard_state else self._synced_ballot
-        # A commit index alone needs no sync: it is learned again from the leader.
+        # A commit index alone needs no fsync: a member that loses it receives it again from the leader.
         if entries or ballot != self._synced_ballot:
             self._fsync(self._log)
         self._synced_ballot = ballot
 
     def save_snapshot(self, snapshot: Snapshot, hard_state: HardState, entries: list[Entry]) -> None:
-        """Write `snapshot`, and after it a log of only `entries`, which follow it. Raises OSError."""
+        """Replaces the snapshot, and then the log by one with `entries`, which follow it. Raises OSError."""
         self._replace(SNAPSHOT_FILE, [snapshot])
         header = LogHeader(FORMAT, self.cluster, self.name, snapshot.index, snapshot.term)
         self._replace(LOG_FILE, [header, LogRecord(hard_state, entries)])
@@ -225,13 +231,8 @@
             os.fsync(descriptor)
 
     def _replace(self, file_name: str, values: Iterable[object]) -> None:
-        """Replace a file by one with `values` as its records, atomically."""
-        temporary = self.directory / f".{file_name}.new"
-        with open(temporary, "wb") as file:
-            file.write(b"".join(map(encode_record, values)))
-            file.flush()
-            self._fsync(file.fileno())
-        os.replace(temporary, self.directory / file_name)
+        """Replaces a file atomically by one with `values` as its records, and syncs the directory."""
+        replace_file(self.directory / file_name, values, self._fsync)
         descriptor = os.open(self.directory, os.O_RDONLY)
         try:
             self._fsync(descriptor)
--- a/wheatstile/store/watch_stream.py
+++ b/wheatstile/store/watch_stream.py
@@ -1,4 +1,4 @@
-"""One client's watch: events of matching keys, in order, none left out and none twice."""
+"""One client's watch: the events of matching keys in order, without a gap or a repetition."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 from wheatstile.store.protocol import ErrorCode, Reply
 
 HEARTBEAT_INTERVAL_S = 1.0
-"""Time without events after which a watch is sent how old the member's state may be."""
+"""Time without a reply after which the client is sent a heartbeat."""
 
 
 class WatchStream:
-    """Sends a watch's replies with `send`, from the events after `revision` on.
+    """Sends the events after `revision` whose keys match `pattern`, by calls of `send`.
 
-    All events of a revision go in one reply. A reply without events says up to which revision there was
-    nothing.
+    All events of a revision are in one reply. A reply without events is a heartbeat: it contains the revision
+    up to which there were no further events, and the upper bound for the age of the member's state.
     """
 
     def __init__(
@@ -35,11 +35,12 @@
         self._last_sent_at_s = self._loop.time()
 
     async def run(self) -> None:
-        """Send events until `send` fails or the watch is too far behind."""
+        """Sends events until `send` fails or the events that the watch needs were discarded."""
         if self._applied.index < self._revision:
-            await self._send(Reply(revision=self._revision))  # this member is behind: its events follow
+            # This member has not applied the revision yet. It sends the events when it has applied them.
+            await self._send(Reply(revision=self._revision))
         while True:
-            # Taken before the events are read, so that none in between is missed.
+            # Read before the events, so that an application in between is not missed.
             next_application = self._applied.next_application
             try:
                 events = self._applied.state_machine.events.after(self._revision)
@@ -57,6 +58,7 @@
             await self._send_heartbeat_if_due()
 
     async def _send_matching(self, events: list[Event]) -> None:
+        """Sends those of the events whose keys match."""
         self._revision = events[-1].revision
         matching = [event for event in events if matches_pattern(self._pattern, event.key)]
         if matching:
@@ -64,7 +66,7 @@
             self._last_sent_at_s = self._loop.time()
 
     async def _send_heartbeat_if_due(self) -> None:
-        """Let the client know how old its events may be: this member may be cut off from the others."""
+        """Tells the client how old the member's state may be, since the member may be partitioned."""
         if self._loop.time() - self._last_sent_at_s >= HEARTBEAT_INTERVAL_S:
             self._last_sent_at_s = self._loop.time()
             await self._send(Reply(revision=self._revision, commit_age_ms=self._member.commit_age_ms))
