--- a/tests/store/linearizability.py
+++ b/tests/store/linearizability.py
@@ -1,8 +1,9 @@
-"""Whether a history of one register is linearizable: can be put in one order that agrees with time.
+"""Checks whether the history of one register is linearizable.
 
-The search is that of Wing and Gong, "Testing and Verifying Concurrent Objects" (JPDC 1993), pruned by
-remembered states (Lowe, "Testing for Linearizability", 2017). An operation that nobody answered may have
-been applied at any time after it was called, or never.
+It is if there is an order of the operations that is correct for one register and agrees with the times of
+calls and returns. The search is that of Wing and Gong, "Testing and Verifying Concurrent Objects" (JPDC
+1993). It skips states that it has seen (Lowe, "Testing for Linearizability", 2017). An operation without a
+reply may have been applied at any time after its call, or never.
 """
 
 from __future__ import annotations
@@ -13,19 +14,20 @@
 
 
 class Kind(enum.Enum):
-    """What an operation does to the register."""
+    """The kind of an operation on the register."""
 
     PUT = enum.auto()
     GET = enum.auto()
-    SWAP = enum.auto()  # compare and swap
+    SWAP = enum.auto()  # compare-and-swap
 
 
 @dataclass(frozen=True)
 class Operation:
-    """One operation; `called_at` and `returned_at` are of one clock, infinity where nobody answered.
+    """One operation. `called_at` and `returned_at` are times of one clock.
 
-    `value` is what is written or was read. A swap writes it if the register holds `expected`; `succeeded`
-    says whether it did.
+    `returned_at` is infinite if there was no reply.
+    `value` is the value that was written or read. A swap writes it if the register has the value `expected`;
+    `succeeded` tells whether it did.
     """
 
     kind: Kind
@@ -41,7 +43,7 @@
 
 
 def apply(register: str | None, operation: Operation) -> tuple[bool, str | None]:
-    """Return whether the operation can have gone so, and the register after it."""
+    """Returns whether the operation can have this result, and the register's value after it."""
     if operation.kind is Kind.GET:
         return register == operation.value, register
     if operation.kind is Kind.PUT:
@@ -53,9 +55,9 @@
 
 
 def is_linearizable(history: list[Operation]) -> bool:
-    """Search for an order; a read that nobody answered says nothing and is left out.
+    """Returns whether there is a valid order of the operations. A read without a reply is ignored.
 
-    A set of operations is an integer with one bit for each, in the order of their calls.
+    `answered` and `applied` are sets of operations, represented by integers with one bit for each operation.
     """
     operations = sorted(
         (operation for operation in history if operation.kind is not Kind.GET or operation.is_answered),
@@ -69,7 +71,7 @@
         if applied & answered == answered:
             return True
         remaining = [position for position in range(len(operations)) if not applied >> position & 1]
-        # Next may only be what was called before the first return among those that remain.
+        # The next operation must have been called before the first return among the remaining ones.
         first_return = min(operations[position].returned_at for position in remaining)
         for position in remaining:
             if operations[position].called_at > first_return:
--- a/tests/store/process_cluster.py
+++ b/tests/store/process_cluster.py
@@ -1,4 +1,4 @@
-"""Members of the store as processes, the fault link between them, and what each printed over its restarts."""
+"""Members of the store as processes, with a fault proxy between them, and their collected output."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 from wheatstile.store.client import StoreClient
 
 OutputByMember = dict[str, list[str]]
-"""Lines of standard output by member, over all of its restarts."""
+"""The lines of standard output of each member, including those from before its restarts."""
 
 PORT_RANGE = range(12_000, 32_000)
-"""Below the ports that the kernel gives to outgoing connections: a process may come back to its own."""
+"""Below the kernel's ephemeral ports, so that a restarted process can use its port again."""
 PORT_ATTEMPTS = 2_000
 
 
 def free_ports(count: int) -> list[int]:
-    """Return ports on which nothing listens. Raises OSError where there are too few."""
+    """Returns ports on which nothing listens. Raises OSError if there are too few."""
     found: list[int] = []
     rng = random.Random(os.getpid() ^ time.monotonic_ns())
     for port in rng.sample(PORT_RANGE, PORT_ATTEMPTS):
@@ -33,13 +33,15 @@
             found.append(port)
         if len(found) == count:
             return found
-    raise OSError(f"no {count} free ports")
+    raise OSError(f"only {len(found)} of {count} free ports found")
 
 
 class ProcessCluster:
-    """Members as processes; every message between two of them goes through the fault link.
+    """Members as processes. Every message between two of them passes the fault proxy, `link`.
 
-    With `direct` they are connected without it, and do not print what they apply. `close` ends all processes.
+    The constructor starts the fault proxy, `start` starts members, and `close` ends all processes. The
+    directories of the members remain in `root`. With `direct`, the members are connected without the fault
+    proxy, and do not print the entries that they apply.
     """
 
     def __init__(
@@ -71,14 +73,17 @@
         self.output: OutputByMember = {name: [] for name in names}
 
     def start(self, *names: str, voters: str = "") -> None:
-        """Start these at once, and return when all are ready; a name outside `voters` joins."""
+        """Starts members at once, and returns when all are ready.
+
+        `voters` are the initial voters (default: all names). Another member waits until it is added.
+        """
         for name in names:
             self.processes[name] = Program("store", "serve", *self.arguments(name, voters))
         for name in names:
             self.processes[name].expect("ready")
 
     def arguments(self, name: str, voters: str) -> list[str]:
-        """Return the options of `store serve` for one member."""
+        """Returns the options of `store serve` for one member."""
         joins = bool(voters) and name not in voters
         peers = [peer for peer in self.names if peer != name and (joins or not voters or peer in voters)]
         ports = {
@@ -99,11 +104,11 @@
         return arguments
 
     def start_missing(self) -> None:
-        """Start all members that are not running."""
+        """Starts all members that are not running."""
         self.start(*(name for name in self.names if name not in self.processes))
 
     def kill(self, name: str) -> None:
-        """End a member by SIGKILL."""
+        """Ends a member by SIGKILL and collects its output."""
         process = self.processes.pop(name)
         self.paused.discard(name)
         process.signal(signal.SIGKILL)
@@ -111,22 +116,26 @@
         self.output[name] += process.rest()
 
     def pause(self, name: str) -> None:
-        """Stop a member by SIGSTOP, until `resume_all`."""
+        """Pauses a member by SIGSTOP until `resume_all`."""
         self.processes[name].signal(signal.SIGSTOP)
         self.paused.add(name)
 
     def resume_all(self) -> None:
-        """Let all paused members run on."""
+        """Resumes all paused members by SIGCONT."""
         for name in self.paused:
             self.processes[name].signal(signal.SIGCONT)
         self.paused.clear()
 
+    def member_options(self) -> list[str]:
+        """Returns the options `--member` for the client commands of `wheatstile store`."""
+        return [f"--member={name}={port}" for name, port in self.client_ports.items()]
+
     def client(self, timeout_s: float = 20.0) -> StoreClient:
-        """Return a client of all members, which the caller closes."""
+        """Returns a client of all members, which the caller closes."""
         return StoreClient(self.client_ports, timeout_s)
 
     async def leader(self) -> str:
-        """Return the leader in the highest term that any running member knows of; waits for one."""
+        """Waits until a running member is the leader, and returns the name of the latest term's leader."""
         running = set(self.processes) - self.paused
         client = StoreClient({name: self.client_ports[name] for name in running})
         try:
@@ -137,7 +146,7 @@
             client.close()
 
     def close(self) -> OutputByMember:
-        """End all processes; returns what the members printed."""
+        """Ends all processes and returns the output of the members."""
         for name in list(self.processes):
             self.kill(name)
         self.link.close()
@@ -147,7 +156,7 @@
 def run_scenario(
     cluster: ProcessCluster, scenario: Callable[[ProcessCluster], Awaitable[None]], voters: str = ""
 ) -> OutputByMember:
-    """Start the members (or only `voters`), run the scenario, and end them all; returns what they printed."""
+    """Starts all members or only `voters`, runs the scenario, ends all processes, returns their output."""
 
     async def run() -> None:
         await scenario(cluster)
@@ -161,7 +170,10 @@
 
 
 def check_applied(output: OutputByMember) -> int:
-    """Check one leader a term, one entry at each index, applied in order; return how many were applied."""
+    """Checks the members' histories and returns the number of applied entries.
+
+    A term has one leader, an index has one entry, and a member applies entries in the order of their indices.
+    """
     leader_by_term: dict[str, str] = {}
     entry_by_index: dict[int, list[str]] = {}
     for name, lines in output.items():
--- a/tests/store/process_faults.py
+++ b/tests/store/process_faults.py
@@ -1,68 +1,127 @@
-"""Random faults of a cluster of processes, by the seed of the generator that is passed in."""
+"""Random faults of a `ProcessCluster`. The seed of the generator that is passed in determines them."""
 
 from __future__ import annotations
 
 import asyncio
 import random
+from collections.abc import Awaitable, Callable
 
 from process_cluster import ProcessCluster
 
 MIN_RUNNING = 3
-"""Members that are running when one is killed or paused, besides that one."""
+"""Members that keep running when another one is killed or paused."""
 HEAL_PROBABILITY = 0.5
+MIN_PAUSE_S = 0.2
+MAX_PAUSE_S = 0.9
+FIND_LEADER_TIMEOUT_S = 5
 
 
 async def inject_faults(cluster: ProcessCluster, rng: random.Random, count: int) -> list[str]:
-    """Draw faults and return what they were; at most two members are down or paused at a time.
+    """Injects random faults with pauses between them, and returns their descriptions.
 
-    Cuts may take the quorum away for a while.
+    At most two members are killed or paused at a time, but cut connections may prevent a quorum for a while.
+    Faults that are still in force at the end remain: the caller heals the connections and restarts members.
     """
     injected: list[str] = []
     for _ in range(count):
         injected.append(await inject_fault(cluster, rng))
-        await asyncio.sleep(rng.uniform(0.2, 0.9))
+        await asyncio.sleep(rng.uniform(MIN_PAUSE_S, MAX_PAUSE_S))
         if rng.random() < HEAL_PROBABILITY:
             cluster.link.tell("heal")
     return injected
 
 
-async def inject_fault(cluster: ProcessCluster, rng: random.Random) -> str:  # noqa: PLR0911  one return a fault
-    """Draw one fault, or the end of one, and return what it was."""
-    running = [name for name in cluster.names if name in cluster.processes and name not in cluster.paused]
-    victim = rng.choice(running)
-    match rng.randrange(9):
-        case 0 if len(running) > MIN_RUNNING:
-            cluster.kill(victim)
-            return f"kill {victim}"
-        case 1 if len(running) > MIN_RUNNING:
-            cluster.pause(victim)
-            return f"pause {victim}"
-        case 2:
-            cluster.resume_all()
-            cluster.start_missing()
-            return "resume, restart"
-        case 3:
-            cluster.resume_all()
-            for name in rng.sample(sorted(cluster.processes), max(0, len(cluster.processes) - MIN_RUNNING)):
-                cluster.kill(name)
-            cluster.start_missing()
-            return "restart several at once"
-        case 4:
-            leader = await asyncio.wait_for(cluster.leader(), 5) if rng.random() < 0.5 else victim
-            cluster.link.tell(f"cut * {leader}")
-            return f"cut all to {leader}"
-        case 5:
-            cluster.link.tell(f"cut {victim} *")
-            cluster.link.tell(f"reset {victim} *")
-            return f"cut {victim} to all, with resets"
-        case 6:
-            cluster.link.tell("lose * * 0.2")
-            cluster.link.tell("repeat * * 0.2")
-            return "lose and repeat frames"
-        case 7:
-            cluster.link.tell(f"delay * {victim} 0.1 0.2")
-            cluster.link.tell(f"rate {victim} * 20000")
-            return f"delay and slow {victim}"
-        case _:
-            cluster.link.tell("heal")
-            return "heal"
+async def inject_fault(cluster: ProcessCluster, rng: random.Random) -> str:
+    """Injects one random fault, or ends some faults, and returns a description."""
+    victim = rng.choice(running_members(cluster))
+    fault = FAULTS[rng.randrange(len(FAULTS))]
+    return await fault(cluster, rng, victim)
+
+
+def running_members(cluster: ProcessCluster) -> list[str]:
+    """Returns the members that are neither killed nor paused."""
+    return [name for name in cluster.names if name in cluster.processes and name not in cluster.paused]
+
+
+async def kill_member(cluster: ProcessCluster, rng: random.Random, victim: str) -> str:
+    """Kills the victim, unless too few members would keep running."""
+    if len(running_members(cluster)) <= MIN_RUNNING:
+        return await heal(cluster, rng, victim)
+    cluster.kill(victim)
+    return f"kill {victim}"
+
+
+async def pause_member(cluster: ProcessCluster, rng: random.Random, victim: str) -> str:
+    """Pauses the victim, unless too few members would keep running."""
+    if len(running_members(cluster)) <= MIN_RUNNING:
+        return await heal(cluster, rng, victim)
+    cluster.pause(victim)
+    return f"pause {victim}"
+
+
+async def resume_and_restart(cluster: ProcessCluster, _rng: random.Random, _victim: str) -> str:
+    """Resumes the paused members and starts the killed ones."""
+    cluster.resume_all()
+    cluster.start_missing()
+    return "resume, restart"
+
+
+async def restart_several(cluster: ProcessCluster, rng: random.Random, _victim: str) -> str:
+    """Kills all but `MIN_RUNNING` members and starts all missing ones at once."""
+    cluster.resume_all()
+    killed_count = max(0, len(cluster.processes) - MIN_RUNNING)
+    for name in rng.sample(sorted(cluster.processes), killed_count):
+        cluster.kill(name)
+    cluster.start_missing()
+    return "restart several at once"
+
+
+async def cut_incoming(cluster: ProcessCluster, rng: random.Random, victim: str) -> str:
+    """Cuts the connections to the leader, or to the victim."""
+    target = victim
+    if rng.random() < 0.5:
+        target = await asyncio.wait_for(cluster.leader(), FIND_LEADER_TIMEOUT_S)
+    cluster.link.tell(f"cut * {target}")
+    return f"cut all to {target}"
+
+
+async def cut_outgoing(cluster: ProcessCluster, _rng: random.Random, victim: str) -> str:
+    """Cuts and resets the connections from the victim."""
+    cluster.link.tell(f"cut {victim} *")
+    cluster.link.tell(f"reset {victim} *")
+    return f"cut {victim} to all, with resets"
+
+
+async def lose_and_repeat_frames(cluster: ProcessCluster, _rng: random.Random, _victim: str) -> str:
+    """Loses and repeats frames on all connections."""
+    cluster.link.tell("lose * * 0.2")
+    cluster.link.tell("repeat * * 0.2")
+    return "lose and repeat frames"
+
+
+async def delay_and_slow(cluster: ProcessCluster, _rng: random.Random, victim: str) -> str:
+    """Delays the bytes to the victim, and limits the rate of those from it."""
+    cluster.link.tell(f"delay * {victim} 0.1 0.2")
+    cluster.link.tell(f"rate {victim} * 20000")
+    return f"delay and slow {victim}"
+
+
+async def heal(cluster: ProcessCluster, _rng: random.Random, _victim: str) -> str:
+    """Ends all faults of the connections."""
+    cluster.link.tell("heal")
+    return "heal"
+
+
+Fault = Callable[[ProcessCluster, random.Random, str], Awaitable[str]]
+
+FAULTS: tuple[Fault, ...] = (
+    kill_member,
+    pause_member,
+    resume_and_restart,
+    restart_several,
+    cut_incoming,
+    cut_outgoing,
+    lose_and_repeat_frames,
+    delay_and_slow,
+    heal,
+)
--- a/tests/store/raft_cluster.py
+++ b/tests/store/raft_cluster.py
@@ -1,7 +1,7 @@
-"""Raft nodes in one test, in virtual time under one seed, with invariants checked after every step.
+"""A simulated cluster of Raft nodes in virtual time. Its invariants are checked after every step.
 
-Messages are lost, repeated, delayed and reordered; a crash keeps what was persisted and loses the rest.
-`raft_histories` adds further faults.
+A seed determines everything. Messages are lost, repeated, delayed and reordered. A crash keeps the persisted
+state and loses the rest. `raft_histories` adds further faults.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from wheatstile.store.raft.state import Timing
 
 CRASH_PROBABILITY = 0.002
-"""Of a crash before a `Ready` is persisted, and of one after; for each node and tick."""
+"""Probability, for each node and tick, of a crash before a `Ready` is persisted, and of one after."""
 LOSS_PROBABILITY = 0.04
 REPEAT_PROBABILITY = 0.03
 MAX_REPEAT_DELAY_TICKS = 20
@@ -24,12 +24,12 @@
 
 
 class InvariantError(AssertionError):
-    """A property that Raft guarantees does not hold."""
+    """A property that Raft guarantees was violated."""
 
 
 @dataclass
 class PersistedState:
-    """What a node has on disk; a crash keeps this and loses the rest."""
+    """The state that a node has on disk, which survives a crash."""
 
     hard_state: HardState | None = None
     snapshot: Snapshot | None = None
@@ -38,7 +38,7 @@
 
 @dataclass
 class InFlightMessage:
-    """A message on the way, with the tick at which it arrives and its place among those of one tick."""
+    """A sent message, with the tick of its delivery and its order among the messages of that tick."""
 
     due_tick: int
     order: int
@@ -46,7 +46,10 @@
 
 
 class SimulatedCluster:
-    """Nodes of which the first `voter_count` begin; the state machine is the list of all applied indices."""
+    """A cluster whose initial voters are the first `voter_count` of `names`. Other nodes may be added later.
+
+    The state machine of a node is the list of all applied indices.
+    """
 
     def __init__(
         self, seed: int, voter_count: int = 3, names: str = "abcde", compact_every: int = 25
@@ -63,9 +66,9 @@
         self.now_tick = 0
         self.faults_enabled = True
         self.leader_by_term: dict[int, str] = {}
-        self.data_by_index: dict[int, bytes] = {}  # as applied by the first node that reached the index
+        self.data_by_index: dict[int, bytes] = {}  # data of the first node that applied the index
         self.applied_indices: dict[str, list[int]] = {name: [] for name in names}
-        # (reader, request) -> the highest index applied anywhere when the read began
+        # The highest index that any node had applied when the read started, by reader and request.
         self.reads: dict[tuple[str, int], int] = {}
         self.answered_reads = 0
         self.rejected_reads = 0
@@ -73,7 +76,7 @@
         self.nodes = {name: self.start_node(name) for name in names}
 
     def start_node(self, name: str) -> RaftNode:
-        """Return a node that starts from what is on its disk."""
+        """Returns a node that starts from the state on its disk."""
         disk = self.disks[name]
         node = RaftNode(
             name,
@@ -89,7 +92,7 @@
         return node
 
     def process_ready(self, name: str) -> None:
-        """Do a node's work as its host does, with crashes before and after persisting."""
+        """Does a node's work like its host, with random crashes before and after persisting."""
         node = self.nodes[name]
         ready = node.ready()
         roll = self.rng.random() if self.faults_enabled else 1.0
@@ -97,7 +100,7 @@
             self.crashed.add(name)
             return
         self.persist(self.disks[name], ready, node.log.entries)
-        if roll < 2 * CRASH_PROBABILITY:  # persisted, and nothing sent
+        if roll < 2 * CRASH_PROBABILITY:  # after persisting, before any message is sent
             self.crashed.add(name)
             return
         if ready.snapshot:
@@ -114,7 +117,7 @@
 
     @staticmethod
     def persist(disk: PersistedState, ready: Ready, log_entries: list[Entry]) -> None:
-        """Write what `ready` asks for, as `Member` does; `log_entries` are those after its snapshot."""
+        """Persists a `Ready` as `Member` does; `log_entries` are the entries after its snapshot."""
         if ready.snapshot:
             disk.snapshot = ready.snapshot
             disk.entries = list(log_entries)
@@ -124,7 +127,7 @@
         disk.hard_state = ready.hard_state or disk.hard_state
 
     def send(self, message: Message) -> None:
-        """Put a message on the way, now and then late or twice."""
+        """Queues a message for delivery, sometimes late or twice."""
         delay_ticks = self.rng.choice(DELAYS_TICKS)
         order = self.rng.getrandbits(30)
         self.in_flight.append(InFlightMessage(self.now_tick + delay_ticks, order, message))
@@ -133,7 +136,7 @@
             self.in_flight.append(InFlightMessage(repeat_tick, 0, message))
 
     def apply(self, name: str, entry: Entry) -> None:
-        """Apply a committed entry, which has to be the same on all nodes."""
+        """Applies a committed entry, and checks that it is the next one, and the same on all nodes."""
         applied = self.applied_indices[name]
         if applied and entry.index != applied[-1] + 1:
             raise InvariantError(f"{name} applied {entry.index} after {applied[-1]}")
@@ -143,19 +146,19 @@
         applied.append(entry.index)
 
     def check_reads(self, node: RaftNode, ready: Ready) -> None:
-        """Count the reads that end; none may be answered from before what was applied when it began."""
+        """Counts the finished reads, and checks that each sees all that was applied when it started."""
         for read in ready.read_states:
             if node.log.applied_index < read.index:
-                continue  # its host would wait; here it counts when it can be answered
+                continue  # a host would wait until the index is applied; here the read is ignored
             self.answered_reads += 1
             required = self.reads[node.name, read.request_id]
             if node.log.applied_index < required:
                 applied = node.log.applied_index
-                raise InvariantError(f"{node.name} answered a read at {applied}, {required} known")
+                raise InvariantError(f"{node.name} answered a read at {applied}, but {required} was applied")
         self.rejected_reads += len(ready.rejected_reads)
 
     def compact_if_due(self, node: RaftNode) -> None:
-        """Replace a long log by a snapshot, on disk too."""
+        """Compacts a long log into a snapshot, also on disk."""
         if node.log.applied_index - node.log.snapshot.index < self.compact_every:
             return
         node.compact(" ".join(map(str, self.applied_indices[node.name])).encode())
@@ -164,7 +167,7 @@
         disk.entries = list(node.log.entries)
 
     def step(self) -> None:
-        """Let one tick pass: deliver what is due, then tick all nodes and do their work."""
+        """Advances time by one tick: delivers the due messages, then ticks all nodes and does their work."""
         self.now_tick += 1
         due = sorted(
             (sent for sent in self.in_flight if sent.due_tick <= self.now_tick),
@@ -180,7 +183,7 @@
                 self.process_ready(name)
 
     def deliver(self, message: Message) -> None:
-        """Hand a message to its recipient, unless it is lost."""
+        """Delivers a message, unless it is lost; a paused recipient gets it later."""
         is_cut = (message.sender, message.recipient) in self.cut_links
         if message.recipient in self.crashed or is_cut or self.rng.random() < LOSS_PROBABILITY:
             return
@@ -190,17 +193,17 @@
         self.nodes[message.recipient].step(message)
 
     def isolate(self, victim: str) -> None:
-        """Cut a node off from all others, both ways."""
+        """Cuts all links of a node in both directions."""
         self.cut_links |= {(victim, name) for name in self.names}
         self.cut_links |= {(name, victim) for name in self.names}
 
     def restart(self, name: str) -> None:
-        """Start a crashed node again."""
+        """Restarts a crashed node."""
         self.crashed.discard(name)
         self.nodes[name] = self.start_node(name)
 
     def request(self, number: int) -> None:
-        """Write at every leader (there may be a stale one), and read anywhere."""
+        """Proposes an entry at every leader, including outdated ones, and reads at a random node."""
         unavailable = self.crashed | self.paused
         for node in self.nodes.values():
             if node.name not in unavailable:
@@ -213,7 +216,7 @@
                 self.nodes[reader].read(number)
 
     def heal(self) -> None:
-        """End all faults."""
+        """Ends all faults and restarts the crashed nodes."""
         self.faults_enabled = False
         self.cut_links.clear()
         self.paused.clear()
@@ -221,11 +224,11 @@
             self.restart(name)
 
     def leaders(self) -> list[RaftNode]:
-        """Return the nodes that take themselves for leader."""
+        """Returns the nodes in the role of leader, including outdated ones."""
         return [node for node in self.nodes.values() if node.role is Role.LEADER]
 
     def check_log_matching(self) -> None:
-        """Check that two logs that agree on an index and a term agree on all before (paper, figure 3)."""
+        """Checks that logs with the same term at an index are equal up to that index (paper, figure 3)."""
         logs = [{entry.index: entry for entry in node.log.entries} for node in self.nodes.values()]
         for first in logs:
             for second in logs:
--- a/tests/store/raft_histories.py
+++ b/tests/store/raft_histories.py
@@ -1,53 +1,89 @@
-"""Random histories of a simulated Raft cluster, by seed.
+"""Random histories of a `SimulatedCluster`, determined by a seed.
 
-Faults are those of `raft_cluster`, one-way cuts, pauses, restarts, member changes, leadership transfers.
+In addition to the faults of `raft_cluster` there are crashes, pauses, one-way cuts, restarts, membership
+changes and leadership transfers.
 """
 
 from __future__ import annotations
 
+from collections.abc import Callable
 from contextlib import suppress
 
 from raft_cluster import SimulatedCluster
 
 from wheatstile.store.errors import MembershipChangeRejectedError, NotLeaderError
 
-VOTER_COUNTS = (3, 5, 3, 4)  # by seed
+VOTER_COUNTS = (3, 5, 3, 4)
+"""The number of initial voters is `VOTER_COUNTS[seed % len(VOTER_COUNTS)]`."""
 MAX_CRASHED = 2
-"""Nodes that are down at a time, but for crashes that `raft_cluster` draws."""
-HEALING_STEPS = 400
-
-
-def inject_fault(cluster: SimulatedCluster) -> None:  # noqa: C901  one branch for each fault
-    """Draw what goes wrong, or gets well, in this step; mostly nothing does."""
-    rng = cluster.rng
-    victim = rng.choice(cluster.names)
-    match rng.randrange(300):
-        case 0 | 1 if len(cluster.crashed) < MAX_CRASHED:
-            cluster.crashed.add(victim)
-        case 2 | 3 | 4 | 5 | 6 | 7 if cluster.crashed:
-            cluster.restart(rng.choice(sorted(cluster.crashed)))
-        case 8 if not cluster.paused:
-            cluster.paused.add(victim)
-        case 9 | 10 | 11:
-            cluster.paused.clear()
-        case 12 | 13:
-            cluster.cut_links.add((victim, rng.choice(cluster.names)))
-        case 14:
-            cluster.isolate(victim)
-        case 15 | 16 | 17 | 18:
-            cluster.cut_links.clear()
-        case 19:
-            for name in sorted(cluster.crashed)[:2]:
-                cluster.restart(name)
-        case 20 | 21 | 22:
-            change_members(cluster)
-        case 23:
-            with suppress(NotLeaderError, MembershipChangeRejectedError):
-                cluster.nodes[victim].transfer_leadership(rng.choice(cluster.names))
-
-
-def change_members(cluster: SimulatedCluster) -> None:
-    """Ask every running node for a change to the same voters."""
+"""Crashed nodes above which no further node is crashed here; `raft_cluster` may crash more."""
+MAX_RESTARTED_AT_ONCE = 2
+STEPS_WITH_FAULTS = 500
+STEPS_WITHOUT_FAULTS = 400
+REQUEST_INTERVAL = 5
+"""Steps with faults from one request to the next."""
+RECOVERY_REQUEST_INTERVAL = 20
+"""Steps without faults from one request to the next."""
+CHECK_INTERVAL = 50
+"""Steps from one check of log matching to the next."""
+DRAWS = 300
+"""Each step draws one of so many numbers; those below `len(FAULTS)` inject a fault."""
+
+
+def inject_fault(cluster: SimulatedCluster) -> None:
+    """Draws a fault, or the end of one, for this step. Most steps have none."""
+    victim = cluster.rng.choice(cluster.names)
+    number = cluster.rng.randrange(DRAWS)
+    if number < len(FAULTS):
+        FAULTS[number](cluster, victim)
+
+
+def crash(cluster: SimulatedCluster, victim: str) -> None:
+    """Crashes the victim, unless too many nodes have crashed."""
+    if len(cluster.crashed) < MAX_CRASHED:
+        cluster.crashed.add(victim)
+
+
+def restart_one(cluster: SimulatedCluster, _victim: str) -> None:
+    """Restarts one crashed node, if there is one."""
+    if cluster.crashed:
+        cluster.restart(cluster.rng.choice(sorted(cluster.crashed)))
+
+
+def pause(cluster: SimulatedCluster, victim: str) -> None:
+    """Pauses the victim, unless a node is paused."""
+    if not cluster.paused:
+        cluster.paused.add(victim)
+
+
+def resume_all(cluster: SimulatedCluster, _victim: str) -> None:
+    """Resumes the paused nodes."""
+    cluster.paused.clear()
+
+
+def cut_link(cluster: SimulatedCluster, victim: str) -> None:
+    """Cuts the link from the victim to one node."""
+    cluster.cut_links.add((victim, cluster.rng.choice(cluster.names)))
+
+
+def isolate(cluster: SimulatedCluster, victim: str) -> None:
+    """Cuts all links of the victim."""
+    cluster.isolate(victim)
+
+
+def heal_links(cluster: SimulatedCluster, _victim: str) -> None:
+    """Restores all links."""
+    cluster.cut_links.clear()
+
+
+def restart_several(cluster: SimulatedCluster, _victim: str) -> None:
+    """Restarts several crashed nodes at once."""
+    for name in sorted(cluster.crashed)[:MAX_RESTARTED_AT_ONCE]:
+        cluster.restart(name)
+
+
+def change_members(cluster: SimulatedCluster, _victim: str) -> None:
+    """Asks every running node to change to the same voters."""
     voters = cluster.rng.sample(cluster.names, cluster.rng.choice((1, 3, 3, 4, 5)))
     for node in cluster.nodes.values():
         with suppress(NotLeaderError, MembershipChangeRejectedError):
@@ -55,22 +91,45 @@
                 node.change_members(voters, cluster.rng.sample(cluster.names, 1))
 
 
-def run_history(seed: int, steps: int = 500, voter_count: int = 0) -> SimulatedCluster:
-    """Return the cluster after `steps` ticks with faults and `HEALING_STEPS` without.
+def transfer_leadership(cluster: SimulatedCluster, victim: str) -> None:
+    """Asks the victim to transfer leadership, which it rejects if it is not the leader."""
+    with suppress(NotLeaderError, MembershipChangeRejectedError):
+        cluster.nodes[victim].transfer_leadership(cluster.rng.choice(cluster.names))
+
+
+Fault = Callable[[SimulatedCluster, str], None]
+
+FAULTS: tuple[Fault, ...] = (
+    *(crash,) * 2,
+    *(restart_one,) * 6,
+    pause,
+    *(resume_all,) * 3,
+    *(cut_link,) * 2,
+    isolate,
+    *(heal_links,) * 4,
+    restart_several,
+    *(change_members,) * 3,
+    transfer_leadership,
+)
+"""The faults, each as often as its share of the `DRAWS`."""
+
+
+def run_history(seed: int) -> SimulatedCluster:
+    """Returns the cluster after `STEPS_WITH_FAULTS`, and then `STEPS_WITHOUT_FAULTS` in which it may recover.
 
     Raises `InvariantError`.
     """
-    cluster = SimulatedCluster(seed, voter_count or VOTER_COUNTS[seed % len(VOTER_COUNTS)])
-    for number in range(steps):
+    cluster = SimulatedCluster(seed, VOTER_COUNTS[seed % len(VOTER_COUNTS)])
+    for number in range(STEPS_WITH_FAULTS):
         inject_fault(cluster)
-        if number % 5 == 0:
+        if number % REQUEST_INTERVAL == 0:
             cluster.request(number)
         cluster.step()
-        if number % 50 == 0:
+        if number % CHECK_INTERVAL == 0:
             cluster.check_log_matching()
     cluster.heal()
-    for number in range(steps, steps + HEALING_STEPS):
-        if number % 20 == 0:
+    for number in range(STEPS_WITH_FAULTS, STEPS_WITH_FAULTS + STEPS_WITHOUT_FAULTS):
+        if number % RECOVERY_REQUEST_INTERVAL == 0:
             cluster.request(number)
         cluster.step()
     return cluster
--- a/tests/store/raft_nodes.py
+++ b/tests/store/raft_nodes.py
@@ -1,4 +1,4 @@
-"""Single Raft nodes in a wanted role, for tests of one rule."""
+"""Single Raft nodes in a given role, for tests of one rule. They start no process or task."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
     hard_state: HardState | None = None,
     entries: Iterable[Entry] = (),
 ) -> RaftNode:
-    """Return a follower with an empty log, or with what is given."""
+    """Returns a follower with an empty log, or with the given state."""
     return RaftNode(name, voters, random.Random(1).randrange, hard_state=hard_state, entries=entries)
 
 
 def elect(node: RaftNode, voters: str) -> None:
-    """Let `node` win the election of the next term with the votes of `voters`; its messages are discarded."""
+    """Makes `node` the leader of the next term with the votes of `voters`, and discards its messages."""
     term = node.term + 1
     while node.role is Role.FOLLOWER:
         node.tick()
@@ -33,7 +33,7 @@
 
 
 def make_leader(followers: str = "bc") -> RaftNode:
-    """Return node `a` of `abc` as a leader whose first entry is committed; `followers` have it."""
+    """Returns node `a` of `abc` as a leader whose first entry is committed and stored by `followers`."""
     node = make_node()
     elect(node, followers)
     acknowledge_all(node, followers)
@@ -43,7 +43,7 @@
 
 
 def acknowledge_all(leader: RaftNode, followers: str) -> None:
-    """Let `followers` answer that they have the leader's complete log, and its latest heartbeat."""
+    """Sends the leader replies in which `followers` acknowledge its complete log and its latest heartbeat."""
     for follower in followers:
         leader.step(
             Message(
--- a/tests/store/register_user.py
+++ b/tests/store/register_user.py
@@ -1,4 +1,4 @@
-"""A client that uses shared keys of the store and records what it saw, for the check of linearizability."""
+"""A client that uses shared keys of the store, and records its operations for `linearizability`."""
 
 from __future__ import annotations
 
@@ -17,11 +17,14 @@
 MAX_PAUSE_S = 0.2
 
 Histories = dict[str, list[Operation]]
-"""Operations by key."""
+"""The recorded operations by key."""
 
 
 class RegisterUser:
-    """Reads, writes and swaps the keys of `histories` in random order; each value is written once."""
+    """Reads, writes and swaps the keys of `histories` in random order. Each value is written at most once.
+
+    It does not close the client.
+    """
 
     def __init__(self, client: StoreClient, number: int, seed: int, histories: Histories) -> None:
         self.client = client
@@ -30,6 +33,7 @@
         self.histories = histories
 
     async def run(self, stopped: asyncio.Event) -> None:
+        """Uses the keys, with pauses, until `stopped` is set."""
         for turn in itertools.count():
             if stopped.is_set():
                 return
@@ -79,7 +83,7 @@
         self.record(key, Kind.PUT, value, called_at, returned_at)
 
     async def swap(self, key: str, value: str) -> None:
-        """Read the key and replace what was read; nothing is recorded where the read is not answered."""
+        """Reads the key and replaces the value that was read. Records nothing if the read gets no reply."""
         called_at = time.monotonic()
         try:
             found = await self.client.get(key)
--- /dev/null
+++ b/tests/store/store_command.py
@@ -0,0 +1,14 @@
+"""Runs the command line of the store."""
+
+from __future__ import annotations
+
+import subprocess
+import sys
+
+COMMAND_TIMEOUT_S = 120
+
+
+def run_store_command(*arguments: object) -> subprocess.CompletedProcess[str]:
+    """Runs `wheatstile store` with these arguments until it ends, and returns its status and output."""
+    command = [sys.executable, "-m", "wheatstile", "store", *map(str, arguments)]
+    return subprocess.run(command, capture_output=True, text=True, check=False, timeout=COMMAND_TIMEOUT_S)
--- a/tests/store/test_applied_state.py
+++ b/tests/store/test_applied_state.py
@@ -1,4 +1,4 @@
-"""The state machine as far as the log is applied, and the store's clock."""
+"""`AppliedState`: the applied state machine and the store's clock."""
 
 from __future__ import annotations
 
@@ -19,11 +19,12 @@
 
 
 def apply_committed(node: RaftNode, applied: AppliedState) -> None:
+    """Applies the node's committed entries to `applied`."""
     for entry in node.ready().committed_entries:
         applied.apply(entry)
 
 
-def test_the_clock_stands_until_the_leaders_first_entry_is_applied() -> None:
+def test_the_clock_is_stopped_until_the_leaders_first_entry_is_applied() -> None:
     node = make_node()
     applied = AppliedState(node, None, ignore_trace)
     elect(node, "bc")
@@ -34,7 +35,7 @@
     started_ms = applied.clock_ms()
     assert started_ms >= 1000
     while applied.clock_ms() == started_ms:
-        pass  # it runs on by the monotonic clock, without another entry
+        pass  # wait for the monotonic clock; no further entry is applied
     assert applied.state_machine.clock_ms == 1000
 
 
@@ -48,7 +49,7 @@
     apply_committed(node, applied)
     while not applied.is_expiration_due():
         pass
-    assert applied.state_machine.get("k"), "it expires when a command carries the clock on"
+    assert applied.state_machine.get("k"), "the key expired before a command advanced the committed clock"
 
 
 def test_an_installed_snapshot_replaces_the_state_and_is_traced() -> None:
@@ -61,7 +62,7 @@
     assert lines == ["snapshot 7"]
 
 
-def test_who_waits_for_an_application_is_woken_by_it() -> None:
+def test_an_application_wakes_the_waiting_tasks() -> None:
     async def scenario() -> None:
         applied = AppliedState(make_node(), None, ignore_trace)
         event = applied.next_application
--- a/tests/store/test_event_history.py
+++ b/tests/store/test_event_history.py
@@ -1,4 +1,4 @@
-"""`EventHistory`: a bound, and an error for those who are behind it."""
+"""`EventHistory`: its limit, and the error for a watch that needs discarded events."""
 
 from __future__ import annotations
 
--- a/tests/store/test_framing.py
+++ b/tests/store/test_framing.py
@@ -15,6 +15,7 @@
 
 @pytest.fixture
 def sockets() -> Iterator[tuple[socket.socket, socket.socket]]:
+    """Yields a connected pair (sender, receiver), and closes both."""
     sender, receiver = socket.socketpair()
     receiver.setblocking(False)
     with sender, receiver:
@@ -22,6 +23,7 @@
 
 
 async def read_all(receiver: socket.socket, max_frame_bytes: int = 1024) -> list[str]:
+    """Returns the values of all frames up to the end of the stream."""
     frames = FrameReader(receiver, max_frame_bytes)
     values = []
     while (value := await frames.read(str)) is not None:
@@ -38,7 +40,7 @@
     assert asyncio.run(read_all(receiver)) == ["first", "second"]
 
 
-def test_a_frame_above_the_bound_is_an_error(sockets: tuple[socket.socket, socket.socket]) -> None:
+def test_a_frame_above_the_limit_is_an_error(sockets: tuple[socket.socket, socket.socket]) -> None:
     sender, receiver = sockets
     sender.sendall(encode_frame("x" * 100))
     with pytest.raises(FrameTooLargeError) as caught:
--- a/tests/store/test_linearizability.py
+++ b/tests/store/test_linearizability.py
@@ -1,4 +1,4 @@
-"""The checkers over histories: they accept good ones and find bad ones."""
+"""The checkers of histories: they accept correct histories and reject incorrect ones."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
         pytest.param([swap("1", 1, 2, None), swap("2", 1, 2, None)], id="two_swaps_from_one_state"),
     ],
 )
-def test_a_history_that_is_not_linearizable_is_found(history: list[Operation]) -> None:
+def test_a_history_that_is_not_linearizable_is_rejected(history: list[Operation]) -> None:
     assert not is_linearizable(history)
 
 
@@ -47,6 +47,6 @@
         ({"a": ["applied 1 1 x 1"], "b": ["applied 1 1 y 1"]}, "not"),
     ],
 )
-def test_members_that_disagree_are_found(output: OutputByMember, message: str) -> None:
+def test_contradicting_histories_of_members_are_rejected(output: OutputByMember, message: str) -> None:
     with pytest.raises(AssertionError, match=message):
         check_applied(output)
--- a/tests/store/test_pending_reads.py
+++ b/tests/store/test_pending_reads.py
@@ -1,4 +1,4 @@
-"""Reads that wait for their read index."""
+"""`PendingReads`: reads that are waiting for their read index."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
     asyncio.run(scenario())
 
 
-def test_a_read_that_is_cancelled_is_not_waited_for() -> None:
+def test_a_cancelled_read_is_discarded() -> None:
     async def scenario() -> None:
         node = make_node()
         node.step(Message(MessageKind.APPEND, "b", "a", 1))
--- a/tests/store/test_proposal_queue.py
+++ b/tests/store/test_proposal_queue.py
@@ -1,4 +1,4 @@
-"""Group commit, and what becomes of commands that are not applied."""
+"""`ProposalQueue`: group commit, and the results of commands."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 
 
 def make_queue(node: RaftNode) -> ProposalQueue:
-    """Return an empty queue, for use within a running event loop."""
+    """Returns an empty queue. It needs a running event loop."""
     return ProposalQueue(node, lambda: CLOCK_MS)
 
 
-def test_commands_wait_until_those_before_are_committed_and_then_go_together(
+def test_commands_wait_for_the_previous_group_and_are_proposed_together(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(proposal_queue, "MAX_GROUP_WAIT_S", inf)  # however slow the machine is
+    monkeypatch.setattr(proposal_queue, "MAX_GROUP_WAIT_S", inf)  # independent of the machine's speed
 
     async def scenario() -> None:
         leader = make_leader()
@@ -75,7 +75,7 @@
     asyncio.run(scenario())
 
 
-def test_a_command_that_nobody_waits_for_is_not_proposed() -> None:
+def test_a_cancelled_command_is_not_proposed() -> None:
     async def scenario() -> None:
         leader = make_leader()
         queue = make_queue(leader)
@@ -87,7 +87,7 @@
     asyncio.run(scenario())
 
 
-def test_a_command_whose_place_another_leaders_entry_took_was_not_applied() -> None:
+def test_a_command_replaced_by_another_leaders_entry_was_not_applied() -> None:
     async def scenario() -> None:
         leader = make_leader()
         queue = make_queue(leader)
--- a/tests/store/test_raft_log.py
+++ b/tests/store/test_raft_log.py
@@ -1,4 +1,4 @@
-"""`RaftLog`."""
+"""`RaftLog`: contiguous entries, compaction, truncation, batches, installed snapshots."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def make_log(count: int, data: bytes = b"") -> RaftLog:
-    """Return a log of `count` entries of term 1, all committed; entry 2 changes the configuration."""
+    """Returns a log of `count` committed entries of term 1. Entry 2 changes the configuration."""
     entries = [Entry(1, index, EntryKind.DATA, data) for index in range(1, count + 1)]
     if count > 1:
         entries[1] = Entry(1, 2, EntryKind.CONFIGURATION, configuration=Configuration(frozenset("abcd")))
@@ -39,7 +39,7 @@
     assert log.configuration == Configuration(frozenset("abc"))
 
 
-def test_a_batch_is_bounded_by_entries_and_by_bytes() -> None:
+def test_a_batch_is_limited_by_entries_and_by_bytes() -> None:
     assert len(make_log(2 * MAX_BATCH_ENTRIES).batch_from(1)) == MAX_BATCH_ENTRIES
     assert len(make_log(9, bytes(MAX_BATCH_BYTES // 2)).batch_from(3)) == 2
 
--- a/tests/store/test_raft_membership.py
+++ b/tests/store/test_raft_membership.py
@@ -10,7 +10,7 @@
 from wheatstile.store.raft.messages import Configuration
 
 
-def test_a_change_needs_both_majorities_and_runs_alone() -> None:
+def test_a_change_needs_both_majorities_and_excludes_another_change() -> None:
     cluster = SimulatedCluster(7, voter_count=3)
     cluster.heal()
     while not (leaders := [node for node in cluster.leaders() if node.log.commit_index]):
@@ -23,8 +23,8 @@
     for _ in range(200):
         cluster.step()
     leaders = [node for node in cluster.leaders() if node.name in "cde"]
-    assert leaders, "no new voter leads"
-    assert leaders[0].log.configuration == Configuration(frozenset("cde")), "the change did not end"
+    assert leaders, "no new voter is the leader"
+    assert leaders[0].log.configuration == Configuration(frozenset("cde")), "the change was not completed"
 
 
 @pytest.mark.parametrize(("voters", "learners"), [("", ""), ("", "abc")])
@@ -33,7 +33,7 @@
         make_leader().change_members(voters, learners)
 
 
-def test_a_change_waits_for_the_leaders_first_commit() -> None:
+def test_a_change_before_the_leaders_first_commit_is_rejected() -> None:
     node = make_node()
     elect(node, "bc")
     with pytest.raises(MembershipChangeRejectedError, match="not committed anything"):
--- a/tests/store/test_raft_model.py
+++ b/tests/store/test_raft_model.py
@@ -1,8 +1,8 @@
-"""Every history of three members in two terms with two entries and one crash, breadth first.
+"""Explores the histories of three members in two terms with two entries and one crash, breadth first.
 
-What may happen next is any message that is out, in any order or never, any member's campaign, a leader's
-proposal, a crash that keeps what was persisted. Checked in every state. `WHEATSTILE_STATES` says how many;
-all shorter histories are among them.
+A step delivers any sent message, starts the campaign of any member, proposes an entry at a leader, or
+restarts a member with its persisted state. A message may be delivered in any order or never. The invariants
+are checked in every state. `WHEATSTILE_STATES` limits the number of states; shorter histories come first.
 """
 
 from __future__ import annotations
@@ -30,11 +30,12 @@
 
 
 def start_node(name: str, hard_state: HardState | None = None, log: tuple[Entry, ...] = ()) -> RaftNode:
+    """Returns a node whose election time-outs are not random."""
     return RaftNode(name, NAMES, lambda low, _high: low, hard_state=hard_state, entries=log)
 
 
 def clone_node(node: RaftNode) -> RaftNode:
-    """Return a copy that shares nothing that changes."""
+    """Returns a copy that shares no mutable state with `node`."""
     clone = copy.copy(node)
     clone.state = clone_state(node.state)
     return clone
@@ -75,7 +76,7 @@
 
 
 def node_key(node: RaftNode) -> Hashable:
-    """Return what tells two states of a node apart."""
+    """Returns a key that differs for different states of a node."""
     state = node.state
     progress = tuple(
         (
@@ -101,21 +102,22 @@
 
 @dataclass(frozen=True)
 class ModelState:
-    """All nodes, the messages that are out, and what was decided on the way here."""
+    """The nodes, the sent messages, and the leaders and commits of the history that led to this state."""
 
     nodes: dict[str, RaftNode]
     messages: frozenset[Message] = frozenset()
-    leaders: frozenset[tuple[int, str]] = frozenset()  # (term, its leader)
-    committed: frozenset[tuple[int, int, Entry]] = frozenset()  # (index, the term of the commit, the entry)
+    leaders: frozenset[tuple[int, str]] = frozenset()  # (term, leader)
+    committed: frozenset[tuple[int, int, Entry]] = frozenset()  # (index, term of the commit, entry)
     crashes: int = 0
     depth: int = 0
 
     def key(self) -> Hashable:
+        """Returns a key that differs for different states. The depth is not part of it."""
         nodes = tuple(node_key(node) for node in self.nodes.values())
         return nodes, self.messages, self.leaders, self.committed, self.crashes
 
     def after(self, node: RaftNode, messages: frozenset[Message], crashes: int = 0) -> ModelState:
-        """Return the state after a step of `node`, which may have sent messages."""
+        """Returns the state after a step of `node`, which may have sent messages."""
         ready = node.ready()
         leaders = self.leaders
         if node.role is Role.LEADER:
@@ -131,6 +133,7 @@
         )
 
     def successors(self) -> Iterator[ModelState]:
+        """Yields the states after each possible step."""
         for message in self.messages:
             node = clone_node(self.nodes[message.recipient])
             node.step(message)
@@ -139,7 +142,7 @@
             yield from self.successors_by(node)
 
     def successors_by(self, node: RaftNode) -> Iterator[ModelState]:
-        """Return the states after a campaign, a proposal or a crash of `node`."""
+        """Yields the states after a campaign, a proposal or a crash of `node`."""
         if node.role is not Role.LEADER and node.term < MAX_TERMS:
             candidate = clone_node(node)
             election.start_election(candidate.state)
@@ -153,6 +156,7 @@
             yield self.after(restarted, self.messages, crashes=1)
 
     def check(self) -> None:
+        """Checks that a term has one leader, an index one committed entry, and leaders have all of them."""
         terms = {term for term, _ in self.leaders}
         assert len(terms) == len(self.leaders), f"two leaders in a term: {sorted(self.leaders)}"
         entries: dict[int, Entry] = {}
@@ -163,7 +167,7 @@
                 self.check_leader_completeness(node)
 
     def check_leader_completeness(self, leader: RaftNode) -> None:
-        """Check that a leader's log has every entry that was committed in an earlier term or its own."""
+        """Checks that a leader's log has every entry that was committed up to its term."""
         for index, term, entry in self.committed:
             if leader.term >= term:
                 stored = leader.log.entries[index - 1] if leader.log.last_index >= index else None
@@ -172,7 +176,7 @@
 
 @dataclass(frozen=True)
 class Exploration:
-    """States seen, the depth up to which all histories were, and the highest commit index of any node."""
+    """The number of states, the depth up to which all histories were explored, the highest commit index."""
 
     states: int
     depth: int
@@ -180,8 +184,9 @@
 
 
 def explore(max_states: int) -> Exploration:
+    """Explores histories breadth first until `max_states` states were seen, and checks each state."""
     first = ModelState({name: start_node(name) for name in NAMES})
-    leader = clone_node(first.nodes["a"])  # the first campaign is a's: the names do not matter
+    leader = clone_node(first.nodes["a"])  # the members are alike, so the first campaign can be a's
     election.start_election(leader.state)
     queue = deque([first.after(leader, frozenset())])
     seen = {queue[0].key()}
@@ -215,7 +220,7 @@
         ("quorum_value", lambda configuration, value_of: max(map(value_of, configuration.electors))),
     ],
 )
-def test_a_smaller_quorum_is_found(monkeypatch: pytest.MonkeyPatch, name: str, mutation: object) -> None:
+def test_a_smaller_quorum_is_detected(monkeypatch: pytest.MonkeyPatch, name: str, mutation: object) -> None:
     monkeypatch.setattr(Configuration, name, mutation)
     with pytest.raises(AssertionError):
         explore(STATES * 4)
--- a/tests/store/test_raft_mutations.py
+++ b/tests/store/test_raft_mutations.py
@@ -1,4 +1,4 @@
-"""Faults put into Raft's rules on purpose; each has to be found by the histories or by a check of its own."""
+"""Mutations of Raft's rules. Each must be found by the random histories or by a check of its own."""
 
 from __future__ import annotations
 
@@ -97,6 +97,7 @@
 
 
 def check_histories() -> None:
+    """Raises `InvariantError` if one of `HISTORIES` random histories violates an invariant."""
     for seed in range(HISTORIES):
         run_history(seed)
 
@@ -104,13 +105,13 @@
 def check_joint_quorum() -> None:
     joint = Configuration(frozenset("cde"), frozenset("abc"))
     if joint.has_quorum({"c", "d", "e"}) or joint.has_quorum({"a", "b", "c"}):
-        raise InvariantError("a change is decided by one side")
+        raise InvariantError("the old or the new voters alone make a decision during a change")
     if not joint.has_quorum({"b", "c", "d"}):
-        raise InvariantError("a majority of both sides decides nothing")
+        raise InvariantError("majorities of the old and the new voters do not make a decision")
 
 
 def check_earlier_terms_entry_is_not_counted() -> None:
-    """Figure 8 of the paper: a majority holds entry 2, of term 2, and it may still be overwritten."""
+    """Checks figure 8 of the paper: an earlier term's entry on a majority may still be overwritten."""
     node = make_node(
         voters="abcde",
         hard_state=HardState(3, None, 0),
@@ -122,10 +123,11 @@
             node.step(Message(MessageKind.APPEND_REPLY, voter, "a", 4, index=index, granted=True))
         commit = node.log.commit_index
         if commit != expected_commit:
-            raise InvariantError(f"entry {index} at a majority: commit is {commit}, not {expected_commit}")
+            raise InvariantError(f"a majority has entry {index}: commit is {commit}, not {expected_commit}")
 
 
-def check_vote_outlives_crash() -> None:
+def check_vote_survives_crash() -> None:
+    """Checks that a node does not vote again in the same term after a crash."""
     disk = PersistedState()
     for candidate, granted in (("b", True), ("c", False)):
         node = make_node(hard_state=disk.hard_state)
@@ -133,19 +135,19 @@
         ready = node.ready()
         SimulatedCluster.persist(disk, ready, node.log.entries)
         if ready.messages[0].granted is not granted:
-            raise InvariantError(f"{candidate}, asking in term 5, was answered {not granted}")
+            raise InvariantError(f"the vote of term 5 for {candidate} was {not granted}, not {granted}")
 
 
 @pytest.mark.parametrize(
-    "check", [check_vote_outlives_crash, check_joint_quorum, check_earlier_terms_entry_is_not_counted]
+    "check", [check_vote_survives_crash, check_joint_quorum, check_earlier_terms_entry_is_not_counted]
 )
-def test_rules_that_random_histories_hardly_meet(check: Callable[[], None]) -> None:
+def test_a_rule_that_random_histories_rarely_exercise_holds(check: Callable[[], None]) -> None:
     check()
 
 
 @dataclass(frozen=True)
 class Mutation:
-    """A faulty replacement of `attribute` of `target`, and the check that has to find it."""
+    """A faulty replacement of `attribute` of `target`, and the check that must find it."""
 
     name: str
     target: type | ModuleType
@@ -160,7 +162,7 @@
         SimulatedCluster,
         "persist",
         staticmethod(persist_without_vote),
-        check_vote_outlives_crash,
+        check_vote_survives_crash,
     ),
     Mutation(
         "last_entry_not_persisted",
--- a/tests/store/test_raft_node.py
+++ b/tests/store/test_raft_node.py
@@ -1,7 +1,7 @@
 """`RaftNode` in random histories with faults.
 
-A failing seed replays with `WHEATSTILE_SEEDS=N-N pytest tests/store/test_raft_node.py`;
-`WHEATSTILE_SEEDS=0-9999` is the long run.
+`WHEATSTILE_SEEDS=N-N pytest tests/store/test_raft_node.py` replays the history of seed N. The default is the
+seeds 0 to 199.
 """
 
 from __future__ import annotations
@@ -16,11 +16,12 @@
 
 
 def check_all_members_caught_up(cluster: SimulatedCluster, seed: int) -> None:
+    """Checks that there is a leader, and that no running member is far behind it."""
     newest = max(cluster.leaders(), key=lambda node: node.term, default=None)
-    assert newest, f"seed {seed}: nobody leads after healing"
+    assert newest, f"seed {seed}: there is no leader after the faults"
     for name in newest.log.configuration.members - cluster.crashed:
         behind = newest.log.commit_index - cluster.nodes[name].log.commit_index
-        assert behind < 100, f"seed {seed}: {name} is {behind} behind after healing"
+        assert behind < 100, f"seed {seed}: {name} is {behind} entries behind after the faults"
 
 
 def test_no_invariant_is_violated_under_faults() -> None:
@@ -34,8 +35,8 @@
             raise AssertionError(f"seed {seed}: {error}") from error
         answered_reads += cluster.answered_reads
         installed_snapshots += cluster.installed_snapshots
-    assert answered_reads > len(SEEDS) * 20, "the schedules hardly read"
-    assert installed_snapshots > len(SEEDS) / 10, "the schedules hardly installed a snapshot"
+    assert answered_reads > len(SEEDS) * 20, "too few reads were answered"
+    assert installed_snapshots > len(SEEDS) / 10, "too few snapshots were installed"
 
 
 def test_commit_age_of_a_partitioned_follower_grows() -> None:
@@ -51,9 +52,9 @@
     before = follower.commit_age_ticks
     for _ in range(60):
         cluster.step()
-    assert follower.commit_age_ticks >= before + 50, "without a leader's message its age has to grow"
+    assert follower.commit_age_ticks >= before + 50, "the age did not grow without messages from the leader"
 
 
 def test_a_restart_after_installing_a_snapshot_continues_the_log() -> None:
-    """In this history a node keeps entries after an installed snapshot, and restarts with them."""
+    """In this history, a node keeps entries after an installed snapshot and restarts with them."""
     run_history(1105)
--- a/tests/store/test_raft_progress.py
+++ b/tests/store/test_raft_progress.py
@@ -1,11 +1,11 @@
-"""`Progress`: probing, and flow control."""
+"""`Progress`: probing and flow control."""
 
 from __future__ import annotations
 
 from wheatstile.store.raft.progress import Progress
 
 
-def test_progress_goes_back_on_a_rejection_and_keeps_its_window() -> None:
+def test_progress_lowers_next_index_on_a_rejection_and_limits_inflight_appends() -> None:
     progress = Progress(next_index=10)
     progress.on_append_sent(3)
     assert not progress.can_send()
--- a/tests/store/test_raft_replication.py
+++ b/tests/store/test_raft_replication.py
@@ -19,7 +19,7 @@
     assert [entry.data for entry in leader.ready().committed_entries] == [b"x"]
 
 
-def test_only_the_leader_takes_proposals() -> None:
+def test_only_the_leader_accepts_proposals() -> None:
     with pytest.raises(NotLeaderError) as caught:
         make_node().propose(b"x")
     assert caught.value.leader is None
--- a/tests/store/test_raft_terms.py
+++ b/tests/store/test_raft_terms.py
@@ -1,4 +1,4 @@
-"""Messages of earlier and of later terms."""
+"""Messages of earlier and later terms."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
     assert node.ready().is_empty()
 
 
-def test_a_leader_follows_a_later_term() -> None:
+def test_a_leader_becomes_a_follower_in_a_later_term() -> None:
     leader = make_leader()
     leader.step(Message(MessageKind.APPEND, "b", "a", leader.term + 1))
     assert leader.role is Role.FOLLOWER
--- a/tests/store/test_raft_transfer.py
+++ b/tests/store/test_raft_transfer.py
@@ -11,6 +11,7 @@
 
 
 def recipients_of_timeout_now(node: RaftNode) -> list[str]:
+    """Returns the nodes that `node` has told to campaign since the last call."""
     messages = node.ready().messages
     return [message.recipient for message in messages if message.kind is MessageKind.TIMEOUT_NOW]
 
@@ -24,7 +25,7 @@
     assert recipients_of_timeout_now(leader) == ["b"]
 
 
-def test_a_leader_takes_no_proposals_during_a_transfer_and_gives_it_up_in_time() -> None:
+def test_a_leader_rejects_proposals_during_a_transfer_and_cancels_it_after_a_time_out() -> None:
     leader = make_leader()
     leader.transfer_leadership("b")
     with pytest.raises(NotLeaderError) as caught:
--- a/tests/store/test_record_file.py
+++ b/tests/store/test_record_file.py
@@ -19,7 +19,7 @@
     assert records[1].end_offset == path.stat().st_size
 
 
-def test_a_file_that_is_not_there_has_no_records(tmp_path: Path) -> None:
+def test_a_missing_file_has_no_records(tmp_path: Path) -> None:
     assert list(read_records(tmp_path / "missing")) == []
 
 
--- a/tests/store/test_state_machine.py
+++ b/tests/store/test_state_machine.py
@@ -1,4 +1,4 @@
-"""The state machine: revisions, times to live, sessions, transactions; one state on all members."""
+"""`StateMachine`: revisions, times to live, sessions, transactions, and the same state on all members."""
 
 from __future__ import annotations
 
@@ -37,11 +37,12 @@
 
 @pytest.fixture
 def machine() -> StateMachine:
+    """Returns an empty state machine."""
     return StateMachine()
 
 
 def replay_events(events: list[Event]) -> dict[str, bytes]:
-    """Return the keys and values that a watch alone gives."""
+    """Returns the keys and values that result from the events."""
     state: dict[str, bytes] = {}
     for event in events:
         if event.change is ChangeKind.PUT:
@@ -53,7 +54,7 @@
 
 @settings(deadline=None)
 @given(COMMANDS, st.integers(0, 40))
-def test_a_member_restored_from_a_snapshot_answers_as_the_others(
+def test_a_state_machine_loaded_from_a_snapshot_gives_the_same_results(
     commands: list[Command], snapshot_index: int
 ) -> None:
     machine = restored = StateMachine()
@@ -70,7 +71,7 @@
     assert replay_events(events) == {key: version.value for key, version in machine.matching(">")}
 
 
-def test_a_repeated_command_is_applied_once_and_answered_alike(machine: StateMachine) -> None:
+def test_a_repeated_command_is_applied_once_and_gives_the_same_result(machine: StateMachine) -> None:
     first = machine.apply(1, Command([Operation(PUT, "k", b"1", 0)], session_id="s", sequence=1))
     repeated = machine.apply(2, Command([Operation(PUT, "k", b"1", 0)], session_id="s", sequence=1))
     assert first.ok
--- a/tests/store/test_storage.py
+++ b/tests/store/test_storage.py
@@ -1,4 +1,4 @@
-"""`Storage`: what a crash leaves is read back; what no crash leaves is rejected with its place."""
+"""`Storage`: it recovers what a crash leaves behind, and rejects other damage with its position."""
 
 from __future__ import annotations
 
@@ -15,6 +15,7 @@
 
 
 def make_entries(first: int, count: int, term: int) -> list[Entry]:
+    """Returns `count` entries from index `first` on."""
     return [
         Entry(term, index, EntryKind.DATA, f"{term}:{index}".encode())
         for index in range(first, first + count)
@@ -22,17 +23,18 @@
 
 
 def make_snapshot(index: int, term: int) -> Snapshot:
+    """Returns a snapshot at `index` with the data "state"."""
     return Snapshot(index, term, Configuration(frozenset("abc")), b"state")
 
 
 def recover(directory: Path) -> DirectoryContents:
-    """Open the directory as after a crash."""
+    """Opens and closes the directory as after a crash, and returns its contents."""
     with Storage(directory, "c", "a", sync=False) as storage:
         return storage.recovered
 
 
 def append_records(directory: Path, *records: tuple[HardState | None, list[Entry]]) -> list[int]:
-    """Return the log's sizes after each of these."""
+    """Appends records to the directory's log, and returns the size of the log after each of them."""
     sizes_bytes = []
     with Storage(directory, "c", "a", sync=False) as storage:
         for hard_state, entries in records:
@@ -53,15 +55,15 @@
 
 
 @pytest.mark.parametrize(("term", "remaining"), [(1, [5, 6]), (2, [])])
-def test_a_crash_between_a_snapshot_and_its_log_leaves_only_what_follows_it(
+def test_after_a_crash_between_snapshot_and_log_only_entries_that_follow_the_snapshot_remain(
     tmp_path: Path, term: int, remaining: list[int]
 ) -> None:
-    """Entries of another branch than the snapshot's must not stand behind it."""
+    """Entries of the old log that contradict the snapshot are discarded."""
     append_records(tmp_path, (HardState(1, None, 0), make_entries(1, 6, term=1)))
     with Storage(tmp_path, "c", "a", sync=False) as storage:
         log = (tmp_path / LOG_FILE).read_bytes()
         storage.save_snapshot(make_snapshot(4, term), HardState(term, None, 4), [])
-    (tmp_path / LOG_FILE).write_bytes(log)  # as it was when the snapshot had just been renamed
+    (tmp_path / LOG_FILE).write_bytes(log)  # the log from before the snapshot
     assert [entry.index for entry in recover(tmp_path).entries] == remaining
 
 
@@ -78,13 +80,13 @@
         complete_records = sum(size <= cut for size in sizes_bytes)
         expected = list(range(1, complete_records * 3 + 1))
         assert [entry.index for entry in recover(directory).entries] == expected
-        assert recover(directory).torn_bytes == 0, "it was cut off"
+        assert recover(directory).torn_bytes == 0, "the incomplete record was not truncated"
 
 
 @settings(max_examples=60, deadline=None)
 @given(st.data())
-def test_a_flipped_bit_is_always_found(data: st.DataObject) -> None:
-    """Also in the last record, which may have been acknowledged."""
+def test_a_flipped_bit_is_always_detected(data: st.DataObject) -> None:
+    """It is also detected in the last record, which may have been acknowledged."""
     with tempfile.TemporaryDirectory() as name:
         directory = Path(name)
         records = [(HardState(1, "a", 0), make_entries(number + 1, 1, term=1)) for number in range(3)]
--- a/tests/store/test_store_client.py
+++ b/tests/store/test_store_client.py
@@ -1,4 +1,4 @@
-"""The client against scripted members: which errors are retried, and where."""
+"""`StoreClient` with scripted members: which errors it retries, and at which member."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class ScriptedMember:
-    """Answers each request with the next reply, and closes the connection after the last or for None."""
+    """Replies to each request with the next reply. Closes the connection after the last one, or for None."""
 
     def __init__(self, *replies: Reply | None) -> None:
         self.replies = list(replies)
@@ -40,9 +40,20 @@
             writer.close()
 
 
+class ChunkedMember(ScriptedMember):
+    """Replies to a request for a backup with three chunks."""
+
+    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        await reader.read(1024)
+        for chunk, remaining_bytes in ((b"ab", 3), (b"cd", 1), (b"e", 0)):
+            writer.write(encode_frame(Reply(revision=9, chunk=chunk, remaining_bytes=remaining_bytes)))
+        await reader.read()
+        writer.close()
+
+
 @asynccontextmanager
 async def serve_members(**members: ScriptedMember) -> AsyncIterator[StoreClient]:
-    """Yield a client of these members; it asks them in the order of their names."""
+    """Serves the members and yields a client, which asks them in the order of their names; closes all."""
     servers = {
         name: await asyncio.start_server(member.serve, "127.0.0.1", 0) for name, member in members.items()
     }
@@ -98,7 +109,7 @@
     asyncio.run(scenario())
 
 
-def test_the_outcome_is_unknown_when_nobody_answers_in_time() -> None:
+def test_the_outcome_is_unknown_if_no_member_replies_in_time() -> None:
     async def scenario() -> None:
         client = StoreClient({"a": 1}, timeout_s=0.1)  # nothing listens on port 1
         with pytest.raises(OutcomeUnknownError, match="a: "):
@@ -108,15 +119,7 @@
     asyncio.run(scenario())
 
 
-def test_a_backup_is_put_together_from_its_chunks() -> None:
-    class ChunkedMember(ScriptedMember):
-        async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            await reader.read(1024)
-            for chunk, remaining_bytes in ((b"ab", 3), (b"cd", 1), (b"e", 0)):
-                writer.write(encode_frame(Reply(revision=9, chunk=chunk, remaining_bytes=remaining_bytes)))
-            await reader.read()
-            writer.close()
-
+def test_a_backup_is_assembled_from_its_chunks() -> None:
     async def scenario() -> None:
         async with serve_members(a=ChunkedMember()) as client:
             state = await client.download_state()
@@ -125,12 +128,12 @@
     asyncio.run(scenario())
 
 
-def test_a_watch_goes_on_with_another_member_after_its_last_revision() -> None:
+def test_a_watch_continues_with_another_member_after_its_last_revision() -> None:
     async def scenario() -> None:
         events = [Event(revision, "k", ChangeKind.PUT, b"") for revision in (5, 6)]
         members = [ScriptedMember(Reply(events=[event], revision=event.revision)) for event in events]
         seen: list[int] = []
-        async with serve_members(b=members[0], a=members[1]) as client:  # a watch begins at the second
+        async with serve_members(b=members[0], a=members[1]) as client:  # a watch starts at b
             async for event in client.watch("k", 4):
                 seen.append(event.revision)
                 if len(seen) == len(events):
--- a/tests/store/test_store_commands.py
+++ b/tests/store/test_store_commands.py
@@ -1,4 +1,4 @@
-"""Commands are checked before they are proposed."""
+"""The limits of commands."""
 
 from __future__ import annotations
 
--- a/tests/store/test_store_protocol.py
+++ b/tests/store/test_store_protocol.py
@@ -1,4 +1,4 @@
-"""The keys on the wire and on disk, which stay whatever the fields are called in the code."""
+"""The keys on the wire and on disk, which do not depend on the names of the fields in the code."""
 
 from __future__ import annotations
 
--- a/tests/store/test_store_server.py
+++ b/tests/store/test_store_server.py
@@ -1,7 +1,7 @@
-"""Members as processes under concurrent clients: SIGKILL, SIGSTOP, restarts, one-way cuts, lost frames.
+"""Members as processes under concurrent clients, with SIGKILL, SIGSTOP, restarts, cuts and lost frames.
 
-What the clients saw has to be linearizable, and the members' logs have to agree. One schedule replays with
-`WHEATSTILE_SEEDS=N-N pytest tests/store/test_store_server.py -k faults`.
+The clients' histories must be linearizable, and the members' logs must agree.
+`WHEATSTILE_SEEDS=N-N pytest tests/store/test_store_server.py -k faults` repeats the schedule of seed N.
 """
 
 from __future__ import annotations
@@ -9,8 +9,8 @@
 import asyncio
 import os
 import random
-import subprocess
-import sys
+from collections.abc import Sequence
+from contextlib import closing
 from pathlib import Path
 
 import pytest
@@ -18,6 +18,7 @@
 from process_cluster import ProcessCluster, check_applied, run_scenario
 from process_faults import inject_faults
 from register_user import Histories, RegisterUser
+from store_command import run_store_command
 
 from wheatstile.store.client import StoreClient
 from wheatstile.store.errors import OutcomeUnknownError
@@ -29,14 +30,41 @@
 KEYS = ("k/a", "k/b")
 CLIENTS = 5
 FAULTS = 14
+LAST_VALUE = "end"
+
+
+async def use_keys_under_faults(
+    cluster: ProcessCluster, clients: Sequence[StoreClient], seed: int
+) -> tuple[Histories, list[str]]:
+    """Returns the histories of concurrent clients, and the faults that were injected meanwhile."""
+    stopped = asyncio.Event()
+    histories: Histories = {key: [] for key in KEYS}
+    async with asyncio.TaskGroup() as tasks:
+        for number, client in enumerate(clients):
+            tasks.create_task(RegisterUser(client, number, seed, histories).run(stopped))
+        faults = await inject_faults(cluster, random.Random(seed), FAULTS)
+        stopped.set()
+    return histories, faults
+
+
+async def recover(cluster: ProcessCluster) -> None:
+    """Ends all faults, starts the missing members, and waits until all members have applied a write."""
+    cluster.resume_all()
+    cluster.link.tell("heal")
+    cluster.start_missing()
+    with closing(cluster.client(timeout_s=60)) as client:
+        revision = (await client.put("last", b"")).revision
+        await wait_until_all_applied(client, cluster, revision)
 
 
 async def wait_until_all_applied(client: StoreClient, cluster: ProcessCluster, revision: int) -> None:
+    """Waits until all members have applied a revision."""
     for name in cluster.names:
         await wait_until_applied(client, name, revision)
 
 
 async def wait_until_applied(client: StoreClient, name: str, revision: int) -> None:
+    """Waits until a member has applied a revision."""
     while (await client.status(name)).applied_index < revision:
         await asyncio.sleep(0.05)
 
@@ -44,21 +72,10 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_histories_under_faults_are_linearizable(tmp_path: Path, seed: int) -> None:
     async def scenario(cluster: ProcessCluster) -> None:
-        stopped = asyncio.Event()
-        histories: Histories = {key: [] for key in KEYS}
         clients = [cluster.client(timeout_s=3.0) for _ in range(CLIENTS)]
-        async with asyncio.TaskGroup() as tasks:
-            for number, client in enumerate(clients):
-                tasks.create_task(RegisterUser(client, number, seed, histories).run(stopped))
-            faults = await inject_faults(cluster, random.Random(seed), FAULTS)
-            stopped.set()
-        cluster.resume_all()
-        cluster.link.tell("heal")
-        cluster.start_missing()
-        last_client = cluster.client(timeout_s=60)
-        revision = (await last_client.put("last", b"")).revision
-        await wait_until_all_applied(last_client, cluster, revision)
-        for client in [*clients, last_client]:
+        histories, faults = await use_keys_under_faults(cluster, clients, seed)
+        await recover(cluster)
+        for client in clients:
             client.close()
         for key, history in histories.items():
             assert is_linearizable(history), f"seed {seed}: {key} is not linearizable; faults: {faults}"
@@ -68,16 +85,19 @@
     assert check_applied(run_scenario(ProcessCluster(tmp_path, seed), scenario)) > 30
 
 
-def test_members_are_added_replaced_and_handed_over(tmp_path: Path) -> None:
-    """Through the command line, as operators do it; the added member catches up by a snapshot."""
-    cluster = ProcessCluster(tmp_path, 1, "abcd")
-    options = [f"--member={name}={port}" for name, port in cluster.client_ports.items()]
+async def run_command(cluster: ProcessCluster, *arguments: str) -> str:
+    """Runs `wheatstile store` with these arguments until it ends, and returns its output.
 
-    def run_command(*arguments: str) -> str:
-        command = [sys.executable, "-m", "wheatstile", "store", *arguments, *options, "--within", "30"]
-        completed = subprocess.run(command, capture_output=True, text=True, check=False, timeout=120)
-        assert completed.returncode == 0, completed.stderr
-        return completed.stdout
+    Raises AssertionError with the error output if the exit status is not 0.
+    """
+    options = (*cluster.member_options(), "--within", "30")
+    completed = await asyncio.to_thread(run_store_command, *arguments, *options)
+    assert completed.returncode == 0, completed.stderr
+    return completed.stdout
+
+
+def test_members_are_added_and_removed_and_leadership_is_transferred_by_commands(tmp_path: Path) -> None:
+    """The added member catches up by a snapshot."""
 
     async def scenario(cluster: ProcessCluster) -> None:
         client = cluster.client(timeout_s=30)
@@ -85,39 +105,40 @@
             revision = (await client.put(f"k/{number}", str(number).encode())).revision
         cluster.start("d", voters="abc")
         peer_port = str(cluster.peer_ports["d"])
-        output = await asyncio.to_thread(run_command, "add", "d", "--peer-port", peer_port)
-        assert "voters a b c d" in output
+        assert "voters a b c d" in await run_command(cluster, "add", "d", "--peer-port", peer_port)
         await wait_until_applied(client, "d", revision)
         found = await client.get("k/0", max_staleness_ms=60_000)
         assert found
         assert found.value == b"0"
-        await asyncio.to_thread(run_command, "transfer", "d")
+        await run_command(cluster, "transfer", "d")
         assert await cluster.leader() == "d"
-        assert "voters b c d" in await asyncio.to_thread(run_command, "remove", "a")
+        assert "voters b c d" in await run_command(cluster, "remove", "a")
         cluster.kill("a")
-        assert '"99"' in await asyncio.to_thread(run_command, "get", "k/99", "--json")
+        assert '"99"' in await run_command(cluster, "get", "k/99", "--json")
         with pytest.raises(AssertionError, match="is at revision"):
-            await asyncio.to_thread(run_command, "put", "k/99", "x", "--revision", "1")
+            await run_command(cluster, "put", "k/99", "x", "--revision", "1")
         client.close()
 
-    output = run_scenario(cluster, scenario, voters="abc")
+    output = run_scenario(ProcessCluster(tmp_path, 1, "abcd"), scenario, voters="abc")
     assert check_applied(output) > 100
     assert any(line.startswith("snapshot") for line in output["d"])
 
 
-def test_a_watch_has_no_gap_and_no_repeat_when_leaders_are_killed(tmp_path: Path) -> None:
-    async def scenario(cluster: ProcessCluster) -> None:
-        client = cluster.client()
-        seen: list[str] = []
+async def watch_until_last_value(client: StoreClient) -> list[str]:
+    """Returns the values of the keys `w/>` in the order of their events, up to `LAST_VALUE`."""
+    values: list[str] = []
+    async for event in client.watch("w/>", 0):
+        values.append(event.value.decode())
+        if values[-1] == LAST_VALUE:
+            break
+    return values
 
-        async def watch() -> None:
-            async for event in client.watch("w/>", 0):
-                seen.append(event.value.decode())
-                if seen[-1] == "end":
-                    return
 
+def test_a_watch_has_no_gap_and_no_repetition_when_leaders_are_killed(tmp_path: Path) -> None:
+    async def scenario(cluster: ProcessCluster) -> None:
+        client = cluster.client()
         async with asyncio.TaskGroup() as tasks:
-            watching = tasks.create_task(watch())
+            watching = tasks.create_task(watch_until_last_value(client))
             for turn in range(6):
                 for number in range(10):
                     await client.put("w/x", f"{turn}.{number}".encode())
@@ -125,17 +146,17 @@
                 cluster.kill(victim)
                 await client.put("w/x", f"{turn}.without {victim}".encode())
                 cluster.start(victim)
-            await client.put("w/x", b"end")
-            await asyncio.wait_for(watching, 60)
+            await client.put("w/x", LAST_VALUE.encode())
+            seen = await asyncio.wait_for(watching, 60)
         client.close()
         assert len(seen) == 6 * 11 + 1
         assert len(set(seen)) == len(seen)
-        assert seen == sorted(seen, key=lambda value: (value == "end", value[:2], "without" in value))
+        assert seen == sorted(seen, key=lambda value: (value == LAST_VALUE, value[:2], "without" in value))
 
     run_scenario(ProcessCluster(tmp_path, 2, "abc"), scenario)
 
 
-def test_an_isolated_member_never_answers_as_if_it_were_current(tmp_path: Path) -> None:
+def test_an_isolated_member_serves_only_reads_that_allow_a_stale_state(tmp_path: Path) -> None:
     async def scenario(cluster: ProcessCluster) -> None:
         client = cluster.client()
         await client.put("k", b"old")
@@ -165,7 +186,7 @@
     run_scenario(ProcessCluster(tmp_path, 3, "abc"), scenario)
 
 
-def test_a_malformed_frame_ends_its_connection_alone(tmp_path: Path) -> None:
+def test_a_malformed_frame_closes_only_its_connection(tmp_path: Path) -> None:
     async def scenario(cluster: ProcessCluster) -> None:
         client = cluster.client()
         await client.put("k", b"1")
