--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -1,7 +1,7 @@
-"""What the store bears: `python benchmarks/store.py [--quick]` prints the tables of docs/store.md.
+"""Measures the store: `python benchmarks/store.py [--quick]` prints the tables of docs/store.md.
 
-Members are processes of the program on this machine, clients connections of one process of ours, so that all
-share its cores; writes stand as a ratio to the fsyncs that the same folder does alone in the same run.
+The members are processes on this machine, and all clients run in this process, so they share the cores. The
+rate of writes is also given as a ratio to the rate of fsyncs that the disk reaches alone in the same run.
 """
 
 import argparse
@@ -27,7 +27,7 @@
 from wheatstile.store.client import StoreClient  # noqa: E402
 
 CLUSTERS = ("a", "abc", "abcde")
-"""The members of each cluster that is measured, a letter each."""
+"""The members of each measured cluster; each letter is a name."""
 CLIENT_TIMEOUT_S = 60
 VALUE_BYTES = 100
 FSYNC_BYTES = 256
@@ -37,17 +37,17 @@
     "members",
     "clients",
     "",
-    "a second",
+    "per second",
     "p50 ms",
     "p99 ms",
-    "an fsync",
-    "of this disk's rate",
+    "writes per fsync",
+    "ratio to fsyncs",
 )
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """How long a measurement takes, with how many clients, and how often a leader is killed."""
+    """The duration of each measurement, the numbers of clients, and how often a leader is killed."""
 
     duration_s: float
     client_counts: Sequence[int]
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Throughput:
-    """What so many clients got of one cluster. `writes_per_fsync`: None for reads, or without an fsync."""
+    """The result of one measurement; `writes_per_fsync` is None for reads, or if there was no fsync."""
 
     members: int
     clients: int
@@ -71,7 +71,7 @@
     writes_per_fsync: float | None
 
     def row(self, fsyncs_per_s: float) -> list[str]:
-        """Return the cells of COLUMNS, with the rate of writes as a ratio to the disk's."""
+        """Returns the cells of `COLUMNS`; the last one is the rate of writes divided by `fsyncs_per_s`."""
         writes_per_fsync = "" if self.writes_per_fsync is None else f"{self.writes_per_fsync:.1f}"
         return [
             str(self.members),
@@ -85,8 +85,21 @@
         ]
 
 
+@dataclass(frozen=True, slots=True)
+class ClusterResult:
+    """The results of one cluster. `elections_s` is empty if elections were not measured."""
+
+    fsyncs_per_s: float
+    throughputs: Sequence[Throughput]
+    elections_s: Sequence[float]
+
+    def rows(self) -> list[list[str]]:
+        """Returns the rows of the table."""
+        return [throughput.row(self.fsyncs_per_s) for throughput in self.throughputs]
+
+
 def measure_fsyncs(folder: Path, duration_s: float) -> float:
-    """Return how many appends to one file, each synced, are done a second."""
+    """Returns the rate per second of appends to one file with an fsync after each."""
     count = 0
     descriptor = os.open(folder / "probe", os.O_WRONLY | os.O_CREAT | os.O_APPEND)
     started_s = time.perf_counter()
@@ -100,14 +113,14 @@
 
 @dataclass
 class Load:
-    """Clients that read or write, each its own key, one request after the other."""
+    """Clients that read or write, each with a key of its own and one request at a time."""
 
     clients: Sequence[StoreClient]
     reading: bool
     times_us: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, MAX_DURATION_US, 3))
 
     async def run(self, duration_s: float) -> float:
-        """Run for so long; requests a second."""
+        """Runs the clients for `duration_s` and returns the requests per second."""
         started_s = time.perf_counter()
         async with asyncio.TaskGroup() as tasks:
             for number, client in enumerate(self.clients):
@@ -123,12 +136,12 @@
             self.times_us.record_value(int((time.perf_counter() - started_s) * 1e6))
 
     def percentile_ms(self, percentile: float) -> float:
-        """Return the time of a request at this percentile, in milliseconds."""
+        """Returns a percentile of the duration of a request, in milliseconds."""
         return float(self.times_us.get_value_at_percentile(percentile) / 1000)
 
 
 async def measure_throughputs(cluster: ProcessCluster, plan: Plan) -> list[Throughput]:
-    """Measure writes and reads, by the number of clients."""
+    """Measures writes and reads with each number of clients."""
     leader = await cluster.leader()
     return [
         await measure_throughput(cluster, leader, count, plan.duration_s, reading=reading)
@@ -140,11 +153,11 @@
 async def measure_throughput(
     cluster: ProcessCluster, leader: str, client_count: int, duration_s: float, *, reading: bool
 ) -> Throughput:
-    """Measure what so many clients get; of the followers where they read and there are any."""
+    """Measures writes, or reads on the followers, with a number of clients."""
     ports = follower_ports(cluster, leader) if reading else cluster.client_ports
     observed = next(iter(ports)) if reading else leader
     clients = [StoreClient(ports, CLIENT_TIMEOUT_S) for _ in range(client_count)]
-    await asyncio.gather(*(client.get("b/0") for client in clients))  # their connections stand
+    await asyncio.gather(*(client.get("b/0") for client in clients))  # opens their connections
     fsyncs_before = (await clients[0].status(observed)).fsync_count
     load = Load(clients, reading)
     rate_per_s = await load.run(duration_s)
@@ -163,7 +176,7 @@
 
 
 def follower_ports(cluster: ProcessCluster, leader: str) -> Mapping[str, int]:
-    """Return the ports for clients of the followers; of all members where the leader is alone."""
+    """Returns the client ports of the followers, or of all members if there is no follower."""
     followers = {
         name: port
         for name, port in cluster.client_ports.items()
@@ -173,13 +186,13 @@
 
 
 async def measure_elections(cluster: ProcessCluster, kills: int) -> list[float]:
-    """Seconds from SIGKILL of the leader to the next write that is acknowledged, in their order."""
+    """Returns the times from SIGKILL of the leader to the next acknowledged write, sorted, in seconds."""
     durations_s = []
     for number in range(kills):
         leader = await cluster.leader()
         others = {name: port for name, port in cluster.client_ports.items() if name != leader}
         with closing(StoreClient(others, CLIENT_TIMEOUT_S)) as client:
-            await client.get("e")  # its connection stands
+            await client.get("e")  # opens its connection
             cluster.kill(leader)
             started_s = time.perf_counter()
             await client.put("e", str(number).encode())
@@ -188,28 +201,33 @@
     return sorted(durations_s)
 
 
+def measure_cluster(names: str, plan: Plan) -> ClusterResult:
+    """Starts a cluster, measures it, and ends it. Elections are measured on the largest cluster only."""
+    with tempfile.TemporaryDirectory(dir=ROOT / "benchmarks") as folder:
+        fsyncs_per_s = measure_fsyncs(Path(folder), plan.duration_s / 2)
+        known_names = names if len(names) > 1 else "ab"  # `ProcessCluster` needs two names
+        with closing(ProcessCluster(Path(folder), 1, known_names, COMPACT_EVERY, direct=True)) as cluster:
+            cluster.start(*names, voters=names)
+            throughputs = asyncio.run(measure_throughputs(cluster, plan))
+            elections_s: list[float] = []
+            if names == CLUSTERS[-1]:
+                elections_s = asyncio.run(measure_elections(cluster, plan.kills))
+    return ClusterResult(fsyncs_per_s, throughputs, elections_s)
+
+
 def main() -> None:
-    """Print the tables."""
+    """Runs the measurements and prints the tables."""
     parser = argparse.ArgumentParser()
-    parser.add_argument("--quick", action="store_true", help="shorter")
+    parser.add_argument("--quick", action="store_true", help="shorter measurements")
     plan = QUICK if parser.parse_args().quick else FULL
-    rows: list[list[str]] = []
-    fsyncs_per_s = 0.0
-    elections_s: list[float] = []
-    for names in CLUSTERS:
-        with tempfile.TemporaryDirectory(dir=ROOT / "benchmarks") as folder:
-            fsyncs_per_s = measure_fsyncs(Path(folder), plan.duration_s / 2)
-            known_names = names if len(names) > 1 else "ab"  # the cluster's helper has no links of one member
-            with closing(ProcessCluster(Path(folder), 1, known_names, COMPACT_EVERY, direct=True)) as cluster:
-                cluster.start(*names, voters=names)
-                throughputs = asyncio.run(measure_throughputs(cluster, plan))
-                rows += [throughput.row(fsyncs_per_s) for throughput in throughputs]
-                if names == CLUSTERS[-1]:
-                    elections_s = asyncio.run(measure_elections(cluster, plan.kills))
+    results = [measure_cluster(names, plan) for names in CLUSTERS]
+    rows = [row for result in results for row in result.rows()]
     print(tabulate(rows, COLUMNS, tablefmt="github", disable_numparse=True))
+    largest = results[-1]
+    elections_s = largest.elections_s
     print(
-        f"\nfsyncs alone: {fsyncs_per_s:.0f} a second. Leader killed to next write, 5 members, "
-        f"{plan.kills} times: median {statistics.median(elections_s):.2f} s, "
+        f"\nfsyncs alone: {largest.fsyncs_per_s:.0f} per second. Leader killed to next write, "
+        f"{len(CLUSTERS[-1])} members, {plan.kills} times: median {statistics.median(elections_s):.2f} s, "
         f"p99 {elections_s[int(len(elections_s) * 0.99)]:.2f} s"
     )
 
