--- a/tests/descriptions/fuzz_reader.py
+++ b/tests/descriptions/fuzz_reader.py
@@ -1,6 +1,6 @@
-"""Fuzzes the reader, guided by coverage: `make fuzz`. No test: it runs until it is stopped.
+"""Fuzzes the reader, guided by coverage: `make fuzz`. Runs until it is stopped.
 
-Any error but the reader's own ends it; the input that caused it is kept in a file.
+Any error other than InvalidDescriptionError ends it. The input that caused the error is kept in a file.
 """
 
 import atexit
@@ -15,9 +15,10 @@
     from wheatstile.descriptions.findings import InvalidDescriptionError
     from wheatstile.descriptions.reader import read_descriptions
 
+MAX_FUZZED_BYTES = 4096
 FOLDER = Path(tempfile.mkdtemp())
 atexit.register(shutil.rmtree, FOLDER, ignore_errors=True)
-STARTS = (
+VALID_STARTS = (
     "",
     "openapi: 3.1.0\ninfo: {title: t, version: '1'}\npaths:\n",
     "asyncapi: 3.0.0\ninfo: {title: t, version: '1'}\n",
@@ -26,11 +27,11 @@
 
 
 def read_fuzzed_file(data: bytes) -> None:
-    """Read a description that begins well and goes on with fuzzed bytes."""
+    """Read a description with a valid start and fuzzed bytes after it."""
     provider = atheris.FuzzedDataProvider(data)
-    start = STARTS[provider.ConsumeIntInRange(0, len(STARTS) - 1)]
+    start = VALID_STARTS[provider.ConsumeIntInRange(0, len(VALID_STARTS) - 1)]
     path = FOLDER / ("a.json" if provider.ConsumeBool() else "a.yaml")
-    path.write_bytes(start.encode() + provider.ConsumeBytes(4096))
+    path.write_bytes(start.encode() + provider.ConsumeBytes(MAX_FUZZED_BYTES))
     try:
         read_descriptions([path])
     except InvalidDescriptionError as error:
--- a/tests/descriptions/test_file_states.py
+++ b/tests/descriptions/test_file_states.py
@@ -1,4 +1,4 @@
-"""States of files, by which a change is seen."""
+"""States of files, by which changes are detected."""
 
 import os
 from pathlib import Path
@@ -10,7 +10,7 @@
 
 
 def names(states: list[module.FileState]) -> list[str]:
-    """The names of the files, in the order of their paths."""
+    """Return the names of the files, in the order of their paths."""
     return [Path(state.path).name for state in states]
 
 
@@ -27,7 +27,7 @@
     assert names(file_states([folder])) == [folder.name, "a.yaml", "b.yaml"]
 
 
-def test_file_and_referenced_files_are_covered_and_missing_ones_left_out(folder: Path) -> None:
+def test_file_and_referenced_files_are_covered_and_missing_ones_omitted(folder: Path) -> None:
     referenced = [str(folder / "parts" / "b.yaml"), str(folder / "missing.yaml")]
     assert names(file_states([folder / "a.yaml"], referenced)) == ["a.yaml", "b.yaml"]
 
--- a/tests/descriptions/test_language.py
+++ b/tests/descriptions/test_language.py
@@ -1,4 +1,4 @@
-"""The language of the operator's rules."""
+"""The language of conditions in the operator's rules."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -7,7 +7,7 @@
 
 
 @given(st.text(alphabet='abpathmethod ()[]"=!~,in*notr', max_size=40))
-def test_no_condition_raises_any_other_error(text: str) -> None:
+def test_arbitrary_text_raises_only_rule_syntax_errors(text: str) -> None:
     try:
         parse_condition(text)
     except RuleSyntaxError as error:
--- a/tests/descriptions/test_reader.py
+++ b/tests/descriptions/test_reader.py
@@ -1,4 +1,4 @@
-"""Malicious and malformed files: each is rejected with a clear reason, within bounds."""
+"""Malicious and malformed files. Each is rejected with its reason."""
 
 import os
 from pathlib import Path
@@ -11,7 +11,7 @@
 from wheatstile.descriptions.parsed_file import MAX_FILE_BYTES
 from wheatstile.descriptions.reader import read_descriptions
 
-BOMB = "a: &a [x, x, x, x, x, x, x, x, x, x]\n" + "".join(
+ALIAS_BOMB = "a: &a [x, x, x, x, x, x, x, x, x, x]\n" + "".join(
     f"{new}: &{new} [{', '.join(['*' + old] * 10)}]\n"
     for old, new in zip("abcdefgh", "bcdefghi", strict=True)
 )
@@ -23,7 +23,7 @@
         ("a.yaml", b"openapi: 3.1.0\nx: \0", "a.yaml:2: /: a NUL byte"),
         ("a.yaml", b"openapi: \xff", "no UTF-8"),
         ("a.yaml", b"a: [1, 2", "a.yaml:2: /: no YAML"),
-        ("a.yaml", BOMB.encode(), "aliases counted each time"),
+        ("a.yaml", ALIAS_BOMB.encode(), "aliases counted each time"),
         ("a.yaml", b"a: &a [*a]", "the alias *a stands for nothing, or for itself"),
         ("a.yaml", b"[" * 10_000, "exceeded maximum nesting depth"),
         ("a.yaml", b"- " * 300 + b"a", "nested deeper than 200"),
@@ -45,28 +45,39 @@
     assert reason in " ".join(error.value.lines())
 
 
-def test_path_that_is_no_regular_file_is_rejected(tmp_path: Path) -> None:
+def test_fifo_is_rejected(tmp_path: Path) -> None:
     os.mkfifo(tmp_path / "a.yaml")
-    for path, reason in ((tmp_path / "a.yaml", "a FIFO"), (tmp_path / "b.yaml", "No such file")):
-        with pytest.raises(InvalidDescriptionError, match=reason):
-            read_descriptions([path])
-    (tmp_path / "in").mkdir()
+    with pytest.raises(InvalidDescriptionError, match="a FIFO"):
+        read_descriptions([tmp_path / "a.yaml"])
+
+
+def test_missing_file_is_rejected(tmp_path: Path) -> None:
+    with pytest.raises(InvalidDescriptionError, match="No such file"):
+        read_descriptions([tmp_path / "a.yaml"])
+
+
+def test_folder_without_descriptions_is_rejected(tmp_path: Path) -> None:
     with pytest.raises(InvalidDescriptionError, match="no file ends in"):
-        read_descriptions([tmp_path / "in"])
-    (tmp_path / "in" / "a.yaml").symlink_to("/etc/hostname")
+        read_descriptions([tmp_path])
+
+
+def test_symbolic_link_out_of_the_folder_is_rejected(tmp_path: Path) -> None:
+    (tmp_path / "a.yaml").symlink_to("/etc/hostname")
     with pytest.raises(InvalidDescriptionError, match="leaves the folder"):
-        read_descriptions([tmp_path / "in"])
+        read_descriptions([tmp_path])
 
 
-START = b"openapi: 3.1.0\ninfo: {title: t, version: '1'}\npaths: {/a: {get: {$ref: '#/x'}}}\n"
+VALID_START = b"openapi: 3.1.0\ninfo: {title: t, version: '1'}\npaths: {/a: {get: {$ref: '#/x'}}}\n"
 
 
 @settings(max_examples=150, deadline=None, suppress_health_check=[HealthCheck.function_scoped_fixture])
 @given(
-    st.binary(max_size=60) | st.binary(max_size=8).map(lambda data: START + data),
+    st.binary(max_size=60) | st.binary(max_size=8).map(lambda data: VALID_START + data),
     st.sampled_from([".yaml", ".json"]),
 )
-def test_no_content_raises_any_other_error(tmp_path: Path, data: bytes, ending: str) -> None:
+def test_arbitrary_content_raises_only_invalid_description_errors(
+    tmp_path: Path, data: bytes, ending: str
+) -> None:
     (tmp_path / f"a{ending}").write_bytes(data)
     try:
         read_descriptions([tmp_path / f"a{ending}"])
--- a/tests/descriptions/test_references.py
+++ b/tests/descriptions/test_references.py
@@ -12,7 +12,7 @@
 
 
 def document(root: str, part: str = "{}") -> DocumentNode:
-    """The root document; it may refer to `part.yaml`."""
+    """Return the root document, which may refer to `part.yaml`."""
     texts = {ROOT: root, PART: part}
 
     def retrieve(uri: str) -> ParsedFile:
@@ -64,9 +64,9 @@
 
 
 @pytest.mark.parametrize("member", ["example", "default", "enum", "const"])
-def test_reference_in_plain_data_is_none(member: str) -> None:
+def test_reference_in_plain_data_is_ignored(member: str) -> None:
     assert reference_findings(document(f"{member}: {{a: {{$ref: '#/missing'}}}}")) == []
 
 
-def test_cycle_through_members_is_no_fault() -> None:
+def test_cycle_through_members_is_allowed() -> None:
     assert reference_findings(document("a: {b: {$ref: '#/a'}}")) == []
--- a/tests/descriptions/test_route_matcher.py
+++ b/tests/descriptions/test_route_matcher.py
@@ -1,4 +1,4 @@
-"""The matcher against a plain loop over all routes."""
+"""The matcher, compared with a plain loop over all routes."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -17,7 +17,7 @@
 
 
 def route_matches(tokens: tuple[Token, ...], target: list[str]) -> bool:
-    """Whether a route matches, by a plain loop over its tokens."""
+    """Return whether a route matches, by a plain loop over its tokens."""
     for index, token in enumerate(tokens):
         if token.kind is TokenKind.REST:
             return len(target) > index
@@ -31,7 +31,7 @@
 
 
 def matcher_of(routes: list[tuple[Token, ...]]) -> Matcher[int]:
-    """A matcher of these routes by their indexes."""
+    """Return a matcher of these routes. The value of a route is its index."""
     matcher: Matcher[int] = Matcher()
     for number, tokens in enumerate(routes):
         matcher.add(tokens, number)
--- a/tests/descriptions/test_schema_size.py
+++ b/tests/descriptions/test_schema_size.py
@@ -1,4 +1,4 @@
-"""Bounds on the size of messages, by their schemas."""
+"""Discriminators of messages and bounds on their size, by their schemas."""
 
 import pytest
 
@@ -10,7 +10,7 @@
 
 
 def schema_of(text: str) -> DocumentNode:
-    """The schema in this YAML."""
+    """Return the schema in this YAML."""
     return DocumentStore(lambda uri: parse(uri, text.encode())).root(URI)
 
 
@@ -38,7 +38,7 @@
         ("{type: object, additionalProperties: false, properties: {a: {$ref: '#'}}}", None),
     ],
 )
-def test_max_json_bytes(schema: str, max_bytes: int | None) -> None:
+def test_size_is_bounded_by_the_schema(schema: str, max_bytes: int | None) -> None:
     assert max_json_bytes(schema_of(schema)) == max_bytes
 
 
@@ -51,10 +51,10 @@
         ("{discriminator: 5}", ""),
     ],
 )
-def test_discriminator_of(schema: str, discriminator: str) -> None:
+def test_discriminator_is_the_property_that_the_schema_names(schema: str, discriminator: str) -> None:
     assert discriminator_of(schema_of(schema)) == discriminator
 
 
-def test_missing_schema_says_nothing() -> None:
+def test_missing_schema_has_neither_discriminator_nor_bound() -> None:
     assert discriminator_of(None) == ""
     assert max_json_bytes(None) is None
--- a/wheatstile/descriptions/document.py
+++ b/wheatstile/descriptions/document.py
@@ -1,4 +1,4 @@
-"""What OpenAPI and AsyncAPI documents have in common: format versions, operations, schema errors. Pure."""
+"""Functions for both formats, OpenAPI and AsyncAPI: versions, operations and schema errors. Pure."""
 
 import re
 from collections.abc import Callable, Iterable, Sequence
@@ -9,8 +9,9 @@
 from wheatstile.descriptions.model import Description, JsonValue, Operation
 from wheatstile.descriptions.references import DocumentNode
 
-MAX_SCHEMA_FINDINGS = 100  # of one document
-MAX_REASON_LENGTH = 300  # characters of a validator's message
+MAX_SCHEMA_FINDINGS = 100  # findings about one document
+MAX_REASON_CHARACTERS = 300
+VALIDATOR_DETAILS = "Failed validating"  # start of the details that follow a validator's message
 
 
 class SchemaError(Protocol):
@@ -18,19 +19,19 @@
 
     @property
     def message(self) -> str:
-        """What is wrong."""
+        """The description of the error."""
 
     @property
     def absolute_path(self) -> Sequence[str | int]:
-        """The keys and indexes that lead to the value that is wrong."""
+        """The keys and indexes from the root of the document to the invalid value."""
 
     @property
     def context(self) -> "Sequence[SchemaError] | None":
-        """The errors of the alternatives, where several were allowed and all failed."""
+        """The errors of each alternative, if the schema allows several and all failed."""
 
 
 def version_of(document: JsonValue, key: str, versions: Iterable[str]) -> str | None:
-    """Which of the versions (`3.1`) the document's key names (`3.1.0`, `3.1.0-rc1`); None: none of them."""
+    """Return which of the versions (`3.1`) a document's key names (`3.1.0`, `3.1.0-rc1`); None if none."""
     version = document.get(key) if isinstance(document, dict) else None
     if not isinstance(version, str):
         return None
@@ -42,7 +43,7 @@
 def build_description(
     root: DocumentNode, format_name: str, builders: Iterable[Callable[[], Operation]]
 ) -> Description:
-    """Return a document's operations, each from its builder.
+    """Return the description that consists of the operations that the builders return.
 
     Raises InvalidDescriptionError with the findings of all operations.
     """
@@ -61,18 +62,21 @@
 
 
 def schema_finding(error: SchemaError, locate: Callable[[str], SourceLocation]) -> Finding:
-    """Return a validator's error at its location.
+    """Return a validator's error as a finding.
 
-    Of several alternatives that all failed, the one that came nearest is reported.
+    If several alternatives failed, the finding is about the one whose error is deepest in the document.
     """
     nearest = error
     while nearest.context:
-        nearest = max(nearest.context, key=_depth)
-    message = str(nearest.message).partition("Failed validating")[0]
-    reason = " ".join(message.split())[:MAX_REASON_LENGTH]
+        nearest = max(nearest.context, key=_closeness)
+    message = str(nearest.message).partition(VALIDATOR_DETAILS)[0]
+    reason = " ".join(message.split())[:MAX_REASON_CHARACTERS]
     return Finding(locate(pointer(*nearest.absolute_path)), reason)
 
 
-def _depth(error: SchemaError) -> tuple[int, bool]:
-    """How far an alternative got; one that only lacks a reference was not meant."""
+def _closeness(error: SchemaError) -> tuple[int, bool]:
+    """Return a key that is greater the closer an alternative came to matching.
+
+    An alternative that requires a `$ref` is less likely to be the intended one.
+    """
     return len(error.absolute_path), "'$ref'" not in error.message
--- a/wheatstile/descriptions/file_states.py
+++ b/wheatstile/descriptions/file_states.py
@@ -1,4 +1,4 @@
-"""Identity, size and time of change of files, to see whether any of them has changed."""
+"""Detects changes of files by their identity, size and modification time."""
 
 import os
 from collections.abc import Iterable
@@ -6,11 +6,11 @@
 from pathlib import Path
 from typing import NamedTuple
 
-MAX_FILES = 5000  # that are watched for changes
+MAX_FILES = 5000  # files that are checked for changes
 
 
 class FileState(NamedTuple):
-    """A file as it is on disk; another state means that it may have changed."""
+    """The state of a file on disk. A file whose state is unchanged is taken to have the same content."""
 
     path: str
     inode: int
--- a/wheatstile/descriptions/findings.py
+++ b/wheatstile/descriptions/findings.py
@@ -1,13 +1,10 @@
-"""Problems in descriptions: where they are, how severe they are, and the errors that carry them.
-
-Pure: nothing here reads a file.
-"""
+"""Problems in descriptions, with their location and severity, and the errors that carry them. Pure."""
 
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass, replace
 from enum import StrEnum
 
-MAX_FINDINGS_IN_MESSAGE = 20  # the text of an exception holds no more; `findings` holds all
+MAX_FINDINGS_IN_MESSAGE = 20  # limit for the text of an exception; its `findings` has all of them
 
 
 @dataclass(frozen=True, slots=True, order=True)
@@ -22,20 +19,20 @@
         return f"{self.file}:{self.line}: {self.pointer or '/'}"
 
     def short(self) -> str:
-        """`FILE:LINE`, for a location that is only mentioned."""
+        """Return `FILE:LINE`, for a location that is only mentioned."""
         return f"{self.file}:{self.line}"
 
 
 class Severity(StrEnum):
-    """Whether a finding makes the descriptions unusable."""
+    """The effect of a finding on the use of the descriptions."""
 
     CONFLICT = "conflict"  # the descriptions are rejected
-    WARNING = "warning"  # the descriptions are used; the stricter statement holds
+    WARNING = "warning"  # the descriptions are used, with the stricter of two statements
 
 
 @dataclass(frozen=True, slots=True)
 class Finding:
-    """One problem, with the location that it contradicts where there is one."""
+    """One problem, with the location of the contradicting statement if there is one."""
 
     location: SourceLocation
     reason: str
@@ -58,7 +55,7 @@
 
 
 class InvalidDescriptionError(DescriptionError):
-    """Descriptions that cannot be used. `findings` has every reason; nothing of them has been applied."""
+    """Raised for descriptions that cannot be used. `findings` has every reason."""
 
     def __init__(self, findings: list[Finding]) -> None:
         self.findings = findings
@@ -72,7 +69,7 @@
         return cls([Finding(location, reason, related)])
 
     def lines(self) -> list[str]:
-        """One line for each finding: `FILE:LINE: POINTER: reason`."""
+        """Return one line for each finding: `FILE:LINE: POINTER: reason`."""
         return [str(finding) for finding in self.findings]
 
 
--- a/wheatstile/descriptions/language.py
+++ b/wheatstile/descriptions/language.py
@@ -1,11 +1,11 @@
-"""The language of the operator's rules, in which a condition selects operations. Pure.
+"""The language of conditions in the operator's rules. A condition selects operations. Pure.
 
     method == "POST" and path ~ "/orders/**" and not tag in ["internal", "test"]
 
 Fields: method, path, tag, operationId, channel, message, server, action, kind, file. A field with several
-values (tag, message, server) satisfies a comparison if one of its values does; `!=` holds if none is equal.
-In a glob (`~`), `*` stands for any text without a separator (`/`; in channels `.` too), `**` for any text,
-`?` for one character.
+values (tag, message, server) satisfies a comparison if one of its values does; `!=` is true if none is equal.
+In a glob (`~`), `*` matches any text without a separator, `**` any text, `?` one character. The separator is
+`/`, and also `.` in a glob without `/`.
 """
 
 import re
@@ -21,8 +21,8 @@
 
 MAX_CHARACTERS = 2000
 MAX_NESTING_DEPTH = 40  # parentheses and negations within each other
-MAX_QUOTED_CHARACTERS = 20  # of a condition, in a message
-END_OF_INPUT = "$END"  # lark's name for it
+MAX_QUOTED_CHARACTERS = 20  # length of an excerpt in an error
+END_OF_INPUT = "$END"  # lark's token type for the end of the text
 
 Condition: TypeAlias = Callable[[Operation], bool]
 Field: TypeAlias = Callable[[Operation], tuple[str, ...]]
@@ -70,7 +70,7 @@
 
 
 class RuleSyntaxError(DescriptionError):
-    """A condition that cannot be parsed; `column` counts from 1."""
+    """Raised for a condition that cannot be parsed. `column` counts from 1."""
 
     def __init__(self, reason: str, column: int) -> None:
         self.reason = reason
@@ -79,9 +79,9 @@
 
 
 def parse_condition(text: str) -> Condition:
-    """Return the condition in this text, as a function. Raises RuleSyntaxError with the column."""
+    """Return the condition as a function of an operation. Raises RuleSyntaxError with the column."""
     if len(text) > MAX_CHARACTERS:
-        raise RuleSyntaxError(f"{len(text)} characters; {MAX_CHARACTERS} at most", 1)
+        raise RuleSyntaxError(f"the condition has {len(text)} characters; the limit is {MAX_CHARACTERS}", 1)
     _check_nesting(text)
     try:
         return _ConditionBuilder().transform(PARSER.parse(text))
@@ -90,7 +90,7 @@
             raise RuleSyntaxError("ends where more has to come", len(text) + 1) from None
         position = error.pos_in_stream or 0
         excerpt = text[position : position + MAX_QUOTED_CHARACTERS]
-        raise RuleSyntaxError(f"does not understand {excerpt!r} here", position + 1) from None
+        raise RuleSyntaxError(f"unexpected {excerpt!r}", position + 1) from None
     except VisitError as error:
         if isinstance(error.orig_exc, RuleSyntaxError):
             raise error.orig_exc from None
@@ -98,7 +98,7 @@
 
 
 def _check_nesting(text: str) -> None:
-    """Bound the recursion of the parser's result. Raises RuleSyntaxError."""
+    """Limit the recursion in evaluating the condition. Raises RuleSyntaxError."""
     depth = 0
     for mark in NESTING_MARK.finditer(text):
         depth += NESTING_STEP.get(mark.group(), 0)
@@ -107,14 +107,17 @@
 
 
 def compile_glob(pattern: str) -> re.Pattern[str]:
-    """Return a glob as a regular expression."""
+    """Return the regular expression of a glob."""
     wildcards = {"**": ".*", "*": "[^/]*" if "/" in pattern else "[^/.]*", "?": "."}
     parts = [wildcards.get(part) or re.escape(part) for part in GLOB_PART.findall(pattern)]
     return re.compile("".join(parts), re.DOTALL)
 
 
 class _ConditionBuilder(Transformer[Token, Condition]):
-    """Turns the parse tree into a function of an operation, from the leaves up."""
+    """Converts a parse tree to a condition.
+
+    lark calls the method of each grammar rule with the converted children.
+    """
 
     def any_of(self, parts: list[Condition]) -> Condition:
         """Combine conditions by `or`."""
@@ -154,6 +157,7 @@
 
 
 def _field(token: Token) -> Field:
+    """Return the function that reads a field's values. Raises RuleSyntaxError for an unknown field."""
     if token.value not in FIELDS:
         reason = f'unknown field "{token.value}"{nearest(token.value, FIELDS)}'
         raise RuleSyntaxError(reason, token.column or 1)
@@ -161,4 +165,5 @@
 
 
 def _text(token: Token) -> str:
+    """Return the content of a quoted text, unescaped."""
     return ESCAPE.sub(r"\1", token.value[1:-1])
--- a/wheatstile/descriptions/openapi_validation.py
+++ b/wheatstile/descriptions/openapi_validation.py
@@ -1,4 +1,4 @@
-"""Validates OpenAPI documents by openapi-spec-validator. Pure: whoever reads files is passed in."""
+"""Validates OpenAPI documents with openapi-spec-validator. Pure: the caller passes the reader of files."""
 
 from collections.abc import Callable, Iterator, Mapping
 from typing import TypeAlias
@@ -9,15 +9,15 @@
 from wheatstile.descriptions.references import DocumentNode
 
 ReadFile: TypeAlias = Callable[[str], JsonValue]
-"""Gives the document at a URI. Raises ValueError or InvalidDescriptionError."""
+"""Returns the document at a URI. Raises ValueError or InvalidDescriptionError."""
 
-URI_SCHEMES = ("", "file", "http", "https")  # all that the validator would otherwise read on its own
+URI_SCHEMES = ("", "file", "http", "https")  # schemes that the validator would otherwise read itself
 
 
 def validate_openapi(root: DocumentNode, version: str, read_file: ReadFile) -> list[Finding]:
-    """Return what the format's own rules find, the first ones.
+    """Return the violations of the OpenAPI specification, MAX_SCHEMA_FINDINGS at most.
 
-    read_file gives the document at a URI; the validator reads nothing else.
+    The validator reads other documents by read_file only.
     """
     findings: list[Finding] = []
     try:
@@ -25,15 +25,16 @@
             findings.append(schema_finding(error, root.file.locate))
             if len(findings) >= MAX_SCHEMA_FINDINGS:
                 break
-    except Exception as error:  # it goes on in documents that it has found invalid, and may fail there
+    except Exception as error:  # the validator continues in invalid documents, and may raise anything there
         if not findings:
-            reason = f"cannot be checked: {type(error).__name__} {error}"
+            reason = f"the validator failed: {type(error).__name__} {error}"
             findings.append(Finding(root.location, reason))
     return findings
 
 
 def _schema_errors(root: DocumentNode, version: str, read_file: ReadFile) -> Iterator[SchemaError]:
-    import openapi_spec_validator  # slow to import, and AsyncAPI does without
+    """Yield the validator's errors. version: one of openapi.VERSIONS."""
+    import openapi_spec_validator  # imported here because it is slow, and AsyncAPI does not need it
 
     validators = {
         "3.0": openapi_spec_validator.OpenAPIV30SpecValidator,
@@ -42,7 +43,7 @@
     }
 
     class LocalValidator(validators[version]):  # type: ignore[misc, valid-type]
-        """The validator of this version, with our reader."""
+        """The validator of this version, which reads documents by read_file."""
 
         resolver_handlers: Mapping[str, ReadFile] = dict.fromkeys(URI_SCHEMES, read_file)
 
--- a/wheatstile/descriptions/parsed_file.py
+++ b/wheatstile/descriptions/parsed_file.py
@@ -1,4 +1,4 @@
-"""A parsed file with the line of every value, and the limits on what is parsed. Pure."""
+"""A parsed file with the line of every value, and the limits on files. Pure."""
 
 from dataclasses import dataclass
 
@@ -6,20 +6,20 @@
 from wheatstile.descriptions.model import JsonValue
 
 MAX_FILE_BYTES = 16 << 20
-MAX_NESTING_DEPTH = 200  # objects and lists within each other
-MAX_VALUES = 2_000_000  # in one file; an alias counts as all that it stands for, each time it is used
+MAX_NESTING_DEPTH = 200  # objects and lists inside one another
+MAX_VALUES = 2_000_000  # values of one file, with aliases expanded
 
 
 @dataclass(frozen=True, slots=True)
 class ParsedFile:
-    """The value of a file, and the line of each part of it by JSON pointer."""
+    """The value of a file, and the line of each part of it."""
 
     name: str
     value: JsonValue
-    lines: dict[str, int]
+    lines: dict[str, int]  # key: JSON pointer
 
     def locate(self, pointer: str) -> SourceLocation:
-        """Return the location of a pointer; if nothing is there, with the line of its nearest parent."""
+        """Return the location of a JSON pointer; with the line of its nearest parent if it names no value."""
         known = pointer
         while known and known not in self.lines:
             known = known.rpartition("/")[0]
--- a/wheatstile/descriptions/parser.py
+++ b/wheatstile/descriptions/parser.py
@@ -14,35 +14,45 @@
 from wheatstile.descriptions.yaml_parser import parse_yaml
 
 JSON_SUFFIX = ".json"
+NUL = b"\0"
 
 
 def parse(file: str, data: bytes) -> ParsedFile:
-    """Parse these bytes: as JSON if they begin as JSON, else as YAML. Raises InvalidDescriptionError."""
+    """Parse the bytes of a file, as JSON or YAML. Raises InvalidDescriptionError.
+
+    A file that does not end in .json but begins with `{` is parsed as YAML only if it is not valid JSON.
+    """
     text = _decode(file, data)
     if file.endswith(JSON_SUFFIX):
         return parse_json(file, text)
-    if text.lstrip()[:1] == "{":  # JSON in a file of another name: YAML reads its escapes differently
+    if text.lstrip().startswith("{"):  # JSON first: YAML interprets some escapes of JSON differently
         with suppress(InvalidDescriptionError):
             return parse_json(file, text)
     return parse_yaml(file, text)
 
 
 def _decode(file: str, data: bytes) -> str:
+    """Return the text in UTF-8, without a byte order mark. Raises InvalidDescriptionError."""
     if len(data) > MAX_FILE_BYTES:
         raise parse_error(file, 1, f"{len(data)} bytes; {MAX_FILE_BYTES} at most")
-    if b"\0" in data:
-        raise parse_error(file, data.count(b"\n", 0, data.index(b"\0")) + 1, "a NUL byte")
+    if NUL in data:
+        raise parse_error(file, _line_at(data, data.index(NUL)), "a NUL byte")
     try:
         return data.decode("utf-8-sig")
     except UnicodeDecodeError as error:
-        line = data.count(b"\n", 0, error.start) + 1
-        raise parse_error(file, line, f"no UTF-8: {error.reason} at byte {error.start}") from None
+        reason = f"no UTF-8: {error.reason} at byte {error.start}"
+        raise parse_error(file, _line_at(data, error.start), reason) from None
+
+
+def _line_at(data: bytes, offset: int) -> int:
+    """Return the number of the line, from 1, that contains the byte at an offset."""
+    return data.count(b"\n", 0, offset) + 1
 
 
 def parse_json(file: str, text: str) -> ParsedFile:
-    """Parse JSON whose objects have no key twice. Raises InvalidDescriptionError."""
+    """Parse JSON. Raises InvalidDescriptionError, also for a duplicate key in an object."""
     try:
-        # The limit is checked before; decoded and encoded again, a text may be longer.
+        # `_decode` has checked the size; the text may be longer when it is encoded again.
         _, value = violations.load(file, text.encode(), 2 * MAX_FILE_BYTES)
     except violations.ConfigurationError as error:
         findings = [
--- a/wheatstile/descriptions/references.py
+++ b/wheatstile/descriptions/references.py
@@ -1,4 +1,4 @@
-"""Nodes of documents, and references (`$ref`) between them. Pure: whoever reads files is passed in."""
+"""Nodes of documents, and references (`$ref`) between them. Pure: the caller passes the reader of files."""
 
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
@@ -19,14 +19,14 @@
 from wheatstile.descriptions.parsed_file import ParsedFile
 
 REFERENCE_KEY = "$ref"
-LITERAL_MEMBERS = ("example", "default", "enum", "const")  # hold plain data, in which a $ref is no reference
-MAX_REFERENCE_CHAIN = 50  # references that lead to references
+LITERAL_MEMBERS = ("example", "default", "enum", "const")  # plain data, where $ref is not a reference
+MAX_REFERENCE_CHAIN = 50  # references followed from one node to its value
 FILE_SCHEME = "file"
 
 
 @dataclass(slots=True, eq=False)
 class DocumentNode:
-    """A value of a document, with the file that it stands in and its JSON pointer there."""
+    """A value of a document, with its file and its JSON pointer in that file."""
 
     store: "DocumentStore"
     uri: URI
@@ -36,17 +36,17 @@
 
     @property
     def location(self) -> SourceLocation:
-        """Where the node stands."""
+        """The source location of the node."""
         return self.file.locate(self.pointer)
 
     @property
     def name(self) -> str:
-        """The key or index under which the node stands."""
+        """The key or index of the node in its parent, unescaped."""
         return self.pointer.rpartition("/")[2].replace("~1", "/").replace("~0", "~")
 
     @property
     def reference(self) -> str | None:
-        """What the node refers to; None if it is no reference."""
+        """The target of a reference; None if the node is not a reference."""
         target = self.value.get(REFERENCE_KEY) if isinstance(self.value, dict) else None
         return target if isinstance(target, str) else None
 
@@ -56,7 +56,7 @@
         return member.resolved() if member else None
 
     def get_unresolved(self, key: str) -> "DocumentNode | None":
-        """Return the member of this name as it stands, references unresolved; None if there is none."""
+        """Return the member of this name without resolving references; None if there is none."""
         if not isinstance(self.value, dict) or key not in self.value:
             return None
         return self._child(key, self.value[key])
@@ -71,7 +71,7 @@
         return [(key, child.resolved()) for key, child in self.unresolved_items()]
 
     def unresolved_items(self) -> "list[tuple[str, DocumentNode]]":
-        """Return the members of an object or the elements of a list as they stand, references unresolved."""
+        """Return the members of an object or the elements of a list without resolving references."""
         pairs: Iterable[tuple[str | int, JsonValue]] = ()
         if isinstance(self.value, dict):
             pairs = self.value.items()
@@ -83,7 +83,7 @@
         return DocumentNode(self.store, self.uri, self.file, self.pointer + pointer_to(key), value)
 
     def resolved(self) -> "DocumentNode":
-        """Return the node, or the one that its references lead to. Raises InvalidDescriptionError."""
+        """Return the node, or the target of its references. Raises InvalidDescriptionError."""
         node = self
         length = 0
         while (reference := node.reference) is not None:
@@ -98,8 +98,8 @@
 class DocumentStore:
     """The files of one set of descriptions, by URI. Identifiers in schemas (`$id`) are ignored.
 
-    retrieve reads and parses the file at a URI. It raises ValueError for a file that cannot be read, or that
-    may not be.
+    retrieve reads and parses the file at a URI. It raises ValueError for a file that cannot be read or that
+    is outside the folder.
     """
 
     def __init__(self, retrieve: Callable[[URI], ParsedFile]) -> None:
@@ -126,14 +126,7 @@
 
         Raises InvalidDescriptionError at the location of the referring node.
         """
-        uri, fragment = urldefrag(urljoin(node.uri, reference))
-        if urlsplit(uri).scheme != FILE_SCHEME:
-            reason = f'"{reference}" names a network address; references stay within the folder'
-            raise InvalidDescriptionError.at(node.location, reason)
-        pointer = unquote(fragment)
-        if pointer and not pointer.startswith("/"):
-            reason = f'"{reference}" names an anchor; references are JSON pointers here'
-            raise InvalidDescriptionError.at(node.location, reason)
+        uri, pointer = _split_reference(node, reference)
         try:
             file = self.file_at(uri)
             value = self._registry.resolver(base_uri=node.uri).lookup(reference).contents
@@ -146,8 +139,24 @@
         return DocumentNode(self, uri, file, pointer, value)
 
 
+def _split_reference(node: DocumentNode, reference: str) -> tuple[URI, str]:
+    """Return the URI of the file and the JSON pointer that a reference names.
+
+    Raises InvalidDescriptionError for a network address or an anchor.
+    """
+    uri, fragment = urldefrag(urljoin(node.uri, reference))
+    if urlsplit(uri).scheme != FILE_SCHEME:
+        reason = f'"{reference}" names a network address; references stay within the folder'
+        raise InvalidDescriptionError.at(node.location, reason)
+    pointer = unquote(fragment)
+    if pointer and not pointer.startswith("/"):
+        reason = f'"{reference}" names an anchor; only JSON pointers are supported'
+        raise InvalidDescriptionError.at(node.location, reason)
+    return uri, pointer
+
+
 def reference_findings(root: DocumentNode) -> list[Finding]:
-    """Every reference that cannot be resolved, in this document and all that it leads to."""
+    """Return every unresolvable reference of this document and of all documents that it refers to."""
     findings: list[Finding] = []
     visited: set[tuple[URI, str]] = set()
     pending = [root]
--- a/wheatstile/descriptions/route_index.py
+++ b/wheatstile/descriptions/route_index.py
@@ -1,4 +1,4 @@
-"""Puts routes into one matcher for each action, and reports routes that contradict each other. Pure."""
+"""Builds one route matcher for each action, and reports routes that contradict each other. Pure."""
 
 from collections.abc import Iterable
 
@@ -9,7 +9,10 @@
 
 
 def build_matchers(routes: Iterable[Route], findings: FindingCollector) -> dict[str, Matcher[Route]]:
-    """Matchers by action. Routes that overlap with neither more specific are conflicts."""
+    """Return a matcher for each action.
+
+    Reports a conflict for routes that overlap if neither is more specific.
+    """
     matchers: dict[str, Matcher[Route]] = {}
     for route in sorted(routes, key=lambda route: (route.operation.location, route.template)):
         matcher = matchers.setdefault(route.operation.action, Matcher())
@@ -30,7 +33,10 @@
 
 
 def _report_same(route: Route, other: Route, findings: FindingCollector) -> None:
-    """Two routes that match the same: a conflict in one file; in two files, the stricter holds."""
+    """Report two routes that match the same targets.
+
+    They conflict if their classes differ or if they are in one file. Otherwise the stricter one applies.
+    """
     here = route.operation.location
     there = other.operation.location
     name = f"{route.operation.action} {route.template}"
@@ -40,4 +46,4 @@
     elif here.file == there.file:
         findings.conflict(here, f"{name} and {other.template} match the same", there)
     else:
-        findings.warn(here, f"{name} is described twice; the tighter word holds", there)
+        findings.warn(here, f"{name} is described twice; the stricter description applies", there)
--- a/wheatstile/descriptions/route_matcher.py
+++ b/wheatstile/descriptions/route_matcher.py
@@ -1,4 +1,4 @@
-"""A matcher for routes whose cost does not grow with their number. Pure."""
+"""A route matcher. The cost of a match does not grow with the number of routes. Pure."""
 
 import re
 from collections.abc import Iterator, Sequence
@@ -18,7 +18,7 @@
 
 
 class _PartialChild(NamedTuple, Generic[Value]):
-    """A child that is reached by a partial token."""
+    """A child node for a partial token."""
 
     token: Token
     pattern: re.Pattern[str]
@@ -27,16 +27,16 @@
 
 @dataclass(slots=True)
 class _Node(Generic[Value]):
-    """A node of the tree: what follows one list of tokens."""
+    """A node of the tree. Its children continue the list of tokens that leads to it."""
 
     literals: "dict[str, _Node[Value]]" = field(default_factory=dict)
     partials: list[_PartialChild[Value]] = field(default_factory=list)
     parameter: "_Node[Value] | None" = None
-    rest: list[RouteEntry[Value]] = field(default_factory=list)  # routes with a rest token from here
+    rest: list[RouteEntry[Value]] = field(default_factory=list)  # routes whose next token is the rest
     ends: list[RouteEntry[Value]] = field(default_factory=list)  # routes that end here
 
     def child(self, token: Token) -> "_Node[Value]":
-        """Return the child by this token, made where there is none."""
+        """Return the child for this token. Creates it if there is none."""
         if token.kind is TokenKind.LITERAL:
             return self.literals.setdefault(token.text, _Node())
         if token.kind is TokenKind.PARAMETER:
@@ -50,7 +50,7 @@
         return child.node
 
     def children(self) -> "Iterator[_Node[Value]]":
-        """All children."""
+        """Yield all children."""
         yield from self.literals.values()
         for child in self.partials:
             yield child.node
@@ -58,7 +58,7 @@
             yield self.parameter
 
     def overlapping_children(self, token: Token) -> "Iterator[_Node[Value]]":
-        """Return the children by tokens that may match a text that this token matches too."""
+        """Yield the children whose token may match a text that this token matches too."""
         if token.kind is TokenKind.LITERAL:
             if (literal := self.literals.get(token.text)) is not None:
                 yield literal
@@ -73,8 +73,13 @@
             yield self.parameter
 
 
+def _specificity(entry: RouteEntry[Value], others: Sequence[RouteEntry[Value]]) -> int:
+    """Return the number of the other routes than which this route is narrower."""
+    return sum(relation(entry.tokens, other.tokens) is Relation.NARROWER for other in others)
+
+
 class Matcher(Generic[Value]):
-    """Routes by their tokens, in a tree: a match descends by the tokens of what is matched."""
+    """Routes in a tree by their tokens. A match descends by the tokens of the target."""
 
     def __init__(self) -> None:
         self._root: _Node[Value] = _Node()
@@ -95,23 +100,18 @@
         node.ends.append(RouteEntry(tokens, value))
 
     def matches(self, target: Sequence[str]) -> list[RouteEntry[Value]]:
-        """All routes that match these tokens; a more specific one before a less specific one."""
+        """Return all routes that match these tokens, more specific ones before less specific ones."""
         matched: list[RouteEntry[Value]] = []
         if len(target) <= MAX_TOKENS:
             self._collect(self._root, target, 0, matched)
         if len(matched) > 1:
-            matched.sort(
-                key=lambda entry: sum(
-                    relation(entry.tokens, other.tokens) is Relation.NARROWER for other in matched
-                ),
-                reverse=True,
-            )
+            matched.sort(key=lambda entry: _specificity(entry, matched), reverse=True)
         return matched
 
     def _collect(
         self, node: _Node[Value], target: Sequence[str], index: int, matched: list[RouteEntry[Value]]
     ) -> None:
-        """Add the routes below the node that match the target from the index on."""
+        """Append the routes below the node that match the target from the index on."""
         if index == len(target):
             matched.extend(node.ends)
             return
@@ -126,7 +126,7 @@
         matched.extend(node.rest)
 
     def overlapping(self, tokens: Sequence[Token]) -> Iterator[RouteEntry[Value]]:
-        """Return the routes that may match something that this route matches too."""
+        """Yield the routes that may match a target that this route matches too."""
         yield from self._overlapping(self._root, tokens, 0)
 
     def _overlapping(
@@ -144,7 +144,7 @@
             yield from self._overlapping(child, tokens, index + 1)
 
     def _below(self, node: _Node[Value]) -> Iterator[RouteEntry[Value]]:
-        """All routes with one token or more below the node."""
+        """Yield the routes that have one or more tokens below the node."""
         yield from node.rest
         for child in node.children():
             yield from child.ends
--- a/wheatstile/descriptions/routes.py
+++ b/wheatstile/descriptions/routes.py
@@ -1,9 +1,9 @@
-"""Routes as lists of tokens, and how what two routes match is related. Pure.
+"""Routes as lists of tokens, and the relation between what two routes match. Pure.
 
-A token is a path segment between `/` or a subject token between `.`: a literal, a partial parameter
-(`{name}.json`), a parameter (one token of any text: `{id}`, `*`) or the rest (`>`: one token or more, at the
-end).
-Of two routes that match the same, the more specific one applies: the one that matches less.
+A token is one path segment (separated by `/`) or one subject token (separated by `.`). It is a literal, a
+partial parameter (`{name}.json`), a parameter (one token of any text: `{id}`, `*`) or the rest (`>`: one or
+more tokens at the end). If two routes match the same target, the more specific one applies: the one that
+matches fewer targets.
 """
 
 import re
@@ -13,10 +13,10 @@
 
 from wheatstile.descriptions.findings import DescriptionError
 
-MAX_TOKENS = 64  # of one route, and of what is matched
+MAX_TOKENS = 64  # tokens of a route or of a target
 BRACES = "{}"
 PARAMETER = re.compile(r"\{[^{}]+\}")
-PLACEHOLDER = re.compile(r"\{[^{}]*\}")  # of a parameter in the text of a partial token
+PLACEHOLDER = re.compile(r"\{[^{}]*\}")  # a parameter in the text of a partial token
 
 
 class RouteSyntaxError(DescriptionError):
@@ -24,12 +24,12 @@
 
 
 class TokenKind(StrEnum):
-    """What a token matches."""
+    """The kind of text that a token matches."""
 
     LITERAL = "literal"
-    PARTIAL = "partial"  # a parameter with literal text round it
+    PARTIAL = "partial"  # parameters with literal text around them
     PARAMETER = "parameter"
-    REST = "rest"
+    REST = "rest"  # one or more tokens, at the end of a route
 
 
 @dataclass(frozen=True, slots=True)
@@ -37,10 +37,10 @@
     """One token of a route."""
 
     kind: TokenKind
-    text: str = ""  # of a literal; of a partial token, with `{}` for each parameter
+    text: str = ""  # only for literal and partial tokens; `{}` marks each parameter of a partial token
 
     def pattern(self) -> re.Pattern[str]:
-        """Return what a partial token matches: each parameter stands for one character or more."""
+        """Return the regular expression of a partial token. A parameter matches one or more characters."""
         return re.compile(".+".join(re.escape(part) for part in PLACEHOLDER.split(self.text)))
 
     def prefix(self) -> str:
@@ -57,7 +57,7 @@
     path = template.strip("/")
     tokens = tuple(_segment_token(segment, template) for segment in path.split("/")) if path else ()
     if len(tokens) > MAX_TOKENS:
-        raise RouteSyntaxError(f"{len(tokens)} segments; {MAX_TOKENS} at most")
+        raise RouteSyntaxError(f'"{template}" has {len(tokens)} segments; the limit is {MAX_TOKENS}')
     return tokens
 
 
@@ -68,9 +68,9 @@
         return Token(TokenKind.LITERAL, segment)
     literal_text = PARAMETER.sub("", segment)
     if literal_text.strip(BRACES) != literal_text:
-        raise RouteSyntaxError(f'"{template}" has a brace without its other')
+        raise RouteSyntaxError(f'"{template}" has an unmatched brace')
     if "}{" in segment:
-        raise RouteSyntaxError(f'"{template}" has two parameters with nothing between them')
+        raise RouteSyntaxError(f'"{template}" has two adjacent parameters in one segment')
     return Token(TokenKind.PARTIAL, PARAMETER.sub(BRACES, segment))
 
 
@@ -80,7 +80,7 @@
     tokens = [_subject_token(text, pattern) for text in head]
     tokens.append(Token(TokenKind.REST) if last == ">" else _subject_token(last, pattern))
     if len(tokens) > MAX_TOKENS:
-        raise RouteSyntaxError(f"{len(tokens)} tokens; {MAX_TOKENS} at most")
+        raise RouteSyntaxError(f'"{pattern}" has {len(tokens)} tokens; the limit is {MAX_TOKENS}')
     return tuple(tokens)
 
 
@@ -89,19 +89,25 @@
         return Token(TokenKind.PARAMETER)
     if not text or ">" in text or "*" in text:
         raise RouteSyntaxError(
-            f'"{pattern}" is no subject: "*" and ">" are whole tokens, ">" the last, none is empty'
+            f'"{pattern}" is not a valid subject: no token may be empty, '
+            '"*" and ">" must be whole tokens, and ">" must be the last token'
         )
     return Token(TokenKind.LITERAL, text)
 
 
 def split_path(path: str) -> list[str]:
-    """Return the segments of a concrete path; its query is left out."""
+    """Return the segments of a concrete path, without its query."""
     plain = path.partition("?")[0].strip("/")
     return plain.split("/") if plain else []
 
 
+def split_subject(subject: str) -> list[str]:
+    """Return the tokens of a concrete subject."""
+    return subject.split(".")
+
+
 def token_within(small: Token, large: Token) -> bool:
-    """Whether every text that the small token matches is matched by the large one."""
+    """Return whether the large token matches every text that the small token matches."""
     if large.kind is TokenKind.PARAMETER:
         return small.kind is not TokenKind.REST
     if small.kind is TokenKind.LITERAL and large.kind is TokenKind.PARTIAL:
@@ -110,7 +116,10 @@
 
 
 def tokens_overlap(first: Token, second: Token) -> bool:
-    """Whether some text may match both. Two partial tokens overlap unless their ends rule it out."""
+    """Return whether some text may match both tokens.
+
+    Two partial tokens are taken to overlap unless their prefixes or suffixes exclude it.
+    """
     kinds = (first.kind, second.kind)
     if TokenKind.PARAMETER in kinds:
         return True
@@ -133,12 +142,12 @@
 
 
 class Relation(StrEnum):
-    """How what one route matches is related to what another matches."""
+    """The relation of the set of targets that one route matches to the set of another route."""
 
     SAME = "same"
-    NARROWER = "narrower"  # all that the first matches, the second matches too
-    WIDER = "wider"
-    CROSSING = "crossing"  # they overlap, and neither contains the other
+    NARROWER = "narrower"  # the second route matches every target of the first
+    WIDER = "wider"  # the first route matches every target of the second
+    CROSSING = "crossing"  # the sets overlap, and neither contains the other
     DISJOINT = "disjoint"
 
 
--- a/wheatstile/descriptions/schema_size.py
+++ b/wheatstile/descriptions/schema_size.py
@@ -1,4 +1,4 @@
-"""What a message's JSON Schema says of the message: its discriminator and a bound on its size. Pure."""
+"""Reads the discriminator of a message and a bound on its size from its JSON Schema. Pure."""
 
 from collections.abc import Callable, Mapping
 from typing import TypeAlias
@@ -6,19 +6,19 @@
 from wheatstile.descriptions.model import JsonValue
 from wheatstile.descriptions.references import DocumentNode
 
-MAX_BYTES_PER_CHARACTER = 6  # as an escape: \\u0000
-QUOTES = 2
-BRACKETS = 2
-COMMA = 1
+MAX_BYTES_PER_CHARACTER = 6  # an escape such as \u0000
+QUOTES_BYTES = 2
+BRACKETS_BYTES = 2
+COMMA_BYTES = 1
 LITERAL_BYTES = 5  # `false`, the longest of true, false and null
-KEY_PUNCTUATION = 4  # quotes, colon and comma
+KEY_PUNCTUATION_BYTES = 4  # quotes, colon and comma
 
-_Sizes: TypeAlias = dict[tuple[str, str], int | None]  # by URI and pointer of a schema
+_Sizes: TypeAlias = dict[tuple[str, str], int | None]  # key: URI and JSON pointer of a schema
 _SchemaObject: TypeAlias = dict[str, JsonValue]
 
 
 def discriminator_of(schema: DocumentNode | None) -> str:
-    """Return the property that tells the schema's alternatives apart; empty if it names none."""
+    """Return the name of the property that selects an alternative of the schema; empty if there is none."""
     if schema is None or not isinstance(schema.value, dict):
         return ""
     discriminator = schema.value.get("discriminator", "")
@@ -28,14 +28,14 @@
 
 
 def max_json_bytes(schema: DocumentNode | None) -> int | None:
-    """Return the size of the longest compact JSON that the schema allows; None: it sets no bound."""
+    """Return the size of the longest compact JSON that the schema allows; None if it sets no bound."""
     return None if schema is None else _bound(schema, {})
 
 
 def _bound(schema: DocumentNode, known: _Sizes) -> int | None:
-    """Return the bound of a schema; one that contains itself has none.
+    """Return the bound of a schema, computed once for all references to it.
 
-    It is computed once for all references to the schema.
+    A schema that contains itself has no bound: it is recorded as unbounded before its members are visited.
     """
     key = (schema.uri, schema.pointer)
     if key not in known:
@@ -58,7 +58,7 @@
 
 
 def _text_bytes(characters: int) -> int:
-    return MAX_BYTES_PER_CHARACTER * characters + QUOTES
+    return MAX_BYTES_PER_CHARACTER * characters + QUOTES_BYTES
 
 
 def _literal_bound(_schema: DocumentNode, _value: _SchemaObject, _known: _Sizes) -> int | None:
@@ -84,19 +84,19 @@
     if not isinstance(max_items, int) or not items:
         return None
     item_bytes = _bound(items, known)
-    return None if item_bytes is None else BRACKETS + max_items * (item_bytes + COMMA)
+    return None if item_bytes is None else BRACKETS_BYTES + max_items * (item_bytes + COMMA_BYTES)
 
 
 def _object_bound(schema: DocumentNode, value: _SchemaObject, known: _Sizes) -> int | None:
     if value.get("additionalProperties") is not False or "patternProperties" in value:
         return None
     properties = schema.get("properties")
-    total = BRACKETS
+    total = BRACKETS_BYTES
     for name, member in properties.items() if properties else []:
         member_bytes = _bound(member, known)
         if member_bytes is None:
             return None
-        total += MAX_BYTES_PER_CHARACTER * len(name) + KEY_PUNCTUATION + member_bytes
+        total += MAX_BYTES_PER_CHARACTER * len(name) + KEY_PUNCTUATION_BYTES + member_bytes
     return total
 
 
@@ -108,4 +108,4 @@
     "array": _array_bound,
     "object": _object_bound,
 }
-"""How the size of a value is bounded, by the `type` of its schema."""
+"""The function that bounds the size of a value, by the `type` of its schema."""
--- a/wheatstile/descriptions/yaml_parser.py
+++ b/wheatstile/descriptions/yaml_parser.py
@@ -1,11 +1,12 @@
-"""Parses YAML with the line of every value. Pure; bounded in time and memory.
+"""Parses YAML and records the line of every value. Pure; bounded in time and memory.
 
-The events of libyaml are built into values without recursion, by the core schema of YAML 1.2. Keys are
-strings, no key stands twice, tags of other languages are rejected. An alias counts as all that it stands for
-each time it is used, so that a few lines cannot stand for gigabytes.
+Values are built from libyaml's events without recursion, by the core schema of YAML 1.2. Keys have to be
+strings and unique, and tags other than the core schema's are rejected. Each use of an alias counts as many
+values as its anchor has, so that a small file cannot expand to gigabytes.
 """
 
 from dataclasses import dataclass
+from typing import NamedTuple
 
 import yaml
 
@@ -15,7 +16,7 @@
 from wheatstile.descriptions.parsed_file import MAX_NESTING_DEPTH, MAX_VALUES, ParsedFile, parse_error
 from wheatstile.descriptions.yaml_scalars import plain_scalar
 
-LOADER = getattr(yaml, "CSafeLoader", yaml.SafeLoader)  # libyaml's where it is built in
+LOADER = getattr(yaml, "CSafeLoader", yaml.SafeLoader)  # CSafeLoader exists only if PyYAML has libyaml
 MERGE_KEY = "<<"
 NON_SPECIFIC_TAG = "!"
 CORE_TYPES = ("str", "map", "seq", "int", "float", "bool", "null")
@@ -39,13 +40,20 @@
 
 @dataclass(slots=True)
 class _OpenContainer:
-    """A mapping or sequence whose end has not come yet."""
+    """A mapping or sequence whose end event is still to come."""
 
     value: dict[str, JsonValue] | list[JsonValue]
     pointer: str
     anchor: str | None
-    key: str | None = None  # of a mapping: the key whose value comes next
-    size: int = 1  # values in it, aliases counted as all that they stand for
+    key: str | None = None  # in a mapping: the key whose value comes next
+    size: int = 1  # number of values, with aliases expanded
+
+
+class _AnchoredValue(NamedTuple):
+    """A value that aliases refer to."""
+
+    value: JsonValue
+    size: int  # number of values, with aliases expanded
 
 
 class _DocumentBuilder:
@@ -55,13 +63,13 @@
         self.lines: dict[str, int] = {}
         self.root: JsonValue = None
         self._file = file
-        self._documents = 0
+        self._document_count = 0
         self._stack: list[_OpenContainer] = []
-        self._anchors: dict[str, tuple[JsonValue, int]] = {}  # value and size
-        self._values = 0
+        self._anchors: dict[str, _AnchoredValue] = {}
+        self._value_count = 0  # with aliases expanded
 
     def add_event(self, event: yaml.Event) -> None:
-        """Take in the next event. Raises InvalidDescriptionError."""
+        """Add the next event to the document. Raises InvalidDescriptionError."""
         line = event.start_mark.line + 1 if event.start_mark else 1
         match event:
             case yaml.ScalarEvent():
@@ -75,8 +83,8 @@
             case yaml.AliasEvent():
                 self._add_alias(event, line)
             case yaml.DocumentStartEvent():
-                self._documents += 1
-                if self._documents > 1:
+                self._document_count += 1
+                if self._document_count > 1:
                     raise self._error(line, "more than one document in the file")
 
     def _error(self, line: int, reason: str, pointer: str = "") -> InvalidDescriptionError:
@@ -91,7 +99,7 @@
         self._check_tag(event, line, pointer)
         value = plain_scalar(event.value) if event.implicit[0] else event.value
         if event.anchor:
-            self._anchors[event.anchor] = (value, 1)
+            self._anchors[event.anchor] = _AnchoredValue(value, 1)
         self._add_value(value, line)
 
     def _add_key(
@@ -114,9 +122,9 @@
             raise self._error(line, f"the tag {event.tag}", pointer)
 
     def _add_value(self, value: JsonValue, line: int, size: int = 1) -> None:
-        """Put a complete value into the innermost open container."""
-        self._values += size
-        if self._values > MAX_VALUES:
+        """Add a complete value to the innermost open container."""
+        self._value_count += size
+        if self._value_count > MAX_VALUES:
             raise self._error(line, f"more than {MAX_VALUES} values, aliases counted each time they are used")
         if not self._stack:
             self.root = value
@@ -135,7 +143,7 @@
         return self._error(line, "a key that is no text", mapping.pointer)
 
     def _next_pointer(self, line: int) -> str:
-        """Return the pointer of the value that begins now."""
+        """Return the JSON pointer of the next value, and record its line."""
         if not self._stack:
             self.lines[""] = line
             return ""
@@ -160,13 +168,14 @@
     def _close(self, line: int) -> None:
         container = self._stack.pop()
         if container.anchor:
-            self._anchors[container.anchor] = (container.value, container.size)
-        self._values -= container.size - 1  # its members were counted when they were added
+            self._anchors[container.anchor] = _AnchoredValue(container.value, container.size)
+        member_count = container.size - 1
+        self._value_count -= member_count  # already counted when the members were added
         self._add_value(container.value, line, container.size)
 
     def _add_alias(self, event: yaml.AliasEvent, line: int) -> None:
         pointer = self._next_pointer(line)
         if event.anchor not in self._anchors:
             raise self._error(line, f"the alias *{event.anchor} stands for nothing, or for itself", pointer)
-        value, size = self._anchors[event.anchor]
-        self._add_value(value, line, size)
+        anchored = self._anchors[event.anchor]
+        self._add_value(anchored.value, line, anchored.size)
--- a/wheatstile/descriptions/yaml_scalars.py
+++ b/wheatstile/descriptions/yaml_scalars.py
@@ -11,7 +11,7 @@
 
 
 def plain_scalar(text: str) -> bool | int | float | str | None:
-    """Return the value of an unquoted scalar; `yes` and `no` are strings, as in JSON."""
+    """Return the value of an unquoted scalar. `yes` and `no` are strings, unlike in YAML 1.1."""
     if text in NULLS:
         return None
     if text in BOOLEANS:
