--- a/tests/cli/test_descriptions_command.py
+++ b/tests/cli/test_descriptions_command.py
@@ -1,4 +1,4 @@
-"""`wheatstile descriptions` as a process: checked, listed, matched, compared and drawn."""
+"""The commands `wheatstile descriptions`, each run as a process."""
 
 from __future__ import annotations
 
@@ -24,26 +24,29 @@
 
 @pytest.fixture(autouse=True)
 def descriptions(folder: Path) -> None:
-    """`new.yaml`; `old.yaml` with an unsafe operation and another path; `typo.yaml` with an unknown class."""
+    """Write three descriptions.
+
+    `old.yaml` has an unsafe operation and another path than `new.yaml`; `typo.yaml` has an unknown class.
+    """
     old = SHOP.replace("tags: [t]", "x-wheatstile-repeat: unsafe").replace("/mine:", "/x:")
     (folder / "old.yaml").write_text(old)
     (folder / "new.yaml").write_text(SHOP)
     (folder / "typo.yaml").write_text(SHOP.replace("class: chat, tags", "class: caht, tags"))
 
 
-def test_check_reports_how_far_each_class_may_be_repeated() -> None:
+def test_check_reports_the_idempotency_of_each_class() -> None:
     result = run_command("descriptions", "check", "new.yaml", *CONFIG)
     assert result.status == 0
     assert "class chat: safe" in result.output
 
 
-def test_check_rejects_a_class_that_the_platform_lacks() -> None:
+def test_check_rejects_a_class_that_the_platform_does_not_have() -> None:
     result = run_command("descriptions", "check", "typo.yaml", *CONFIG)
     assert result.status == 1
     assert 'typo.yaml:6: /paths/~1orders~1{id}/get/x-wheatstile-class: the class "caht"' in result.errors
 
 
-def test_match_reports_the_route_that_is_taken_and_those_it_beats() -> None:
+def test_match_reports_the_route_that_applies_and_less_specific_ones() -> None:
     result = run_command("descriptions", "match", "new.yaml", "GET", "/orders/mine")
     assert [line.split()[:3] for line in result.output.splitlines()[1:]] == [
         ["takes", "GET", "/orders/mine"],
@@ -62,13 +65,13 @@
 
 @pytest.fixture
 def override(folder: Path) -> tuple[str, ...]:
-    """Options with an operator's file that makes the class unsafe."""
+    """Write an operator's file that overrides the class as unsafe. Return the options that name it."""
     section = {"classes": {"chat": {"repeat": "unsafe"}}}
     (folder / "op.json").write_text(json.dumps({"descriptions": section}))
     return ("--file", "op.json", *CONFIG)
 
 
-def test_diff_that_loosens_has_a_status_of_its_own(override: tuple[str, ...]) -> None:
+def test_diff_that_loosens_has_exit_status_3(override: tuple[str, ...]) -> None:
     result = run_command("descriptions", "diff", "old.yaml", "new.yaml", *override)
     assert result.status == 3
     assert "loosens  GET /orders/{id}: becomes repeatable, unsafe -> safe" in result.output
--- a/tests/descriptions/test_compile.py
+++ b/tests/descriptions/test_compile.py
@@ -1,7 +1,8 @@
-"""Compilation of several descriptions: independent of their order, and never loosened by one more."""
+"""Compilation of several descriptions: the order of the files, and the effect of one more file."""
 
 import random
 from dataclasses import replace
+from typing import NamedTuple
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -10,47 +11,64 @@
 from wheatstile.descriptions.compile_types import ClassPolicies, ClassPolicy, CompileOptions
 from wheatstile.descriptions.findings import InvalidDescriptionError, SourceLocation
 from wheatstile.descriptions.model import (
-    IDEMPOTENCY_STRICTNESS,
     Description,
+    HttpMethod,
     Operation,
     OperationKind,
     RetrySafety,
+    is_stricter,
 )
 from wheatstile.interface import DeduplicationScope, Idempotency
 
-Row = tuple[str, Idempotency, str]  # name, idempotency, class
-Outcome = dict[str, tuple[Idempotency, int]] | list[str]  # classes with their windows, or reasons
+
+class Declared(NamedTuple):
+    """One operation of a generated description."""
+
+    name: str
+    idempotency: Idempotency
+    service_class: str  # empty: none
+
+
+class Retry(NamedTuple):
+    """The retry policy of a class."""
+
+    idempotency: Idempotency
+    window_us: int
+
+
+Outcome = dict[str, Retry] | list[str]  # policies by class, or the reasons for the rejection
 
 WINDOW_US = 5_000_000
 OPTIONS = CompileOptions(max_attempts=5)
 CLASSES = {name: ClassPolicy(name, client_deadline_us=2_000_000) for name in ("web", "slow")}
-ROWS = st.lists(
-    st.tuples(
+OPERATIONS = st.lists(
+    st.builds(
+        Declared,
         st.sampled_from("abcd"),
-        st.sampled_from([Idempotency.IDEMPOTENT, Idempotency.IDEMPOTENCY_KEY, Idempotency.NON_IDEMPOTENT]),
+        st.sampled_from(Idempotency),
         st.sampled_from(["web", "slow", ""]),
     ),
     max_size=4,
 )
 
 
-def description_of(file: str, rows: list[Row]) -> Description:
-    """A description with one GET operation for each row."""
+def description_of(file: str, declared_operations: list[Declared]) -> Description:
+    """Return a description of these GET operations."""
     operations = []
-    for line, (name, idempotency, service_class) in enumerate(rows, 1):
-        location = SourceLocation(file, line, f"/{name}")
-        window_us = WINDOW_US if idempotency is Idempotency.IDEMPOTENCY_KEY else 0
+    for line, declared in enumerate(declared_operations, 1):
+        location = SourceLocation(file, line, f"/{declared.name}")
+        window_us = WINDOW_US if declared.idempotency is Idempotency.IDEMPOTENCY_KEY else 0
         operations.append(
             Operation(
                 kind=OperationKind.HTTP,
-                action="GET",
-                route=f"/{file}/{name}",
+                action=HttpMethod.GET,
+                route=f"/{file}/{declared.name}",
                 id="",
                 location=location,
                 retry_safety=RetrySafety(
-                    idempotency, "declared", location, DeduplicationScope.ALL, window_us
+                    declared.idempotency, "declared", location, DeduplicationScope.ALL, window_us
                 ),
-                service_class=service_class,
+                service_class=declared.service_class,
                 class_location=location,
             )
         )
@@ -58,35 +76,43 @@
 
 
 def outcome(descriptions: list[Description], classes: ClassPolicies = CLASSES) -> Outcome:
-    """What the descriptions compile to, or the reasons for which they are rejected."""
+    """Return the policies that the descriptions compile to, or the reasons for their rejection."""
     try:
         compiled = compile_descriptions(descriptions, [], classes, OPTIONS)
     except InvalidDescriptionError as error:
         return error.lines()
     return {
-        name: (policy.idempotency, policy.deduplication_window_us)
+        name: Retry(policy.idempotency, policy.deduplication_window_us)
         for name, policy in compiled.classes.items()
     }
 
 
-@given(st.lists(ROWS, max_size=4), st.randoms(use_true_random=False))
-def test_order_of_files_does_not_matter_and_one_more_never_loosens(
-    files: list[list[Row]], generator: random.Random
-) -> None:
-    descriptions = [description_of(f"f{number}", rows) for number, rows in enumerate(files)]
+def descriptions_of(files: list[list[Declared]]) -> list[Description]:
+    """Return one description for each file."""
+    return [description_of(f"f{number}", operations) for number, operations in enumerate(files)]
+
+
+@given(st.lists(OPERATIONS, max_size=4), st.randoms(use_true_random=False))
+def test_order_of_files_does_not_matter(files: list[list[Declared]], generator: random.Random) -> None:
+    descriptions = descriptions_of(files)
     shuffled = list(descriptions)
     generator.shuffle(shuffled)
+    assert outcome(shuffled) == outcome(descriptions)
+
+
+@given(st.lists(OPERATIONS, min_size=1, max_size=4))
+def test_additional_file_never_loosens_a_class(files: list[list[Declared]]) -> None:
+    descriptions = descriptions_of(files)
     complete = outcome(descriptions)
-    assert outcome(shuffled) == complete
-    if descriptions and isinstance(complete, dict):
+    if isinstance(complete, dict):
         fewer = outcome(descriptions[:-1])
-        assert isinstance(fewer, dict)  # what is valid with one more is valid without it
-        for name, (idempotency, _) in fewer.items():
-            assert IDEMPOTENCY_STRICTNESS[complete[name][0]] >= IDEMPOTENCY_STRICTNESS[idempotency]
+        assert isinstance(fewer, dict)  # descriptions that are valid with another file are valid without it
+        for name, retry in fewer.items():
+            assert not is_stricter(retry.idempotency, complete[name].idempotency)
 
 
-def test_unknown_scope_of_the_platform_stays() -> None:
+def test_unknown_scope_of_the_platform_is_kept() -> None:
     policy = replace(CLASSES["web"], deduplication_scope=DeduplicationScope.UNKNOWN)
-    descriptions = [description_of("f", [("a", Idempotency.IDEMPOTENCY_KEY, "web")])]
+    descriptions = [description_of("f", [Declared("a", Idempotency.IDEMPOTENCY_KEY, "web")])]
     compiled = compile_descriptions(descriptions, [], {"web": policy}, OPTIONS)
     assert compiled.classes["web"].deduplication_scope is DeduplicationScope.UNKNOWN
--- a/tests/descriptions/test_corpus.py
+++ b/tests/descriptions/test_corpus.py
@@ -63,7 +63,7 @@
         (folder / name).parent.mkdir(exist_ok=True)
         (folder / name).write_text(text)
         paths += [name] if "/" not in name else []
-    return compile_paths(paths, operator_of(case, folder), CLASSES)[0]
+    return compile_paths(paths, operator_of(case, folder), CLASSES).descriptions
 
 
 def summary(route: Route) -> str:
--- /dev/null
+++ b/tests/descriptions/test_keywords.py
@@ -0,0 +1,134 @@
+"""Keywords of idempotency and deduplication scope, and their independence of the enumerations' values."""
+
+import os
+import subprocess
+import sys
+from pathlib import Path
+from typing import get_args
+
+import pytest
+
+from wheatstile.config.operator import Repeat
+from wheatstile.descriptions.keywords import (
+    DECLARABLE_SCOPE_KEYWORDS,
+    IDEMPOTENCY_KEYWORDS,
+    SCOPE_KEYWORDS,
+    UnknownKeywordError,
+)
+from wheatstile.interface import DeduplicationScope, Idempotency
+
+ROOT = Path(__file__).parents[2]
+TIMEOUT_S = 60.0
+DESCRIPTION = """openapi: 3.1.0
+info: {title: t, version: '1'}
+paths:
+  /read: {get: {x-wheatstile-class: reads, responses: {default: {description: d}}}}
+  /write: {post: {x-wheatstile-class: writes, responses: {default: {description: d}}}}
+  /order:
+    post: {x-wheatstile-class: orders, x-wheatstile-repeat: keyed, x-wheatstile-window-s: 60,
+      x-wheatstile-scope: zone, responses: {default: {description: d}}}
+"""
+RENAME_VALUES = """
+import sys, types
+from pathlib import Path
+name = "wheatstile.interface.enumerations"
+source = Path("{root}/wheatstile/interface/enumerations.py").read_text()
+for word in ("safe", "keyed", "unsafe", "all", "zone", "cell", "unknown"):
+    assert source.count(f' = "{{word}}"') == 1, word
+    source = source.replace(f' = "{{word}}"', f' = "renamed-{{word}}"')
+module = types.ModuleType(name)
+sys.modules[name] = module
+exec(compile(source, name, "exec"), module.__dict__)
+"""
+CHECK_VALUES_ARE_RENAMED = """
+from wheatstile.interface import Idempotency
+assert Idempotency.IDEMPOTENT.value == "renamed-safe"
+"""
+RUN_COMMANDS = """
+from wheatstile.cli.descriptions import command
+for arguments in ("check a.yaml", "routes a.yaml", "routes a.yaml --json", "diff a.yaml b.yaml"):
+    print(command(arguments.split(), standalone_mode=False))
+"""
+RUN_WORKER_MESSAGES = """
+from wheatstile.descriptions import worker_protocol as protocol
+from wheatstile.interface import DeduplicationScope, Idempotency
+learned = protocol.LearnedClass(Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.UNKNOWN, 60)
+summary = protocol.CompilationSummary(classes={"web": learned}, route_count=1, files=[], warnings=[])
+encoded = protocol.encode_result(summary)
+assert protocol.decode_result(encoded) == summary
+print(encoded.decode())
+"""
+
+
+def run(folder: Path, program: str) -> str:
+    """Run a program in a Python process of its own and return what it prints."""
+    result = subprocess.run(
+        [sys.executable, "-c", program],
+        cwd=folder,
+        env=os.environ | {"PYTHONPATH": str(ROOT)},
+        capture_output=True,
+        text=True,
+        timeout=TIMEOUT_S,
+        check=False,
+    )
+    assert result.returncode == 0, result.stderr
+    return result.stdout
+
+
+@pytest.fixture
+def folder(tmp_path: Path) -> Path:
+    """A folder with a description, and a second one with a looser and a stricter operation."""
+    (tmp_path / "a.yaml").write_text(DESCRIPTION)
+    changed = DESCRIPTION.replace("scope: zone", "scope: cell").replace("get:", "patch:")
+    (tmp_path / "b.yaml").write_text(changed)
+    return tmp_path
+
+
+def test_idempotency_has_the_keywords_of_files() -> None:
+    assert IDEMPOTENCY_KEYWORDS.keywords == ("safe", "keyed", "unsafe")
+    assert IDEMPOTENCY_KEYWORDS.keyword(Idempotency.IDEMPOTENT) == "safe"
+    assert IDEMPOTENCY_KEYWORDS.keyword(Idempotency.IDEMPOTENCY_KEY) == "keyed"
+    assert IDEMPOTENCY_KEYWORDS.keyword(Idempotency.NON_IDEMPOTENT) == "unsafe"
+
+
+def test_operator_file_allows_exactly_the_keywords() -> None:
+    assert get_args(Repeat) == IDEMPOTENCY_KEYWORDS.keywords
+
+
+def test_scope_has_the_keywords_of_files() -> None:
+    assert SCOPE_KEYWORDS.keywords == ("all", "zone", "cell", "unknown")
+    assert SCOPE_KEYWORDS.keyword(DeduplicationScope.ALL) == "all"
+    assert SCOPE_KEYWORDS.keyword(DeduplicationScope.ZONE) == "zone"
+    assert SCOPE_KEYWORDS.keyword(DeduplicationScope.CELL) == "cell"
+    assert SCOPE_KEYWORDS.keyword(DeduplicationScope.UNKNOWN) == "unknown"
+
+
+def test_description_cannot_declare_an_unknown_scope() -> None:
+    assert DECLARABLE_SCOPE_KEYWORDS.keywords == ("all", "zone", "cell")
+    with pytest.raises(UnknownKeywordError):
+        DECLARABLE_SCOPE_KEYWORDS.member("unknown")
+
+
+@pytest.mark.parametrize("idempotency", Idempotency)
+def test_keyword_names_its_idempotency(idempotency: Idempotency) -> None:
+    assert IDEMPOTENCY_KEYWORDS.member(IDEMPOTENCY_KEYWORDS.keyword(idempotency)) is idempotency
+
+
+@pytest.mark.parametrize("scope", DeduplicationScope)
+def test_keyword_names_its_scope(scope: DeduplicationScope) -> None:
+    assert SCOPE_KEYWORDS.member(SCOPE_KEYWORDS.keyword(scope)) is scope
+
+
+@pytest.mark.parametrize("value", ["Safe", "", None, 1, True, [], {}])
+def test_value_that_is_not_a_keyword_is_rejected_with_the_allowed_ones(value: object) -> None:
+    with pytest.raises(UnknownKeywordError, match="is none of safe, keyed, unsafe") as error:
+        IDEMPOTENCY_KEYWORDS.member(value)
+    assert error.value.allowed == ("safe", "keyed", "unsafe")
+
+
+@pytest.mark.parametrize("program", [RUN_COMMANDS, RUN_WORKER_MESSAGES], ids=["commands", "worker messages"])
+def test_output_does_not_depend_on_the_values_of_the_enumerations(folder: Path, program: str) -> None:
+    renamed = RENAME_VALUES.format(root=ROOT) + CHECK_VALUES_ARE_RENAMED
+    output = run(folder, program)
+    assert "keyed" in output
+    assert run(folder, renamed + program) == output
--- a/tests/descriptions/test_tightening.py
+++ b/tests/descriptions/test_tightening.py
@@ -1,5 +1,7 @@
 """Settings of classes tightened by descriptions."""
 
+from typing import NamedTuple
+
 import pytest
 
 from wheatstile.descriptions.tightening import tighten_settings
@@ -14,11 +16,17 @@
 CELL = DeduplicationScope.CELL
 UNKNOWN = DeduplicationScope.UNKNOWN
 
-Policy = tuple[Idempotency, DeduplicationScope, int]  # idempotency, scope, window in microseconds
+
+class Policy(NamedTuple):
+    """The retry policy of a class."""
+
+    idempotency: Idempotency
+    deduplication_scope: DeduplicationScope
+    deduplication_window_us: int
 
 
 def settings_of(policy: Policy) -> Settings:
-    """Settings with one class, `web`."""
+    """Return settings with one class, `web`."""
     service_class = ServiceClass("web", 300_000, *policy)
     return Settings(
         fleet_size=1,
@@ -34,19 +42,21 @@
 @pytest.mark.parametrize(
     ("platform", "learned", "expected"),
     [
-        ((SAFE, ALL, 0), (UNSAFE, ALL, 0), (UNSAFE, ALL, 0)),
-        ((UNSAFE, ALL, 0), (SAFE, ALL, 0), (UNSAFE, ALL, 0)),
-        ((SAFE, ALL, 0), (KEY, ZONE, 60), (KEY, ZONE, 60)),
-        ((KEY, CELL, 30), (KEY, ZONE, 60), (KEY, CELL, 30)),
-        ((KEY, ALL, 60), (KEY, ZONE, 30), (KEY, ZONE, 30)),
-        ((KEY, UNKNOWN, 60), (KEY, CELL, 30), (KEY, UNKNOWN, 30)),
+        (Policy(SAFE, ALL, 0), Policy(UNSAFE, ALL, 0), Policy(UNSAFE, ALL, 0)),
+        (Policy(UNSAFE, ALL, 0), Policy(SAFE, ALL, 0), Policy(UNSAFE, ALL, 0)),
+        (Policy(SAFE, ALL, 0), Policy(KEY, ZONE, 60), Policy(KEY, ZONE, 60)),
+        (Policy(KEY, CELL, 30), Policy(KEY, ZONE, 60), Policy(KEY, CELL, 30)),
+        (Policy(KEY, ALL, 60), Policy(KEY, ZONE, 30), Policy(KEY, ZONE, 30)),
+        (Policy(KEY, UNKNOWN, 60), Policy(KEY, CELL, 30), Policy(KEY, UNKNOWN, 30)),
     ],
 )
-def test_the_stricter_of_the_two_holds(platform: Policy, learned: Policy, expected: Policy) -> None:
+def test_stricter_of_platform_and_descriptions_applies(
+    platform: Policy, learned: Policy, expected: Policy
+) -> None:
     tightened = tighten_settings(settings_of(platform), {"web": LearnedClass(*learned)})
     assert tightened == settings_of(expected)
 
 
 def test_class_that_the_settings_lack_is_ignored() -> None:
-    settings = settings_of((SAFE, ALL, 0))
+    settings = settings_of(Policy(SAFE, ALL, 0))
     assert tighten_settings(settings, {"slow": LearnedClass(UNSAFE, ALL, 0)}) == settings
--- a/tests/descriptions/test_worker_protocol.py
+++ b/tests/descriptions/test_worker_protocol.py
@@ -1,4 +1,4 @@
-"""The JSON between the balancer and the worker: its keys, and names that are not valid UTF-8."""
+"""Messages between the balancer and the worker: their JSON, and file names that are not valid UTF-8."""
 
 import json
 
@@ -17,7 +17,7 @@
 )
 from wheatstile.interface import DeduplicationScope, Idempotency
 
-UNDECODABLE_NAME = "caf\udce9.yaml"  # as os.fsdecode gives it
+UNDECODABLE_NAME = "caf\udce9.yaml"  # as os.fsdecode returns a name in Latin-1
 SUMMARY = CompilationSummary(
     classes={"web": LearnedClass(Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.ZONE, 60)},
     route_count=1,
@@ -43,8 +43,11 @@
     assert decode_result(encoded) == result
 
 
-@pytest.mark.parametrize("data", [b"", b"[]", b"{}", b'{"refused": 1}', b"\xff"])
-def test_result_that_is_none_raises_value_error(data: bytes) -> None:
+UNKNOWN_KEYWORD = b'{"classes": {"web": ["always", "zone", 60]}, "routes": 1, "read": [], "warnings": []}'
+
+
+@pytest.mark.parametrize("data", [b"", b"[]", b"{}", b'{"refused": 1}', b"\xff", UNKNOWN_KEYWORD])
+def test_invalid_result_raises_value_error(data: bytes) -> None:
     with pytest.raises(ValueError):  # noqa: PT011  three codecs, each with an error of its own
         decode_result(data)
 
--- a/wheatstile/cli/check.py
+++ b/wheatstile/cli/check.py
@@ -116,7 +116,7 @@
 
     paths = [operator_file.near(path) for path in section.paths]
     try:
-        compiled, _ = compile_descriptions(paths, operator_file, platform)
+        compiled = compile_descriptions(paths, operator_file, platform).descriptions
     except InvalidDescriptionError as error:
         report.reasons += error.lines()
         return
--- a/wheatstile/cli/description_changes.py
+++ b/wheatstile/cli/description_changes.py
@@ -1,25 +1,26 @@
-"""What changes between two sets of compiled descriptions, and whether it allows more to be repeated."""
+"""Compares two sets of compiled descriptions, and finds the changes that allow more retries."""
 
 from collections.abc import Iterator
 
 import msgspec
 
 from wheatstile.descriptions.compile_types import CompiledDescriptions, Route
-from wheatstile.descriptions.model import SCOPE_NARROWNESS, RetrySafety, is_stricter
+from wheatstile.descriptions.keywords import IDEMPOTENCY_KEYWORDS, SCOPE_KEYWORDS
+from wheatstile.descriptions.model import RetrySafety, is_narrower, is_stricter, seconds_text
 from wheatstile.interface import Idempotency
 
-MICROSECONDS_PER_SECOND = 1e6
+NO_CLASS = "none"
 
 
 class DescriptionChange(msgspec.Struct):
-    """One change as a sentence, and whether something may be repeated now that could not be before."""
+    """One change as a sentence, and whether it allows retries that were not allowed before."""
 
     change: str
     loosens: bool = False
 
 
 def description_changes(old: CompiledDescriptions, new: CompiledDescriptions) -> Iterator[DescriptionChange]:
-    """Every change of a route, by action and path, then every change of a class, by name."""
+    """Yield every change of a route, by action and template, then every change of a class, by name."""
     before = {(route.operation.action, route.template): route for route in old.routes}
     after = {(route.operation.action, route.template): route for route in new.routes}
     for key in sorted(before.keys() | after.keys()):
@@ -28,12 +29,14 @@
         was = old.classes[name].idempotency
         now = new.classes[name].idempotency
         if was != now:
-            yield DescriptionChange(f"class {name}: {was} -> {now}", is_stricter(was, now))
+            change = f"class {name}: {_keyword(was)} -> {_keyword(now)}"
+            yield DescriptionChange(change, is_stricter(was, now))
 
 
 def _route_changes(name: str, was: Route | None, now: Route | None) -> Iterator[DescriptionChange]:
     if was is None and now:
-        yield DescriptionChange(f"{name}: added, {now.retry_safety.idempotency}, class {_class_name(now)}")
+        idempotency = _keyword(now.retry_safety.idempotency)
+        yield DescriptionChange(f"{name}: added, {idempotency}, class {_class_name(now)}")
     elif now is None and was:
         yield DescriptionChange(f"{name}: removed")
     elif was and now:
@@ -44,33 +47,31 @@
 
 def _retry_changes(name: str, was: RetrySafety, now: RetrySafety) -> Iterator[DescriptionChange]:
     if was.idempotency != now.idempotency:
-        looser = is_stricter(was.idempotency, now.idempotency)
-        effect = "becomes repeatable" if looser else "ceases to be repeatable"
+        loosens = is_stricter(was.idempotency, now.idempotency)
+        effect = "becomes repeatable" if loosens else "ceases to be repeatable"
+        keywords = f"{_keyword(was.idempotency)} -> {_keyword(now.idempotency)}"
         origin = f"({now.reason}, {now.location.short()})"
-        yield DescriptionChange(f"{name}: {effect}, {was.idempotency} -> {now.idempotency} {origin}", looser)
+        yield DescriptionChange(f"{name}: {effect}, {keywords} {origin}", loosens)
     elif was.idempotency is Idempotency.IDEMPOTENCY_KEY:
         yield from _deduplication_changes(name, was, now)
 
 
 def _deduplication_changes(name: str, was: RetrySafety, now: RetrySafety) -> Iterator[DescriptionChange]:
     if was.deduplication_scope != now.deduplication_scope:
-        wider = SCOPE_NARROWNESS[now.deduplication_scope] < SCOPE_NARROWNESS[was.deduplication_scope]
-        yield DescriptionChange(
-            f"{name}: scope {was.deduplication_scope} -> {now.deduplication_scope}", wider
-        )
+        old_scope = SCOPE_KEYWORDS.keyword(was.deduplication_scope)
+        new_scope = SCOPE_KEYWORDS.keyword(now.deduplication_scope)
+        loosens = is_narrower(was.deduplication_scope, now.deduplication_scope)
+        yield DescriptionChange(f"{name}: scope {old_scope} -> {new_scope}", loosens)
     if was.deduplication_window_us != now.deduplication_window_us:
-        windows = (
-            f"{seconds_text(was.deduplication_window_us)} -> {seconds_text(now.deduplication_window_us)}"
-        )
-        yield DescriptionChange(
-            f"{name}: known for {windows}", now.deduplication_window_us > was.deduplication_window_us
-        )
+        old_window = seconds_text(was.deduplication_window_us)
+        new_window = seconds_text(now.deduplication_window_us)
+        loosens = now.deduplication_window_us > was.deduplication_window_us
+        yield DescriptionChange(f"{name}: known for {old_window} -> {new_window}", loosens)
 
 
 def _class_name(route: Route) -> str:
-    return route.service_class or "none"
+    return route.service_class or NO_CLASS
 
 
-def seconds_text(duration_us: int) -> str:
-    """Return a duration as commands print it, in seconds."""
-    return f"{duration_us / MICROSECONDS_PER_SECOND:g} s"
+def _keyword(idempotency: Idempotency) -> str:
+    return IDEMPOTENCY_KEYWORDS.keyword(idempotency)
--- a/wheatstile/cli/description_rows.py
+++ b/wheatstile/cli/description_rows.py
@@ -1,14 +1,18 @@
-"""Routes as the tables and the JSON of `wheatstile descriptions` show them."""
+"""Rows of the tables and the JSON that `wheatstile descriptions` prints.
+
+The fields have the names of the columns of the tables and of the keys of the JSON, unless they are renamed.
+"""
 
 from collections.abc import Iterable
 
 import msgspec
 
 from wheatstile.descriptions.compile_types import Route
+from wheatstile.descriptions.keywords import IDEMPOTENCY_KEYWORDS
 
 
 class MessageRow(msgspec.Struct):
-    """One message of an operation, as JSON shows it."""
+    """A message of an operation."""
 
     name: str
     discriminator: str
@@ -16,7 +20,7 @@
 
 
 class RouteRow(msgspec.Struct, rename={"service_class": "class", "location": "place"}):
-    """One route, as tables and JSON show it."""
+    """A route. Tables show some of its fields, JSON all of them."""
 
     action: str
     route: str
@@ -39,7 +43,7 @@
             action=operation.action,
             route=route.template,
             service_class=route.service_class,
-            repeat=safety.idempotency,
+            repeat=IDEMPOTENCY_KEYWORDS.keyword(safety.idempotency),
             why=f"{safety.reason} ({safety.location.short()})",
             location=operation.location.short(),
             operation=operation.id,
--- a/wheatstile/cli/description_sets.py
+++ b/wheatstile/cli/description_sets.py
@@ -1,4 +1,4 @@
-"""Descriptions compiled as the balancer would, with the platform's classes where they are known."""
+"""Compiles descriptions for commands, by the same rules as the balancer."""
 
 from collections.abc import Iterable
 from pathlib import Path
@@ -6,8 +6,7 @@
 from wheatstile.config.operator import OperatorFile
 from wheatstile.config.platform import Config
 from wheatstile.descriptions import reader
-from wheatstile.descriptions.compile_types import CompiledDescriptions
-from wheatstile.descriptions.reader import DEFAULT_MAX_ATTEMPTS, DescriptionSet
+from wheatstile.descriptions.reader import DEFAULT_MAX_ATTEMPTS, Compilation
 from wheatstile.descriptions.worker_protocol import class_settings
 
 
@@ -17,10 +16,12 @@
     platform: Config | None,
     *,
     strict: bool = False,
-) -> tuple[CompiledDescriptions, DescriptionSet]:
-    """Return the descriptions at these paths, compiled and as read.
+) -> Compilation:
+    """Return the compiled descriptions at these paths.
 
-    `strict`: warnings are conflicts. Raises InvalidDescriptionError with every conflict, ConfigurationError.
+    platform: the platform's configuration; None if it is not known, so that class names are not checked.
+    strict: treat warnings as conflicts.
+    Raises InvalidDescriptionError with every conflict, and ConfigurationError for the operator's file.
     """
     classes = reader.class_policies(class_settings(platform)) if platform else None
     max_attempts = platform.settings.max_attempts if platform else DEFAULT_MAX_ATTEMPTS
--- a/wheatstile/cli/descriptions.py
+++ b/wheatstile/cli/descriptions.py
@@ -1,26 +1,28 @@
-"""`wheatstile descriptions`: OpenAPI and AsyncAPI descriptions, checked, listed, matched, compared, drawn."""
+"""The commands `wheatstile descriptions`, which check, list, match, compare and draw descriptions."""
 
 from collections.abc import Callable, Iterable
-from dataclasses import dataclass
 
 import click
 import msgspec
 
 from wheatstile.cli.configuration import read_operator_file, read_platform_config
-from wheatstile.cli.description_changes import description_changes, seconds_text
+from wheatstile.cli.description_changes import description_changes
 from wheatstile.cli.description_rows import RouteRow
 from wheatstile.cli.description_sets import compile_descriptions
 from wheatstile.cli.exit_status import ExitStatus, reject
 from wheatstile.cli.groups import ConfigurationGroup
 from wheatstile.cli.options import json_option, platform_config_option
 from wheatstile.cli.output import print_json, print_table
-from wheatstile.descriptions.compile_types import ClassPolicy, CompiledDescriptions
+from wheatstile.descriptions.compile_types import ClassPolicy
 from wheatstile.descriptions.findings import InvalidDescriptionError
-from wheatstile.descriptions.model import MessageAction
-from wheatstile.descriptions.reader import DescriptionSet
+from wheatstile.descriptions.keywords import IDEMPOTENCY_KEYWORDS, SCOPE_KEYWORDS
+from wheatstile.descriptions.model import MESSAGE_ACTIONS, seconds_text
+from wheatstile.descriptions.reader import Compilation
 from wheatstile.interface import Idempotency
 
 MIN_MATCH_ARGUMENTS = 3
+LOOSENS_MARK = "loosens  "
+NO_MARK = " " * len(LOOSENS_MARK)
 ROUTE_COLUMNS = ("action", "route", "class", "repeat", "why", "place")
 MATCH_COLUMNS = ("", "action", "route", "class", "repeat", "place")
 
@@ -31,15 +33,15 @@
 
 
 def _context_options(function: Callable[..., ExitStatus]) -> Callable[..., ExitStatus]:
-    """Add `--file` and `--config`: what descriptions are held against."""
+    """Add the options `--file` and `--config`, by which descriptions are checked."""
     return _operator_file_option(platform_config_option(function))
 
 
 class DescriptionGroup(ConfigurationGroup):
-    """Reports conflicts in descriptions as well: exit status 1, every conflict on standard error."""
+    """A command group that prints conflicts in descriptions to standard error, with exit status 1."""
 
     def invoke(self, ctx: click.Context) -> object:
-        """Run the command that was named; its exit status."""
+        """Run the command that was named. Return its exit status."""
         try:
             return super().invoke(ctx)
         except InvalidDescriptionError as error:
@@ -51,22 +53,8 @@
     """OpenAPI and AsyncAPI descriptions: check, routes, match, diff, graph."""
 
 
-@dataclass(frozen=True, slots=True)
-class CompilationResult:
-    """Compiled descriptions, the descriptions as read, and whether the platform's classes were known."""
-
-    compiled: CompiledDescriptions
-    source: DescriptionSet
-    classes_known: bool
-
-
-def _compile(
-    paths: Iterable[str], operator_file: str | None, config: str | None, *, strict: bool = False
-) -> CompilationResult:
-    rules = read_operator_file(operator_file)
-    platform = read_platform_config(config)
-    compiled, source = compile_descriptions(paths, rules, platform, strict=strict)
-    return CompilationResult(compiled, source, platform is not None)
+def _compile(paths: Iterable[str], operator_file: str | None, config: str | None) -> Compilation:
+    return compile_descriptions(paths, read_operator_file(operator_file), read_platform_config(config))
 
 
 @command.command()
@@ -75,17 +63,19 @@
 @click.option("--strict", is_flag=True, help="Warnings are conflicts.")
 def check(paths: tuple[str, ...], operator_file: str | None, config: str | None, strict: bool) -> ExitStatus:
     """Check descriptions against their formats, each other, the operator's rules and the classes."""
-    found = _compile(paths, operator_file, config, strict=strict)
-    compiled = found.compiled
+    rules = read_operator_file(operator_file)
+    platform = read_platform_config(config)
+    compilation = compile_descriptions(paths, rules, platform, strict=strict)
+    compiled = compilation.descriptions
     for warning in compiled.warnings:
         click.echo(str(warning), err=True)
     click.echo(
-        f"holds: {len(found.source.descriptions)} descriptions, {len(compiled.routes)} routes, "
+        f"holds: {len(compilation.source.descriptions)} descriptions, {len(compiled.routes)} routes, "
         f"{len(compiled.warnings)} warnings"
     )
     for name, policy in sorted(compiled.classes.items()):
         click.echo(f"class {name}: {_class_text(policy)}")
-    if not found.classes_known:
+    if platform is None:
         click.echo(
             "not checked: against the platform's classes: neither --config nor RELAY_CONFIG names them"
         )
@@ -93,10 +83,12 @@
 
 
 def _class_text(policy: ClassPolicy) -> str:
+    idempotency = IDEMPOTENCY_KEYWORDS.keyword(policy.idempotency)
     if policy.idempotency is not Idempotency.IDEMPOTENCY_KEY:
-        return policy.idempotency
+        return idempotency
     window = seconds_text(policy.deduplication_window_us)
-    return f"{policy.idempotency}, known for {window}, scope {policy.deduplication_scope}"
+    scope = SCOPE_KEYWORDS.keyword(policy.deduplication_scope)
+    return f"{idempotency}, known for {window}, scope {scope}"
 
 
 @command.command()
@@ -107,7 +99,7 @@
     paths: tuple[str, ...], operator_file: str | None, config: str | None, as_json: bool
 ) -> ExitStatus:
     """List every route with its class and whether it may be repeated, and why."""
-    compiled = _compile(paths, operator_file, config).compiled
+    compiled = _compile(paths, operator_file, config).descriptions
     ordered = sorted(compiled.routes, key=lambda route: (route.template, route.operation.action))
     rows = [RouteRow.from_route(route) for route in ordered]
     if as_json:
@@ -125,9 +117,9 @@
     if len(arguments) < MIN_MATCH_ARGUMENTS:
         raise click.UsageError("paths, an action and a path or subject are needed")
     *paths, action, text = arguments
-    compiled = _compile(paths, operator_file, config).compiled
-    if action not in set(MessageAction):
-        action = action.upper()  # a method of HTTP
+    compiled = _compile(paths, operator_file, config).descriptions
+    if action not in MESSAGE_ACTIONS:
+        action = action.upper()  # methods of HTTP may be given in lower case
     found = compiled.match(action, text)
     if not found:
         return reject([f"{action} {text}: no route matches"])
@@ -146,14 +138,15 @@
 @json_option
 def diff(old: str, new: str, operator_file: str | None, config: str | None, as_json: bool) -> ExitStatus:
     """Tell what NEW changes of OLD; exit status 3 if anything that could not be repeated may be now."""
-    first = _compile([old], operator_file, config).compiled
-    second = _compile([new], operator_file, config).compiled
-    changes = list(description_changes(first, second))
+    old_descriptions = _compile([old], operator_file, config).descriptions
+    new_descriptions = _compile([new], operator_file, config).descriptions
+    changes = list(description_changes(old_descriptions, new_descriptions))
     if as_json:
         print_json(msgspec.to_builtins(changes))
     else:
         for change in changes:
-            click.echo(f"{'loosens  ' if change.loosens else '         '}{change.change}")
+            mark = LOOSENS_MARK if change.loosens else NO_MARK
+            click.echo(mark + change.change)
     loosened = any(change.loosens for change in changes)
     return ExitStatus.LOOSENED if loosened else ExitStatus.OK
 
@@ -166,11 +159,15 @@
     """Draw services, routes and classes as a picture."""
     from wheatstile.descriptions.graph import draw
 
-    found = _compile(paths, operator_file, config)
-    titles = {one.file: one.title or one.file for one in found.source.descriptions}
+    compilation = _compile(paths, operator_file, config)
+    drawn_routes = compilation.descriptions.routes
+    titles = {
+        description.file: description.title or description.file
+        for description in compilation.source.descriptions
+    }
     try:
-        draw(found.compiled.routes, titles).save_svg(out)
+        draw(drawn_routes, titles).save_svg(out)
     except OSError as error:
         return reject([f"{out}: {error.strerror or error}"])
-    click.echo(f"{out}: {len(found.compiled.routes)} routes")
+    click.echo(f"{out}: {len(drawn_routes)} routes")
     return ExitStatus.OK
--- a/wheatstile/descriptions/asyncapi.py
+++ b/wheatstile/descriptions/asyncapi.py
@@ -1,21 +1,22 @@
-"""AsyncAPI 2.6 and 3.0: channels, what the application does on them, and whether it may be retried. Pure.
+"""Reads the operations of AsyncAPI 2.6 and 3.0 documents, and whether each may be retried. Pure.
 
-`send` and `receive` are from the view of the application that the document describes, as in AsyncAPI 3.0.
-In 2.6 the verbs are those of the others: `publish` (others may publish) is read as `receive`, `subscribe` as
-`send`.
+`send` and `receive` are actions of the application that the document describes, as in AsyncAPI 3.0. In
+AsyncAPI 2.6 the keys are actions of its peers: `publish` (peers may publish) is read as `receive`, and
+`subscribe` as `send`.
 """
 
 import re
-from collections.abc import Iterator, Mapping
+from collections.abc import Callable, Iterator, Mapping
 from dataclasses import dataclass
 from functools import partial
 
 from jsonschema import Draft202012Validator
 
-from wheatstile.descriptions.asyncapi_schema import SCHEMAS
+from wheatstile.descriptions.asyncapi_schema import SCHEMAS, AsyncApiVersion
 from wheatstile.descriptions.document import MAX_SCHEMA_FINDINGS, build_description, schema_finding
 from wheatstile.descriptions.extensions import retry_extension_of, service_class_of, timeout_of
 from wheatstile.descriptions.findings import InvalidDescriptionError, SourceLocation
+from wheatstile.descriptions.keywords import IDEMPOTENCY_KEYWORDS
 from wheatstile.descriptions.model import (
     Description,
     Extension,
@@ -31,9 +32,7 @@
 from wheatstile.interface import Idempotency
 
 VERSION_KEY = "asyncapi"
-VERSION_2 = "2.6"
-VERSION_3 = "3.0"
-VERSIONS = (VERSION_2, VERSION_3)
+VERSIONS = tuple(AsyncApiVersion)
 ACTIONS_OF_VERSION_2: Mapping[str, MessageAction] = {
     "publish": MessageAction.RECEIVE,
     "subscribe": MessageAction.SEND,
@@ -41,12 +40,12 @@
 PARAMETER = re.compile(r"\{([^{}]*)\}")
 ANY_TOKEN = "*"
 SUBJECT_SEPARATOR = "."
-ADDRESS_SEPARATOR = "/"  # of addresses that are paths; others are separated as subjects are
+PATH_SEPARATOR = "/"  # separator of an address that is a path
 
 
 @dataclass(frozen=True, slots=True)
 class _OperationSource:
-    """Where the parts of one operation stand in a document of either version."""
+    """The nodes of one operation in a document of either version."""
 
     action: str
     address: str
@@ -58,12 +57,16 @@
 
 
 def read_asyncapi(root: DocumentNode, version: str) -> Description:
-    """Return the operations of a document. Raises InvalidDescriptionError with every finding."""
-    validator = Draft202012Validator(SCHEMAS[version])
+    """Return the operations of a document.
+
+    version: one of VERSIONS. Raises InvalidDescriptionError with every finding.
+    """
+    asyncapi_version = AsyncApiVersion(version)
+    validator = Draft202012Validator(SCHEMAS[asyncapi_version])
     findings = [schema_finding(error, root.file.locate) for error in validator.iter_errors(root.value)]
     if findings:
         raise InvalidDescriptionError(findings[:MAX_SCHEMA_FINDINGS])
-    sources = _operations_of_version_2(root) if version == VERSION_2 else _operations_of_version_3(root)
+    sources = OPERATION_READERS[asyncapi_version](root)
     builders = (partial(_operation, root, source) for source in sources)
     return build_description(root, f"asyncapi {version}", builders)
 
@@ -93,7 +96,7 @@
 def _operations_of_version_3(root: DocumentNode) -> Iterator[_OperationSource]:
     for name, node in _members(root, "operations"):
         channel = node.get("channel")
-        if channel is None:  # the schema does not follow an operation that is a reference
+        if channel is None:  # possible for a referenced operation, which the schema does not check
             raise InvalidDescriptionError.at(node.location, "has no channel")
         messages = node.get("messages") or channel.get("messages")
         reply = node.get("reply")
@@ -109,15 +112,21 @@
         )
 
 
+OPERATION_READERS: Mapping[AsyncApiVersion, Callable[[DocumentNode], Iterator[_OperationSource]]] = {
+    AsyncApiVersion.VERSION_2: _operations_of_version_2,
+    AsyncApiVersion.VERSION_3: _operations_of_version_3,
+}
+
+
 def _address(channel: DocumentNode) -> str:
-    """Return a channel's address; a channel without one (known only at run time) goes by its own name."""
+    """Return a channel's address. The name of the channel is used if its address is set only at run time."""
     return channel.get_text("address") or channel.name
 
 
 def _operation(root: DocumentNode, source: _OperationSource) -> Operation:
     node = source.operation
-    service_class, class_location = service_class_of(node, source.channel, root)
-    timeout_us, timeout_location = timeout_of(node, source.channel, root)
+    assigned_class = service_class_of(node, source.channel, root)
+    declared_timeout = timeout_of(node, source.channel, root)
     tags = [tag.get_text("name") for _, tag in _members(node, "tags")]
     bindings = node.get("bindings")
     nats = bindings.get("nats") if bindings else None
@@ -134,10 +143,10 @@
         queue_group=nats.get_text("queue") if nats else "",
         messages=tuple(_message(message) for message in source.messages),
         reply=source.reply,
-        service_class=service_class,
-        class_location=class_location,
-        timeout_us=timeout_us,
-        timeout_location=timeout_location,
+        service_class=assigned_class.name,
+        class_location=assigned_class.location,
+        timeout_us=declared_timeout.timeout_us,
+        timeout_location=declared_timeout.location,
         bindings=_object(bindings),
     )
 
@@ -152,10 +161,10 @@
 
 
 def _servers(root: DocumentNode, channel: DocumentNode) -> Iterator[str]:
-    """URLs of the channel's servers; of all servers of the document if the channel names none."""
+    """Yield the URLs of the channel's servers, or of all servers if the channel lists none."""
     references = [reference for _, reference in _members(channel, "servers")]
     for name, server in _members(root, "servers"):
-        # 2.6 names a server, 3.0 refers to it.
+        # A channel lists the names of its servers in 2.6, and references to them in 3.0.
         is_named = any(
             reference.value == name or reference.pointer == server.pointer for reference in references
         )
@@ -177,14 +186,18 @@
 
 
 def _retry_safety(source: _OperationSource, root: DocumentNode) -> RetrySafety:
-    """By the extension alone: AsyncAPI itself says nothing of retries."""
+    """Return the retry safety that the extension declares, else NON_IDEMPOTENT.
+
+    AsyncAPI itself has no notion of idempotency.
+    """
     location = source.operation.location
     extension = retry_extension_of(source.operation, source.channel, root)
     if extension is None:
-        reason = f"AsyncAPI says nothing of repeating, and there is no {Extension.RETRY}"
+        reason = f"AsyncAPI does not define idempotency, and there is no {Extension.RETRY}"
         return RetrySafety(Idempotency.NON_IDEMPOTENT, reason, location)
     if extension.lacks_reason:
-        reason = f"says safe, which nothing in AsyncAPI bears out: say why in {Extension.BECAUSE}"
+        safe = IDEMPOTENCY_KEYWORDS.keyword(Idempotency.IDEMPOTENT)
+        reason = f"says {safe}, which nothing in AsyncAPI bears out: say why in {Extension.BECAUSE}"
         raise InvalidDescriptionError.at(extension.location, reason, location)
     return extension.retry_safety()
 
@@ -194,7 +207,7 @@
 
     Raises InvalidDescriptionError at the location if a token is empty or only partly a parameter.
     """
-    separator = ADDRESS_SEPARATOR if ADDRESS_SEPARATOR in address else SUBJECT_SEPARATOR
+    separator = PATH_SEPARATOR if PATH_SEPARATOR in address else SUBJECT_SEPARATOR
     tokens = []
     for token in address.split(separator):
         if PARAMETER.fullmatch(token):
--- a/wheatstile/descriptions/asyncapi_schema.py
+++ b/wheatstile/descriptions/asyncapi_schema.py
@@ -1,21 +1,30 @@
-"""JSON Schemas of AsyncAPI documents. They cover the parts that are read here; all else is allowed."""
+"""JSON Schemas of AsyncAPI documents. They cover the parts that are read; anything else is allowed. Pure."""
 
 from collections.abc import Mapping
+from enum import StrEnum
 from typing import TypeAlias
 
-from wheatstile.descriptions.model import DEDUPLICATION_SCOPES, Extension, JsonValue, MessageAction
-from wheatstile.interface import Idempotency
+from wheatstile.descriptions.keywords import DECLARABLE_SCOPE_KEYWORDS, IDEMPOTENCY_KEYWORDS
+from wheatstile.descriptions.model import Extension, JsonValue, MessageAction
 
 Schema: TypeAlias = dict[str, JsonValue]
 
+
+class AsyncApiVersion(StrEnum):
+    """A version of AsyncAPI that is read. The value is its major and minor number."""
+
+    VERSION_2 = "2.6"
+    VERSION_3 = "3.0"
+
+
 TEXT: Schema = {"type": "string"}
 OBJECT: Schema = {"type": "object"}
 REFERENCE: Schema = {"type": "object", "properties": {"$ref": TEXT}, "required": ["$ref"]}
 EXTENSIONS: Schema = {
     Extension.CLASS.value: {"type": "string", "minLength": 1},
-    Extension.RETRY.value: {"enum": [idempotency.value for idempotency in Idempotency]},
+    Extension.RETRY.value: {"enum": list(IDEMPOTENCY_KEYWORDS.keywords)},
     Extension.BECAUSE.value: TEXT,
-    Extension.SCOPE.value: {"enum": [scope.value for scope in DEDUPLICATION_SCOPES]},
+    Extension.SCOPE.value: {"enum": list(DECLARABLE_SCOPE_KEYWORDS.keywords)},
     Extension.WINDOW_S.value: {"type": "number", "exclusiveMinimum": 0},
     Extension.TIMEOUT_MS.value: {"type": "number", "exclusiveMinimum": 0},
 }
@@ -81,8 +90,8 @@
         },
     ],
 }
-SCHEMAS: Mapping[str, Schema] = {
-    "2.6": {
+SCHEMAS: Mapping[AsyncApiVersion, Schema] = {
+    AsyncApiVersion.VERSION_2: {
         "type": "object",
         "required": ["asyncapi", "info", "channels"],
         "properties": {
@@ -92,7 +101,7 @@
             **EXTENSIONS,
         },
     },
-    "3.0": {
+    AsyncApiVersion.VERSION_3: {
         "type": "object",
         "required": ["asyncapi", "info"],
         "properties": {
--- a/wheatstile/descriptions/class_compiler.py
+++ b/wheatstile/descriptions/class_compiler.py
@@ -1,19 +1,20 @@
-"""Derives what each service class may retry from the routes that belong to it. Pure."""
+"""Derives the retry policy of each service class from the routes that belong to it. Pure."""
 
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass, replace
 
 from wheatstile.descriptions.compile_types import ClassPolicies, ClassPolicy, CompileOptions, Route
 from wheatstile.descriptions.findings import FindingCollector, SourceLocation
+from wheatstile.descriptions.keywords import IDEMPOTENCY_KEYWORDS
 from wheatstile.descriptions.model import IDEMPOTENCY_STRICTNESS, is_stricter, narrower, stricter
 from wheatstile.interface import Idempotency
 
 
 @dataclass(frozen=True, slots=True)
 class ClassCompiler:
-    """Compiles class policies from the platform's classes (None: not known) and their routes."""
+    """Compiles class policies from the platform's classes and their routes."""
 
-    classes: ClassPolicies | None
+    classes: ClassPolicies | None  # None: the platform's classes are not known
     options: CompileOptions
     findings: FindingCollector
 
@@ -34,26 +35,16 @@
         """Report routes that contradict their class or each other."""
         strictest = max(members, key=_strictness)
         loosest = min(members, key=_strictness)
-        safety = strictest.retry_safety
-        if policy.override and is_stricter(safety.idempotency, policy.override):
-            reason = (
-                f"{strictest.operation.name} is {safety.idempotency} ({safety.reason}), and the "
-                f'class "{policy.name}" is told to be {policy.override}'
-            )
-            self.findings.conflict(safety.location, reason, policy.override_location)
+        idempotency = strictest.retry_safety.idempotency
+        if policy.override and is_stricter(idempotency, policy.override):
+            self._report_loose_override(policy, policy.override, strictest)
         elif self._mixes_unsafe(policy, strictest, loosest):
-            reason = (
-                f'the class "{policy.name}" mixes {strictest.operation.name} (unsafe) with '
-                f"{loosest.operation.name} ({loosest.retry_safety.idempotency}), and attempts after a "
-                "possible run are on: give them two classes, or say that the class is unsafe"
-            )
-            self.findings.conflict(strictest.operation.location, reason, loosest.operation.location)
-        elif is_stricter(safety.idempotency, policy.idempotency):
-            reason = f'the class "{policy.name}" was {policy.idempotency} and is {safety.idempotency} now'
-            self.findings.warn(safety.location, reason)
+            self._report_mixture(policy, strictest, loosest)
+        elif is_stricter(idempotency, policy.idempotency):
+            self._report_tightening(policy, strictest)
 
     def _mixes_unsafe(self, policy: ClassPolicy, strictest: Route, loosest: Route) -> bool:
-        """Whether one non-idempotent route would take retries away from others that allow them."""
+        """Return whether one non-idempotent route would forbid the retries of other routes of the class."""
         return (
             self.options.max_attempts > 1
             and policy.override is not Idempotency.NON_IDEMPOTENT
@@ -61,6 +52,35 @@
             and loosest.retry_safety.idempotency is not Idempotency.NON_IDEMPOTENT
         )
 
+    def _report_loose_override(self, policy: ClassPolicy, override: Idempotency, strictest: Route) -> None:
+        safety = strictest.retry_safety
+        reason = (
+            f"{strictest.operation.name} is {_keyword(safety.idempotency)} ({safety.reason}), and the "
+            f'class "{policy.name}" is told to be {_keyword(override)}'
+        )
+        self.findings.conflict(safety.location, reason, policy.override_location)
+
+    def _report_mixture(self, policy: ClassPolicy, strictest: Route, loosest: Route) -> None:
+        reason = (
+            f'the class "{policy.name}" mixes {strictest.operation.name} '
+            f"({_keyword(strictest.retry_safety.idempotency)}) with {loosest.operation.name} "
+            f"({_keyword(loosest.retry_safety.idempotency)}), and attempts after a possible run are on: "
+            f"give them two classes, or say that the class is {_keyword(Idempotency.NON_IDEMPOTENT)}"
+        )
+        self.findings.conflict(strictest.operation.location, reason, loosest.operation.location)
+
+    def _report_tightening(self, policy: ClassPolicy, strictest: Route) -> None:
+        safety = strictest.retry_safety
+        reason = (
+            f'{strictest.operation.name} changes the class "{policy.name}" '
+            f"from {_keyword(policy.idempotency)} to {_keyword(safety.idempotency)}"
+        )
+        self.findings.warn(safety.location, reason)
+
+
+def _keyword(idempotency: Idempotency) -> str:
+    return IDEMPOTENCY_KEYWORDS.keyword(idempotency)
+
 
 def _strictness(route: Route) -> tuple[int, SourceLocation]:
     return IDEMPOTENCY_STRICTNESS[route.retry_safety.idempotency], route.operation.location
--- a/wheatstile/descriptions/compile.py
+++ b/wheatstile/descriptions/compile.py
@@ -1,8 +1,8 @@
 """Compiles descriptions with the operator's rules and the platform's classes. Pure.
 
-Nothing is guessed. Where two sources contradict each other, both locations are reported and nothing is
-applied. Where one source is only stricter than the other, the stricter holds: non-idempotent before
-idempotency key before idempotent, the narrower deduplication scope, the shorter window.
+If two sources contradict each other, the compilation is rejected with both locations. If one source is only
+stricter than the other, the stricter one applies: the idempotency that allows fewer retries, the narrower
+deduplication scope, the shorter deduplication window.
 """
 
 from collections.abc import Iterable
@@ -32,8 +32,9 @@
     classes: ClassPolicies | None,
     options: CompileOptions,
 ) -> CompiledDescriptions:
-    """Compile all descriptions together. classes: None where they are not known and cannot be checked.
+    """Compile all descriptions together.
 
+    classes: the platform's classes; None if they are not known, so that class names are not checked.
     Raises InvalidDescriptionError with every conflict, in the order of their locations.
     """
     findings = FindingCollector()
--- a/wheatstile/descriptions/compile_types.py
+++ b/wheatstile/descriptions/compile_types.py
@@ -2,44 +2,46 @@
 
 from collections.abc import Mapping
 from dataclasses import dataclass
+from typing import TypeAlias
 
 from wheatstile.descriptions.findings import Finding, SourceLocation
 from wheatstile.descriptions.language import Condition
-from wheatstile.descriptions.model import Operation, RetrySafety
+from wheatstile.descriptions.model import HTTP_METHODS, Operation, RetrySafety
 from wheatstile.descriptions.route_matcher import Matcher
-from wheatstile.descriptions.routes import Token, split_path
+from wheatstile.descriptions.routes import Token, split_path, split_subject
 from wheatstile.interface import DeduplicationScope, Idempotency
 
 
 @dataclass(frozen=True, slots=True)
 class ClassPolicy:
-    """What holds for one service class: the platform's settings and the operator's override."""
+    """The retry policy of one service class: the platform's settings and the operator's override."""
 
     name: str
     idempotency: Idempotency = Idempotency.IDEMPOTENT
     deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
     deduplication_window_us: int = 0
-    client_deadline_us: int = 0  # clients of this class wait no longer for an answer
-    override: Idempotency | None = None  # from the operator's file
+    client_deadline_us: int = 0  # longest wait of a client for its answer
+    override: Idempotency | None = None  # None: the operator's file has no override
     override_location: SourceLocation | None = None
 
 
-ClassPolicies = Mapping[str, ClassPolicy]
+ClassPolicies: TypeAlias = Mapping[str, ClassPolicy]
+"""Policies by the name of the class."""
 
 
 @dataclass(frozen=True, slots=True)
 class ClassificationRule:
-    """One of the operator's ordered rules; the first that matches an operation applies."""
+    """One of the operator's rules. The first rule that matches an operation applies."""
 
     matches: Condition
     service_class: str
     location: SourceLocation
-    idempotency: Idempotency | None = None
+    idempotency: Idempotency | None = None  # None: the rule declares none
 
 
 @dataclass(frozen=True, slots=True)
 class CompileOptions:
-    """What the operator and the platform set for the compilation."""
+    """Options of a compilation, set by the operator and the platform."""
 
     max_attempts: int
     require_class: bool = False  # an operation without a class is a conflict
@@ -48,29 +50,32 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """One route of an operation, with the class and the retry safety that hold for it."""
+    """One route of an operation, with the class and the retry safety that apply to it."""
 
     operation: Operation
     tokens: tuple[Token, ...]
     template: str  # includes the path of the server's URL
-    service_class: str  # empty: nothing assigns one
+    service_class: str  # empty: neither the description nor a rule assigns one
     class_location: SourceLocation | None
     retry_safety: RetrySafety
 
 
 @dataclass(frozen=True, slots=True)
 class CompiledDescriptions:
-    """All descriptions compiled: routes, resulting class policies and warnings."""
+    """The result of a compilation: routes, class policies and warnings."""
 
     routes: tuple[Route, ...]
-    classes: ClassPolicies  # of the classes that have routes
+    classes: ClassPolicies  # only classes that have routes
     warnings: tuple[Finding, ...]
-    matchers: Mapping[str, Matcher[Route]]  # by action
+    matchers: Mapping[str, Matcher[Route]]  # key: the action of an operation
 
     def match(self, action: str, target: str) -> list[Route]:
-        """Return the routes that match a concrete path or subject; the first is the one that applies."""
+        """Return the routes that match a concrete path or subject, the most specific one first.
+
+        action: an HttpMethod or a MessageAction.
+        """
         matcher = self.matchers.get(action)
         if matcher is None:
             return []
-        tokens = split_path(target) if action.isupper() else target.split(".")
+        tokens = split_path(target) if action in HTTP_METHODS else split_subject(target)
         return [route for _, route in matcher.matches(tokens)]
--- a/wheatstile/descriptions/document_folder.py
+++ b/wheatstile/descriptions/document_folder.py
@@ -1,4 +1,4 @@
-"""Reads files below one folder; nothing outside it is read."""
+"""Reads description files below one folder, and no file outside it."""
 
 import os
 from pathlib import Path
@@ -8,17 +8,21 @@
 from wheatstile.descriptions.parsed_file import MAX_FILE_BYTES, ParsedFile
 from wheatstile.descriptions.parser import parse
 from wheatstile.descriptions.references import DocumentNode, DocumentStore
-from wheatstile.resolvers.regular_file import open_regular, snapshot
+from wheatstile.resolvers.regular_file import opened_regular, snapshot
 
-MAX_FILES = 1000  # of all descriptions and what they refer to
+MAX_FILES = 1000  # descriptions and referenced files together
 
 
 class DocumentFolder:
-    """The documents below one folder. Each file is read once, and its fingerprint kept in `fingerprints`."""
+    """The documents below one folder. Each file is read once.
 
-    def __init__(self, root: Path, fingerprints: dict[str, bytes]) -> None:
+    The path of each file that was read is added to read_files, which all folders of one call of
+    `reader.read_descriptions` share.
+    """
+
+    def __init__(self, root: Path, read_files: set[str]) -> None:
         self.root = Path(os.path.realpath(root))
-        self._fingerprints = fingerprints  # by path, shared by all folders of one reading
+        self._read_files = read_files
         self._store = DocumentStore(self._retrieve)
 
     def document(self, path: Path) -> DocumentNode:
@@ -40,21 +44,18 @@
 
     def _read(self, path: Path) -> ParsedFile:
         name = _shown_name(path)
-        if len(self._fingerprints) >= MAX_FILES:
+        if len(self._read_files) >= MAX_FILES:
             raise ValueError(f"more than {MAX_FILES} files")
         try:
-            descriptor = open_regular(path)
-            try:
-                found = snapshot(descriptor, MAX_FILE_BYTES)
-            finally:
-                os.close(descriptor)
+            with opened_regular(path) as descriptor:
+                data = snapshot(descriptor, MAX_FILE_BYTES).data
         except OSError as error:
             raise ValueError(f"{name}: {error.strerror or error}") from None
-        self._fingerprints[str(path)] = found.fingerprint
-        return parse(name, found.data)
+        self._read_files.add(str(path))
+        return parse(name, data)
 
 
 def _shown_name(path: Path) -> str:
-    """Return the name in messages: relative where the file is below the current folder."""
+    """Return the name of a file in findings: a relative path if the file is below the current folder."""
     relative = os.path.relpath(path)
     return str(path) if relative.startswith("..") else relative
--- a/wheatstile/descriptions/extensions.py
+++ b/wheatstile/descriptions/extensions.py
@@ -1,18 +1,28 @@
-"""Reads our extensions (`x-wheatstile-...`) from OpenAPI and AsyncAPI documents. Pure.
+"""Reads the extensions (`x-wheatstile-...`) in OpenAPI and AsyncAPI documents. Pure.
 
-Every function takes the holders of an extension from the inside out, such as operation, path and document;
-the first that has the extension counts. All raise InvalidDescriptionError for a value that cannot be used.
+The functions take the nodes that may hold an extension, innermost first: operation, path or channel,
+document. The first node that has the extension counts. They raise InvalidDescriptionError for an invalid
+value.
 """
 
 from collections.abc import Sequence
 from dataclasses import dataclass
-from enum import StrEnum
+from enum import Enum
 from typing import TypeVar
 
 from wheatstile.descriptions.findings import InvalidDescriptionError, SourceLocation
+from wheatstile.descriptions.keywords import (
+    DECLARABLE_SCOPE_KEYWORDS,
+    IDEMPOTENCY_KEYWORDS,
+    KeywordTable,
+    UnknownKeywordError,
+)
 from wheatstile.descriptions.model import (
-    DEDUPLICATION_SCOPES,
     MICROSECONDS_PER_SECOND,
+    NO_CLASS,
+    NO_TIMEOUT,
+    AssignedClass,
+    DeclaredTimeout,
     Extension,
     RetrySafety,
 )
@@ -23,12 +33,12 @@
 TIMEOUT_LIMIT_MS = 1e9
 WINDOW_LIMIT_S = 1e8
 
-Choice = TypeVar("Choice", bound=StrEnum)
+Member = TypeVar("Member", bound=Enum)
 
 
 @dataclass(frozen=True, slots=True)
 class Deduplication:
-    """Which servers discard a repeat, and for how long."""
+    """The servers that discard a repeat, and for how long they do."""
 
     scope: DeduplicationScope
     window_us: int  # 0: not declared
@@ -36,24 +46,24 @@
 
 @dataclass(frozen=True, slots=True)
 class RetryExtension:
-    """What a description declares of retrying an operation."""
+    """The retry extension of an operation, with the extensions that qualify it."""
 
     idempotency: Idempotency
-    because: str  # the author's reason; may be empty
+    because: str  # the author's reason; empty: none given
     deduplication: Deduplication
     location: SourceLocation
 
     @property
     def lacks_reason(self) -> bool:
-        """Whether it declares an operation idempotent without saying why."""
+        """Whether it declares an operation idempotent without a reason."""
         return self.idempotency is Idempotency.IDEMPOTENT and not self.because
 
     def retry_safety(self) -> RetrySafety:
-        """Return the declaration as the retry safety of its operation."""
+        """Return the retry safety that the extension declares."""
         because = f": {self.because}" if self.because else ""
         return RetrySafety(
             self.idempotency,
-            f"{Extension.RETRY} says {self.idempotency}{because}",
+            f"{Extension.RETRY} says {IDEMPOTENCY_KEYWORDS.keyword(self.idempotency)}{because}",
             self.location,
             self.deduplication.scope,
             self.deduplication.window_us,
@@ -68,55 +78,60 @@
     return None
 
 
-def service_class_of(*holders: DocumentNode) -> tuple[str, SourceLocation | None]:
-    """Return the name of the declared class and its location; empty if none is declared."""
+def service_class_of(*holders: DocumentNode) -> AssignedClass:
+    """Return the declared class; NO_CLASS if none is declared."""
     node = nearest_extension(Extension.CLASS, holders)
     if node is None:
-        return "", None
+        return NO_CLASS
     if not isinstance(node.value, str) or not node.value:
         raise InvalidDescriptionError.at(node.location, "is no name of a class")
-    return node.value, node.location
+    return AssignedClass(node.value, node.location)
 
 
-def timeout_of(*holders: DocumentNode) -> tuple[int, SourceLocation | None]:
-    """Return the declared time-out in microseconds and its location; 0 if none is declared."""
+def timeout_of(*holders: DocumentNode) -> DeclaredTimeout:
+    """Return the declared time-out; NO_TIMEOUT if none is declared."""
     node = nearest_extension(Extension.TIMEOUT_MS, holders)
     if node is None:
-        return 0, None
+        return NO_TIMEOUT
     timeout_ms = _positive_number(node, TIMEOUT_LIMIT_MS, "milliseconds")
-    return int(timeout_ms * MICROSECONDS_PER_MILLISECOND), node.location
+    return DeclaredTimeout(int(timeout_ms * MICROSECONDS_PER_MILLISECOND), node.location)
 
 
 def retry_extension_of(*holders: DocumentNode) -> RetryExtension | None:
-    """Return what is declared of retrying; None if nothing is."""
+    """Return the retry extension; None if there is none."""
     node = nearest_extension(Extension.RETRY, holders)
     if node is None:
         return None
-    idempotency = _choice(node, list(Idempotency))
+    idempotency = _keyword_member(node, IDEMPOTENCY_KEYWORDS)
     because = nearest_extension(Extension.BECAUSE, holders)
     reason = because.value if because and isinstance(because.value, str) else ""
     return RetryExtension(idempotency, reason.strip(), deduplication_of(*holders), node.location)
 
 
 def deduplication_of(*holders: DocumentNode) -> Deduplication:
-    """Return the declared deduplication; all servers and no window unless declared."""
+    """Return the declared deduplication. The defaults are all servers and no window."""
     scope_node = nearest_extension(Extension.SCOPE, holders)
     window_node = nearest_extension(Extension.WINDOW_S, holders)
-    scope = _choice(scope_node, DEDUPLICATION_SCOPES) if scope_node else DeduplicationScope.ALL
+    scope = DeduplicationScope.ALL
+    if scope_node:
+        scope = _keyword_member(scope_node, DECLARABLE_SCOPE_KEYWORDS)
     if window_node is None:
         return Deduplication(scope, 0)
     window_s = _positive_number(window_node, WINDOW_LIMIT_S, "seconds")
     return Deduplication(scope, int(window_s * MICROSECONDS_PER_SECOND))
 
 
-def _choice(node: DocumentNode, choices: Sequence[Choice]) -> Choice:
-    for choice in choices:
-        if node.value == choice.value:
-            return choice
-    raise InvalidDescriptionError.at(node.location, f"is none of {', '.join(choices)}")
+def _keyword_member(node: DocumentNode, table: KeywordTable[Member]) -> Member:
+    """Return the member that a node's keyword names."""
+    try:
+        return table.member(node.value)
+    except UnknownKeywordError as error:
+        reason = f"is none of {', '.join(error.allowed)}"
+        raise InvalidDescriptionError.at(node.location, reason) from None
 
 
 def _positive_number(node: DocumentNode, limit: float, unit: str) -> int | float:
+    """Return a node's number, which has to be above 0 and below the limit."""
     value = node.value
     if isinstance(value, bool) or not isinstance(value, int | float) or not 0 < value < limit:
         raise InvalidDescriptionError.at(node.location, f"is no number of {unit} over 0")
--- a/wheatstile/descriptions/graph.py
+++ b/wheatstile/descriptions/graph.py
@@ -5,26 +5,29 @@
 import drawsvg
 
 from wheatstile.descriptions.compile_types import Route
+from wheatstile.descriptions.keywords import IDEMPOTENCY_KEYWORDS
 from wheatstile.interface import Idempotency
 
+# Lengths are in pixels.
 ROW_HEIGHT = 22
 WIDTH = 1180
 MARGIN = 20
 FONT_SIZE = 12
-TOP = 3 * MARGIN  # baseline of the first row
+HEADING_FONT_SIZE = 14
+FIRST_BASELINE = 3 * MARGIN  # baseline of the first row
 SERVICE_X = MARGIN
 ROUTE_X = 330
 CLASS_X = 980
 SERVICE_WIDTH = 200
 ROUTE_WIDTH = 560
-LINE_GAP = 8  # between a line and the text that it leads to
-TEXT_MIDDLE = 4  # above the baseline
+LINE_GAP = 8  # distance between the end of a line and a text
+TEXT_MIDDLE = 4  # height of the middle of a text above its baseline
 MAX_SERVICE_CHARACTERS = 30
 MAX_ROUTE_CHARACTERS = 80
 MAX_CLASS_CHARACTERS = 25
 NO_CLASS = "(none)"
 SERVICE_LINE_COLOUR = "#bbbbbb"
-COLOURS = {
+ROUTE_COLOURS = {
     Idempotency.IDEMPOTENT: "#2b7a3d",
     Idempotency.IDEMPOTENCY_KEY: "#a86b00",
     Idempotency.NON_IDEMPOTENT: "#a32020",
@@ -32,23 +35,23 @@
 
 
 def draw(routes: Sequence[Route], titles: Mapping[str, str]) -> drawsvg.Drawing:
-    """Return a line from each service to its routes and on to their classes, coloured by retry safety.
+    """Return a picture with a line from each service to its routes, and from each route to its class.
 
-    titles: the title of a description by its file.
+    Routes are coloured by their idempotency. titles: the title of each description, by its file.
     """
     ordered = sorted(routes, key=_by_file_and_route)
     picture = _blank_picture(len(ordered))
-    services = _heights([route.operation.location.file for route in ordered])
-    classes = _heights([route.service_class or NO_CLASS for route in ordered])
+    service_positions = _vertical_positions([route.operation.location.file for route in ordered])
+    class_positions = _vertical_positions([route.service_class or NO_CLASS for route in ordered])
     for index, route in enumerate(ordered):
-        service_y = services[route.operation.location.file]
-        class_y = classes[route.service_class or NO_CLASS]
-        _draw_route(picture, route, TOP + index * ROW_HEIGHT, service_y, class_y)
-    for file, height in services.items():
+        service_y = service_positions[route.operation.location.file]
+        class_y = class_positions[route.service_class or NO_CLASS]
+        _draw_route(picture, route, FIRST_BASELINE + index * ROW_HEIGHT, service_y, class_y)
+    for file, middle in service_positions.items():
         title = titles.get(file, file)[:MAX_SERVICE_CHARACTERS]
-        picture.append(drawsvg.Text(title, FONT_SIZE, SERVICE_X, height + TEXT_MIDDLE))
-    for name, height in classes.items():
-        picture.append(drawsvg.Text(name[:MAX_CLASS_CHARACTERS], FONT_SIZE, CLASS_X, height + TEXT_MIDDLE))
+        picture.append(drawsvg.Text(title, FONT_SIZE, SERVICE_X, middle + TEXT_MIDDLE))
+    for name, middle in class_positions.items():
+        picture.append(drawsvg.Text(name[:MAX_CLASS_CHARACTERS], FONT_SIZE, CLASS_X, middle + TEXT_MIDDLE))
     return picture
 
 
@@ -57,12 +60,12 @@
 
 
 def _blank_picture(rows: int) -> drawsvg.Drawing:
-    """Return a white picture with the headings of the columns."""
+    """Return a white picture with column headings and room for these rows."""
     height = max(1, rows) * ROW_HEIGHT + 4 * MARGIN
     picture = drawsvg.Drawing(WIDTH, height, id_prefix="w")
     picture.append(drawsvg.Rectangle(0, 0, WIDTH, height, fill="white"))
     for left, heading in ((SERVICE_X, "service"), (ROUTE_X, "route"), (CLASS_X, "class")):
-        picture.append(drawsvg.Text(heading, FONT_SIZE + 2, left, MARGIN, font_weight="bold"))
+        picture.append(drawsvg.Text(heading, HEADING_FONT_SIZE, left, MARGIN, font_weight="bold"))
     return picture
 
 
@@ -70,9 +73,9 @@
     picture: drawsvg.Drawing, route: Route, baseline: int, service_y: float, class_y: float
 ) -> None:
     idempotency = route.retry_safety.idempotency
-    colour = COLOURS[idempotency]
+    colour = ROUTE_COLOURS[idempotency]
     middle = baseline - TEXT_MIDDLE
-    text = f"{route.operation.action} {route.template} ({idempotency})"
+    text = f"{route.operation.action} {route.template} ({IDEMPOTENCY_KEYWORDS.keyword(idempotency)})"
     picture.append(
         drawsvg.Line(
             SERVICE_X + SERVICE_WIDTH, service_y, ROUTE_X - LINE_GAP, middle, stroke=SERVICE_LINE_COLOUR
@@ -82,15 +85,15 @@
     picture.append(drawsvg.Text(text[:MAX_ROUTE_CHARACTERS], FONT_SIZE, ROUTE_X, baseline, fill=colour))
 
 
-def _heights(names: Sequence[str]) -> dict[str, float]:
-    """Return the height of each name, at the middle of its rows; names are at least one row apart."""
+def _vertical_positions(names: Sequence[str]) -> dict[str, float]:
+    """Return the vertical position of each name: the middle of its rows, moved down to avoid overlaps."""
     rows_by_name: dict[str, list[int]] = {}
     for row, name in enumerate(names):
         rows_by_name.setdefault(name, []).append(row)
-    heights: dict[str, float] = {}
+    positions: dict[str, float] = {}
     previous = 0.0
     for name, rows in sorted(rows_by_name.items(), key=lambda item: sum(item[1]) / len(item[1])):
-        middle = TOP + ROW_HEIGHT * sum(rows) / len(rows) - TEXT_MIDDLE
+        middle = FIRST_BASELINE + ROW_HEIGHT * sum(rows) / len(rows) - TEXT_MIDDLE
         previous = max(middle, previous + ROW_HEIGHT)
-        heights[name] = previous
-    return heights
+        positions[name] = previous
+    return positions
--- a/wheatstile/descriptions/model.py
+++ b/wheatstile/descriptions/model.py
@@ -1,9 +1,9 @@
-"""What OpenAPI and AsyncAPI descriptions declare, in one form. Every statement keeps its source location."""
+"""The content of OpenAPI and AsyncAPI descriptions in one form, with source locations. Pure."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 from enum import StrEnum
-from typing import TypeAlias
+from typing import NamedTuple, TypeAlias
 
 from wheatstile.descriptions.findings import SourceLocation
 from wheatstile.interface import DeduplicationScope, Idempotency
@@ -12,17 +12,15 @@
 """A value of a JSON or YAML document."""
 
 MICROSECONDS_PER_SECOND = 1_000_000
-DEDUPLICATION_SCOPES = (DeduplicationScope.ALL, DeduplicationScope.ZONE, DeduplicationScope.CELL)
-"""The scopes that a description may declare."""
 
 
 class Extension(StrEnum):
-    """Keys of our extensions in descriptions."""
+    """Keys of the extensions (`x-wheatstile-...`) in descriptions."""
 
     CLASS = "x-wheatstile-class"  # name of a service class
-    RETRY = "x-wheatstile-repeat"  # an Idempotency
-    BECAUSE = "x-wheatstile-because"  # why an operation may be retried that seems unsafe
-    SCOPE = "x-wheatstile-scope"  # a DeduplicationScope
+    RETRY = "x-wheatstile-repeat"  # a keyword of IDEMPOTENCY_KEYWORDS
+    BECAUSE = "x-wheatstile-because"  # why an operation is safe although its format does not imply it
+    SCOPE = "x-wheatstile-scope"  # a keyword of DECLARABLE_SCOPE_KEYWORDS
     WINDOW_S = "x-wheatstile-window-s"
     TIMEOUT_MS = "x-wheatstile-timeout-ms"
 
@@ -32,7 +30,7 @@
     Idempotency.IDEMPOTENCY_KEY: 1,
     Idempotency.NON_IDEMPOTENT: 2,
 }
-"""Of two statements on one operation or class, the one of the larger figure holds."""
+"""Of two statements on one operation or class, the one with the higher number applies."""
 
 SCOPE_NARROWNESS: Mapping[DeduplicationScope, int] = {
     DeduplicationScope.ALL: 0,
@@ -40,19 +38,29 @@
     DeduplicationScope.CELL: 2,
     DeduplicationScope.UNKNOWN: 3,
 }
-"""Of two deduplication scopes, the one of the larger figure holds: fewer servers discard a repeat."""
+"""Of two deduplication scopes, the one with the higher number applies: fewer servers discard a repeat."""
+
+
+def seconds_text(duration_us: int) -> str:
+    """Return a duration as findings and commands show it, such as `2.5 s`."""
+    return f"{duration_us / MICROSECONDS_PER_SECOND:g} s"
 
 
 def stricter(first: Idempotency, second: Idempotency) -> Idempotency:
-    """Return the one that allows fewer retries."""
+    """Return the idempotency that allows fewer retries."""
     return max(first, second, key=IDEMPOTENCY_STRICTNESS.__getitem__)
 
 
 def is_stricter(first: Idempotency, second: Idempotency) -> bool:
-    """Whether the first allows fewer retries than the second."""
+    """Return whether the first idempotency allows fewer retries than the second."""
     return IDEMPOTENCY_STRICTNESS[first] > IDEMPOTENCY_STRICTNESS[second]
 
 
+def is_narrower(first: DeduplicationScope, second: DeduplicationScope) -> bool:
+    """Return whether fewer servers discard a repeat in the first scope than in the second."""
+    return SCOPE_NARROWNESS[first] > SCOPE_NARROWNESS[second]
+
+
 def narrower(first: DeduplicationScope, second: DeduplicationScope) -> DeduplicationScope:
     """Return the scope in which fewer servers discard a repeat."""
     return max(first, second, key=SCOPE_NARROWNESS.__getitem__)
@@ -65,8 +73,26 @@
     idempotency: Idempotency
     reason: str
     location: SourceLocation
-    deduplication_scope: DeduplicationScope = DeduplicationScope.ALL  # for IDEMPOTENCY_KEY
-    deduplication_window_us: int = 0  # for IDEMPOTENCY_KEY; 0: not declared
+    deduplication_scope: DeduplicationScope = DeduplicationScope.ALL  # used with IDEMPOTENCY_KEY only
+    deduplication_window_us: int = 0  # used with IDEMPOTENCY_KEY only; 0: not declared
+
+
+class AssignedClass(NamedTuple):
+    """A service class, and the location that assigns it to an operation."""
+
+    name: str  # empty: no class is assigned
+    location: SourceLocation | None
+
+
+class DeclaredTimeout(NamedTuple):
+    """A time-out, and the location that declares it for an operation."""
+
+    timeout_us: int  # 0: no time-out is declared
+    location: SourceLocation | None
+
+
+NO_CLASS = AssignedClass("", None)
+NO_TIMEOUT = DeclaredTimeout(0, None)
 
 
 class OperationKind(StrEnum):
@@ -76,21 +102,41 @@
     MESSAGE = "message"  # AsyncAPI: messages on a channel
 
 
+class HttpMethod(StrEnum):
+    """An HTTP method that OpenAPI describes. The value is the name of the method in a request."""
+
+    GET = "GET"
+    PUT = "PUT"
+    POST = "POST"
+    DELETE = "DELETE"
+    OPTIONS = "OPTIONS"
+    HEAD = "HEAD"
+    PATCH = "PATCH"
+    TRACE = "TRACE"
+    QUERY = "QUERY"
+
+
+HTTP_METHODS = frozenset(HttpMethod)
+
+
 class MessageAction(StrEnum):
-    """What the described application does with a message, from its own view."""
+    """What the described application itself does with a message. The value is AsyncAPI 3.0's word."""
 
     SEND = "send"
     RECEIVE = "receive"
 
 
+MESSAGE_ACTIONS = frozenset(MessageAction)
+
+
 @dataclass(frozen=True, slots=True)
 class Message:
-    """One message that a channel carries, or one body of an HTTP request."""
+    """A message of a channel, or a body of an HTTP request."""
 
     name: str
     location: SourceLocation
-    discriminator: str = ""  # the property that tells the alternatives of the schema apart
-    max_bytes: int | None = None  # where the schema bounds the size of its JSON
+    discriminator: str = ""  # name of the property that selects an alternative of the schema
+    max_bytes: int | None = None  # size of the longest JSON; None: the schema sets no bound
     content_type: str = ""
 
 
@@ -99,7 +145,7 @@
     """One operation: an HTTP method on a path, or sending or receiving on a channel."""
 
     kind: OperationKind
-    action: str  # the HTTP method in capitals, or a MessageAction
+    action: str  # an HttpMethod or a MessageAction
     route: str  # path template, or subject pattern
     id: str
     location: SourceLocation
@@ -107,9 +153,9 @@
     tags: tuple[str, ...] = ()
     channel: str = ""
     servers: tuple[str, ...] = ()  # URLs
-    queue_group: str = ""  # of a NATS binding
+    queue_group: str = ""  # from the NATS binding
     messages: tuple[Message, ...] = ()
-    reply: str = ""  # address of the channel that replies go to
+    reply: str = ""  # address of the channel for replies
     service_class: str = ""  # empty: the description declares none
     class_location: SourceLocation | None = None
     timeout_us: int = 0  # 0: the description declares none
@@ -118,7 +164,7 @@
 
     @property
     def name(self) -> str:
-        """The operation as messages name it, such as `GET /orders`."""
+        """The name of the operation in findings, such as `GET /orders`."""
         return f"{self.action} {self.route}"
 
 
@@ -128,5 +174,5 @@
 
     file: str
     title: str
-    format: str  # "openapi 3.1", "asyncapi 2.6", ...
+    format: str  # name and version, such as "openapi 3.1"
     operations: tuple[Operation, ...]
--- a/wheatstile/descriptions/openapi.py
+++ b/wheatstile/descriptions/openapi.py
@@ -1,19 +1,23 @@
-"""OpenAPI 3.0, 3.1 and 3.2: the operations of a document, and whether each may be retried. Pure."""
+"""Reads the operations of OpenAPI 3.0, 3.1 and 3.2 documents, and whether each may be retried. Pure."""
 
 from collections.abc import Iterator, Mapping
+from enum import StrEnum
 from functools import partial
 
 from wheatstile.descriptions.document import build_description
 from wheatstile.descriptions.extensions import (
+    RetryExtension,
     deduplication_of,
     retry_extension_of,
     service_class_of,
     timeout_of,
 )
 from wheatstile.descriptions.findings import InvalidDescriptionError
+from wheatstile.descriptions.keywords import IDEMPOTENCY_KEYWORDS
 from wheatstile.descriptions.model import (
     Description,
     Extension,
+    HttpMethod,
     Message,
     Operation,
     OperationKind,
@@ -25,45 +29,51 @@
 
 VERSION_KEY = "openapi"
 VERSIONS = ("3.0", "3.1", "3.2")
-METHODS = ("get", "put", "post", "delete", "options", "head", "patch", "trace", "query")
-SAFE = "safe"  # the words of RFC 9110, for messages
-IDEMPOTENT = "idempotent"
-METHOD_PROPERTIES: Mapping[str, str] = {
-    "GET": SAFE,
-    "HEAD": SAFE,
-    "OPTIONS": SAFE,
-    "TRACE": SAFE,
-    "QUERY": SAFE,  # by its own draft
-    "PUT": IDEMPOTENT,
-    "DELETE": IDEMPOTENT,
+
+
+class MethodProperty(StrEnum):
+    """A property of an HTTP method by which it may be repeated. The value is RFC 9110's word."""
+
+    SAFE = "safe"
+    IDEMPOTENT = "idempotent"
+
+
+METHOD_PROPERTIES: Mapping[HttpMethod, MethodProperty] = {
+    HttpMethod.GET: MethodProperty.SAFE,
+    HttpMethod.HEAD: MethodProperty.SAFE,
+    HttpMethod.OPTIONS: MethodProperty.SAFE,
+    HttpMethod.TRACE: MethodProperty.SAFE,
+    HttpMethod.QUERY: MethodProperty.SAFE,  # defined by the draft of the QUERY method
+    HttpMethod.PUT: MethodProperty.IDEMPOTENT,
+    HttpMethod.DELETE: MethodProperty.IDEMPOTENT,
 }
-"""Methods whose repetition has no further effect (RFC 9110, 9.2.1 and 9.2.2)."""
+"""Methods whose repetition has no further effect (RFC 9110, sections 9.2.1 and 9.2.2)."""
 
-KEY_LOCATION = "header"
-KEY_HEADER = "idempotency-key"
+IDEMPOTENCY_KEY_HEADER = "idempotency-key"  # lower case; names of headers are compared without case
+HEADER_PARAMETER = "header"  # value of a parameter's "in"
 
 
 def read_openapi(root: DocumentNode, version: str) -> Description:
     """Return the operations of a document. Raises InvalidDescriptionError with every finding."""
     paths = root.get("paths")
     builders = [
-        partial(_operation, root, path, path_item, method.upper(), unresolved)
+        partial(_operation, root, path, path_item, method, unresolved)
         for path, path_item in (paths.items() if paths else ())
-        for method in METHODS
-        if (unresolved := path_item.get_unresolved(method)) is not None
+        for method in HttpMethod
+        if (unresolved := path_item.get_unresolved(method.lower())) is not None
     ]
     return build_description(root, f"openapi {version}", builders)
 
 
 def _operation(
-    root: DocumentNode, path: str, path_item: DocumentNode, method: str, unresolved: DocumentNode
+    root: DocumentNode, path: str, path_item: DocumentNode, method: HttpMethod, unresolved: DocumentNode
 ) -> Operation:
     node = unresolved.resolved()
     if not path.startswith("/"):
         raise InvalidDescriptionError.at(path_item.location, f'the path "{path}" does not begin with /')
     servers = node.get("servers") or path_item.get("servers") or root.get("servers")
-    service_class, class_location = service_class_of(node, path_item, root)
-    timeout_us, timeout_location = timeout_of(node, path_item, root)
+    assigned_class = service_class_of(node, path_item, root)
+    declared_timeout = timeout_of(node, path_item, root)
     return Operation(
         kind=OperationKind.HTTP,
         action=method,
@@ -74,10 +84,10 @@
         tags=_tags(node),
         servers=tuple(server.get_text("url") for _, server in servers.items()) if servers else (),
         messages=tuple(_request_bodies(node)),
-        service_class=service_class,
-        class_location=class_location,
-        timeout_us=timeout_us,
-        timeout_location=timeout_location,
+        service_class=assigned_class.name,
+        class_location=assigned_class.location,
+        timeout_us=declared_timeout.timeout_us,
+        timeout_location=declared_timeout.location,
     )
 
 
@@ -89,18 +99,16 @@
 
 
 def _retry_safety(
-    method: str, path_item: DocumentNode, operation: DocumentNode, root: DocumentNode
+    method: HttpMethod, path_item: DocumentNode, operation: DocumentNode, root: DocumentNode
 ) -> RetrySafety:
-    """By the extension, else by the method, else by an Idempotency-Key parameter; never by a name."""
-    extension = retry_extension_of(operation, path_item, root)
+    """Return the retry safety by the first of: extension, method, required Idempotency-Key parameter.
+
+    The name of an operation is not considered.
+    """
     method_property = METHOD_PROPERTIES.get(method)
-    if extension:
+    if extension := retry_extension_of(operation, path_item, root):
         if extension.lacks_reason and method_property is None:
-            reason = (
-                f"says safe, but {method} has an effect each time (RFC 9110): say why in "
-                f"{Extension.BECAUSE}, or say keyed or unsafe"
-            )
-            raise InvalidDescriptionError.at(extension.location, reason, operation.location)
+            raise _missing_reason(method, extension, operation)
         return extension.retry_safety()
     if method_property:
         reason = f"{method} is {method_property} (RFC 9110)"
@@ -112,12 +120,29 @@
     return RetrySafety(Idempotency.NON_IDEMPOTENT, reason, operation.location)
 
 
+def _missing_reason(
+    method: HttpMethod, extension: RetryExtension, operation: DocumentNode
+) -> InvalidDescriptionError:
+    """Return the error for an extension that contradicts the method without giving a reason."""
+    safe = IDEMPOTENCY_KEYWORDS.keyword(Idempotency.IDEMPOTENT)
+    alternatives = IDEMPOTENCY_KEYWORDS.without(Idempotency.IDEMPOTENT).keywords
+    reason = (
+        f"says {safe}, but {method} has an effect each time (RFC 9110): say why in "
+        f"{Extension.BECAUSE}, or say {' or '.join(alternatives)}"
+    )
+    return InvalidDescriptionError.at(extension.location, reason, operation.location)
+
+
 def _is_idempotency_key(parameter: DocumentNode) -> bool:
-    return parameter.get_text("in") == KEY_LOCATION and parameter.get_text("name").lower() == KEY_HEADER
+    is_header = parameter.get_text("in") == HEADER_PARAMETER
+    return is_header and parameter.get_text("name").lower() == IDEMPOTENCY_KEY_HEADER
 
 
 def _keyed_retry_safety(parameter: DocumentNode, operation: DocumentNode) -> RetrySafety:
-    """Allow retries of an operation with an Idempotency-Key only if every request must carry one."""
+    """Return the retry safety by an Idempotency-Key parameter.
+
+    The operation is NON_IDEMPOTENT if the key is optional, since a request may then lack it.
+    """
     deduplication = deduplication_of(parameter, operation)
     required = parameter.get("required")
     if required is None or required.value is not True:
@@ -133,7 +158,7 @@
 
 
 def _parameters(path_item: DocumentNode, operation: DocumentNode) -> Iterator[DocumentNode]:
-    """Return the operation's own parameters, then those of its path."""
+    """Yield the operation's own parameters, then those of its path."""
     for holder in (operation, path_item):
         parameters = holder.get("parameters")
         for _, parameter in parameters.items() if parameters else ():
@@ -141,7 +166,7 @@
 
 
 def _request_bodies(operation: DocumentNode) -> Iterator[Message]:
-    """One message for each media type of the request body."""
+    """Yield one message for each media type of the request body."""
     body = operation.get("requestBody")
     content = body.get("content") if body else None
     name = operation.get_text("operationId") or "body"
--- a/wheatstile/descriptions/operator_rules.py
+++ b/wheatstile/descriptions/operator_rules.py
@@ -1,14 +1,15 @@
-"""The operator's rules and class overrides, with their locations in the operator's file."""
+"""Reads the operator's rules and class overrides, with their locations in the operator's file."""
 
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass, field, replace
 from pathlib import Path
 
 from wheatstile.config.operator import MOST_BYTES as MAX_OPERATOR_FILE_BYTES
-from wheatstile.config.operator import OperatorFile
+from wheatstile.config.operator import DescriptionRule, OperatorFile
 from wheatstile.config.violations import ConfigurationError, Violation, load, locate, pointer
 from wheatstile.descriptions.compile_types import ClassificationRule, ClassPolicies
 from wheatstile.descriptions.findings import Finding, InvalidDescriptionError, SourceLocation
+from wheatstile.descriptions.keywords import IDEMPOTENCY_KEYWORDS
 from wheatstile.descriptions.language import RuleSyntaxError, parse_condition
 from wheatstile.descriptions.route_compiler import unknown_class
 from wheatstile.interface import Idempotency
@@ -16,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LocatedOverride:
-    """What the operator says of a class, whatever its descriptions say."""
+    """The idempotency that the operator's file sets for a class, and where it does so."""
 
     idempotency: Idempotency
     location: SourceLocation
@@ -24,15 +25,16 @@
 
 @dataclass(frozen=True, slots=True)
 class OperatorRules:
-    """What the operator's file says of descriptions."""
+    """The rules and class overrides of one operator's file."""
 
     rules: Sequence[ClassificationRule] = ()
-    overrides: Mapping[str, LocatedOverride] = field(default_factory=dict)  # by class
+    overrides: Mapping[str, LocatedOverride] = field(default_factory=dict)
+    """Overrides by the name of the class."""
 
     def override(self, policies: ClassPolicies) -> ClassPolicies:
-        """Apply the overrides to the policies.
+        """Return the policies with the overrides applied.
 
-        Raises InvalidDescriptionError for a class that does not exist.
+        Raises InvalidDescriptionError for every class that does not exist.
         """
         unknown = [
             Finding(override.location, unknown_class(name, policies))
@@ -59,34 +61,50 @@
     rule_pointers = [pointer("descriptions", "rules", index, "when") for index in range(len(section.rules))]
     override_pointers = {name: pointer("descriptions", "classes", name, "repeat") for name in section.classes}
     locations = _locations(operator.path, [*rule_pointers, *override_pointers.values()])
-    rules = []
+    rule_locations = [locations[rule_pointer] for rule_pointer in rule_pointers]
+    overrides = {
+        name: LocatedOverride(
+            IDEMPOTENCY_KEYWORDS.member(section.classes[name].repeat), locations[override_pointer]
+        )
+        for name, override_pointer in override_pointers.items()
+    }
+    return OperatorRules(_parse_rules(section.rules, rule_locations), overrides)
+
+
+def _parse_rules(
+    rules: Sequence[DescriptionRule], locations: Sequence[SourceLocation]
+) -> list[ClassificationRule]:
+    """Return the rules parsed. Raises InvalidDescriptionError with a finding for each invalid rule."""
+    parsed = []
     findings = []
-    for rule, rule_pointer in zip(section.rules, rule_pointers, strict=True):
-        location = locations[rule_pointer]
+    for rule, location in zip(rules, locations, strict=True):
         try:
-            condition = parse_condition(rule.when)
+            parsed.append(_parse_rule(rule, location))
         except RuleSyntaxError as error:
             findings.append(Finding(location, str(error)))
-            continue
-        idempotency = Idempotency(rule.repeat) if rule.repeat else None
-        rules.append(ClassificationRule(condition, rule.service_class, location, idempotency))
     if findings:
         raise InvalidDescriptionError(findings)
-    overrides = {
-        name: LocatedOverride(Idempotency(section.classes[name].repeat), locations[override_pointer])
-        for name, override_pointer in override_pointers.items()
-    }
-    return OperatorRules(rules, overrides)
+    return parsed
+
+
+def _parse_rule(rule: DescriptionRule, location: SourceLocation) -> ClassificationRule:
+    """Return one rule parsed. Raises RuleSyntaxError."""
+    condition = parse_condition(rule.when)
+    idempotency = IDEMPOTENCY_KEYWORDS.member(rule.repeat) if rule.repeat else None
+    return ClassificationRule(condition, rule.service_class, location, idempotency)
 
 
 def _locations(file: Path, pointers: Sequence[str]) -> dict[str, SourceLocation]:
-    """Return the locations of these pointers; line 1 if the file has become invalid since it was read."""
+    """Return the locations of these pointers in the operator's file.
+
+    The line is 1 for all of them if the file can no longer be read or is no longer valid JSON.
+    """
     name = str(file)
     try:
         with file.open("rb") as source:
             data = source.read(MAX_OPERATOR_FILE_BYTES + 1)
         text, _ = load(name, data, MAX_OPERATOR_FILE_BYTES)
     except (OSError, ConfigurationError):
-        return {wanted: SourceLocation(name, 1, wanted) for wanted in pointers}
+        return {missing: SourceLocation(name, 1, missing) for missing in pointers}
     located = locate(text, [Violation(wanted, "") for wanted in pointers])
     return {found.pointer: SourceLocation(name, found.line, found.pointer) for found in located}
--- a/wheatstile/descriptions/reader.py
+++ b/wheatstile/descriptions/reader.py
@@ -32,19 +32,28 @@
 SWAGGER_KEY = "swagger"
 FORMAT_KEYS = (openapi.VERSION_KEY, asyncapi.VERSION_KEY, SWAGGER_KEY)
 DEFAULT_MAX_ATTEMPTS = 5
-MAX_SHOWN_CHARACTERS = 60  # of a value in a message
+MAX_SHOWN_CHARACTERS = 60  # longest quoted value in a finding
+ELLIPSIS = "..."
 
 
 @dataclass(slots=True)
 class DescriptionSet:
-    """Descriptions as read, and the files that they were read from with their fingerprints."""
+    """Descriptions as read, and the paths of all files that were read for them."""
 
     descriptions: list[Description] = field(default_factory=list)
-    files: dict[str, bytes] = field(default_factory=dict)
+    files: set[str] = field(default_factory=set)
+
+
+@dataclass(frozen=True, slots=True)
+class Compilation:
+    """Compiled descriptions, and the descriptions that they were compiled from."""
+
+    descriptions: CompiledDescriptions
+    source: DescriptionSet
 
 
 def read_descriptions(paths: Iterable[str | Path]) -> DescriptionSet:
-    """Read every description at these paths: a file, or all below a folder.
+    """Read the descriptions at these paths. For a folder, read all files below it.
 
     Raises InvalidDescriptionError with every finding.
     """
@@ -66,7 +75,8 @@
                 location = SourceLocation(str(file), 1, "")
                 findings.append(Finding(location, str(error) or type(error).__name__))
             else:
-                result.descriptions += [description] if description else []
+                if description:
+                    result.descriptions.append(description)
     if findings:
         raise InvalidDescriptionError(by_location(findings))
     return result
@@ -77,7 +87,10 @@
 
 
 def _read_description(folder: DocumentFolder, path: Path, *, may_be_part: bool) -> Description | None:
-    """Return the description in a file; None for a part that others refer to, where that is allowed."""
+    """Return the description in a file; None for a file without a format key if `may_be_part` allows it.
+
+    Raises InvalidDescriptionError and ValueError.
+    """
     root = folder.document(path)
     document = root.value
     if not isinstance(document, dict) or not any(key in document for key in FORMAT_KEYS):
@@ -85,7 +98,7 @@
             return None
         reason = f"is no description: none of the keys {', '.join(FORMAT_KEYS)} is there"
         raise InvalidDescriptionError.at(SourceLocation(root.file.name, 1, ""), reason)
-    # First of all: the validator follows references too, and its messages say less of what is wrong there.
+    # References are checked before the validator follows them, since its errors are less specific.
     if findings := reference_findings(root):
         raise InvalidDescriptionError(findings)
     if (version := version_of(document, openapi.VERSION_KEY, openapi.VERSIONS)) is not None:
@@ -98,7 +111,7 @@
 
 
 def _unsupported(root: DocumentNode, document: Mapping[str, JsonValue]) -> InvalidDescriptionError:
-    """Return the error for a description of another format or version."""
+    """Return the error for a description of an unsupported format or version."""
     if SWAGGER_KEY in document:
         key = SWAGGER_KEY
         reason = "is Swagger 2.0, which is not read: convert it to OpenAPI 3.0 (swagger2openapi does)"
@@ -110,13 +123,15 @@
 
 
 def _abbreviated(value: JsonValue) -> str:
-    """Return a value for a message: short, on one line."""
+    """Return a value as JSON on one line, shortened for a finding."""
     text = json.dumps(value, ensure_ascii=False, default=str)
-    return text if len(text) <= MAX_SHOWN_CHARACTERS else text[: MAX_SHOWN_CHARACTERS - 3] + "..."
+    if len(text) <= MAX_SHOWN_CHARACTERS:
+        return text
+    return text[: MAX_SHOWN_CHARACTERS - len(ELLIPSIS)] + ELLIPSIS
 
 
 def class_policies(settings: Mapping[str, ClassSettings]) -> dict[str, ClassPolicy]:
-    """Return the policies of the platform's classes, before anything is said of them here."""
+    """Return the policies of the platform's classes, without overrides."""
     return {
         name: ClassPolicy(
             name=name,
@@ -135,9 +150,11 @@
     classes: ClassPolicies | None = None,
     max_attempts: int = DEFAULT_MAX_ATTEMPTS,
     strict: bool = False,
-) -> tuple[CompiledDescriptions, DescriptionSet]:
-    """Read and compile, with the operator's rules and the platform's classes (None: not known).
+) -> Compilation:
+    """Read the descriptions at these paths and compile them with the operator's rules.
 
+    classes: the platform's classes; None if they are not known, so that class names are not checked.
+    strict: treat warnings as conflicts.
     Raises InvalidDescriptionError with every conflict.
     """
     operator_rules = read_operator_rules(operator)
@@ -146,4 +163,5 @@
         classes = operator_rules.override(classes)
     source = read_descriptions(paths)
     options = CompileOptions(max_attempts, section.require_class, strict or section.strict)
-    return compile_descriptions(source.descriptions, operator_rules.rules, classes, options), source
+    compiled = compile_descriptions(source.descriptions, operator_rules.rules, classes, options)
+    return Compilation(compiled, source)
--- a/wheatstile/descriptions/route_compiler.py
+++ b/wheatstile/descriptions/route_compiler.py
@@ -1,4 +1,4 @@
-"""Compiles one operation to its routes: its class, its retry safety, and what contradicts them. Pure."""
+"""Compiles one operation to its routes, with its class and retry safety, and reports contradictions. Pure."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -12,15 +12,18 @@
     CompileOptions,
     Route,
 )
-from wheatstile.descriptions.findings import FindingCollector, SourceLocation
+from wheatstile.descriptions.findings import FindingCollector
+from wheatstile.descriptions.keywords import IDEMPOTENCY_KEYWORDS
 from wheatstile.descriptions.model import (
-    MICROSECONDS_PER_SECOND,
+    AssignedClass,
+    Extension,
     Operation,
     OperationKind,
     RetrySafety,
     is_stricter,
+    seconds_text,
 )
-from wheatstile.descriptions.routes import RouteSyntaxError, path_tokens, subject_tokens
+from wheatstile.descriptions.routes import RouteSyntaxError, Token, path_tokens, subject_tokens
 from wheatstile.interface import Idempotency
 
 
@@ -31,15 +34,15 @@
 
 @dataclass(frozen=True, slots=True)
 class RouteCompiler:
-    """Compiles operations by the operator's rules and the platform's classes (None: not known)."""
+    """Compiles operations by the operator's rules and the platform's classes."""
 
     rules: Sequence[ClassificationRule]
-    classes: ClassPolicies | None
+    classes: ClassPolicies | None  # None: the platform's classes are not known
     options: CompileOptions
     findings: FindingCollector
 
     def check_rules(self) -> None:
-        """Report each rule whose class does not exist."""
+        """Report each rule whose class the platform does not have."""
         if self.classes is None:
             return
         for rule in self.rules:
@@ -49,25 +52,27 @@
     def routes_of(self, operation: Operation) -> list[Route]:
         """Return the routes of an operation, one for each path of its servers."""
         rule = next((rule for rule in self.rules if rule.matches(operation)), None)
-        service_class, class_location = self._service_class(operation, rule)
-        retry_safety = self._with_window(operation, self._by_rule(operation, rule))
-        if self.classes and service_class in self.classes:
-            self._check_deadline(operation, retry_safety, self.classes[service_class])
+        assigned = self._assigned_class(operation, rule)
+        retry_safety = self._require_window(operation, self._apply_rule(operation, rule))
+        if self.classes and assigned.name in self.classes:
+            policy = self.classes[assigned.name]
+            self._check_window(operation, retry_safety, policy)
+            self._check_timeout(operation, policy)
         routes = []
         for template in _templates(operation):
-            parse = path_tokens if operation.kind is OperationKind.HTTP else subject_tokens
             try:
-                tokens = parse(template)
+                tokens = _tokens(operation.kind, template)
             except RouteSyntaxError as error:
                 self.findings.conflict(operation.location, str(error))
                 continue
-            routes.append(Route(operation, tokens, template, service_class, class_location, retry_safety))
+            routes.append(Route(operation, tokens, template, assigned.name, assigned.location, retry_safety))
         return routes
 
-    def _service_class(
-        self, operation: Operation, rule: ClassificationRule | None
-    ) -> tuple[str, SourceLocation | None]:
-        """Return the class of an operation and where it was assigned; the description goes before a rule."""
+    def _assigned_class(self, operation: Operation, rule: ClassificationRule | None) -> AssignedClass:
+        """Return the class of an operation.
+
+        The class that the description declares takes precedence over the rule's.
+        """
         name = operation.service_class
         location = operation.class_location
         if rule and name and rule.service_class != name:
@@ -76,74 +81,81 @@
         if rule and not name:
             name = rule.service_class
             location = rule.location
-        # The class of a rule has been checked with the rule.
+        # `check_rules` has checked the class of a rule.
         if name and self.classes is not None and name not in self.classes and location and not rule:
             self.findings.conflict(location, unknown_class(name, self.classes))
         if not name:
             report = self.findings.conflict if self.options.require_class else self.findings.warn
             report(operation.location, f"{operation.name} has no class")
-        return name, location
+        return AssignedClass(name, location)
 
-    def _by_rule(self, operation: Operation, rule: ClassificationRule | None) -> RetrySafety:
-        """Apply the rule to the retry safety: a stricter rule holds, a looser one is a conflict."""
+    def _apply_rule(self, operation: Operation, rule: ClassificationRule | None) -> RetrySafety:
+        """Return the stricter of the declared retry safety and the rule's. A looser rule is a conflict."""
         declared = operation.retry_safety
         if rule is None or rule.idempotency is None:
             return declared
         if is_stricter(declared.idempotency, rule.idempotency):
             reason = (
-                f"{operation.name} is {declared.idempotency} ({declared.reason}), "
-                f"and the rule says {rule.idempotency}"
+                f"{operation.name} is {IDEMPOTENCY_KEYWORDS.keyword(declared.idempotency)} "
+                f"({declared.reason}), and the rule says {IDEMPOTENCY_KEYWORDS.keyword(rule.idempotency)}"
             )
             self.findings.conflict(declared.location, reason, rule.location)
-        elif is_stricter(rule.idempotency, declared.idempotency):
+            return declared
+        if is_stricter(rule.idempotency, declared.idempotency):
             return RetrySafety(
                 rule.idempotency,
-                "a rule says so, which is tighter",
+                "the operator's rule is stricter than the description",
                 rule.location,
                 declared.deduplication_scope,
                 declared.deduplication_window_us,
             )
         return declared
 
-    def _with_window(self, operation: Operation, retry_safety: RetrySafety) -> RetrySafety:
-        """Count an idempotency key without a window as unsafe, since any window would be a guess."""
-        if (
-            retry_safety.idempotency is not Idempotency.IDEMPOTENCY_KEY
-            or retry_safety.deduplication_window_us
-        ):
+    def _require_window(self, operation: Operation, retry_safety: RetrySafety) -> RetrySafety:
+        """Return the retry safety; NON_IDEMPOTENT for an idempotency key whose window is not declared.
+
+        How long servers discard a repeat is then unknown, and a default could be too long.
+        """
+        has_key = retry_safety.idempotency is Idempotency.IDEMPOTENCY_KEY
+        if not has_key or retry_safety.deduplication_window_us:
             return retry_safety
-        reason = (
-            f"{operation.name} is keyed, but for how long a repeat is known is not told: counted as unsafe"
-        )
+        keyed = IDEMPOTENCY_KEYWORDS.keyword(Idempotency.IDEMPOTENCY_KEY)
+        unsafe = IDEMPOTENCY_KEYWORDS.keyword(Idempotency.NON_IDEMPOTENT)
+        reason = f"{operation.name} is {keyed} without {Extension.WINDOW_S}, and is treated as {unsafe}"
         self.findings.warn(retry_safety.location, reason)
-        return RetrySafety(Idempotency.NON_IDEMPOTENT, "keyed without a window", retry_safety.location)
+        return RetrySafety(Idempotency.NON_IDEMPOTENT, f"{keyed} without a window", retry_safety.location)
 
-    def _check_deadline(self, operation: Operation, retry_safety: RetrySafety, policy: ClassPolicy) -> None:
-        """Report times that the deadline of the class's clients does not leave room for."""
+    def _check_window(self, operation: Operation, retry_safety: RetrySafety, policy: ClassPolicy) -> None:
+        """Report a deduplication window that is shorter than the deadline of the class's clients."""
         window_us = retry_safety.deduplication_window_us
         deadline_us = policy.client_deadline_us
         has_key = retry_safety.idempotency is Idempotency.IDEMPOTENCY_KEY
         if has_key and 0 < window_us < deadline_us:
             reason = (
-                f"{operation.name}: a repeat is known for {_seconds(window_us)} s, and the class "
-                f'"{policy.name}" tries again for up to {_seconds(deadline_us)} s'
+                f"{operation.name}: a repeat is known for {seconds_text(window_us)}, and the class "
+                f'"{policy.name}" tries again for up to {seconds_text(deadline_us)}'
             )
             self.findings.conflict(retry_safety.location, reason, policy.override_location)
+
+    def _check_timeout(self, operation: Operation, policy: ClassPolicy) -> None:
+        """Report a declared time-out that is longer than the deadline of the class's clients."""
+        deadline_us = policy.client_deadline_us
         if operation.timeout_us > deadline_us and operation.timeout_location:
             reason = (
-                f"{operation.name} takes up to {_seconds(operation.timeout_us)} s, and clients of the "
-                f'class "{policy.name}" give up after {_seconds(deadline_us)} s'
+                f"{operation.name} takes up to {seconds_text(operation.timeout_us)}, and clients of the "
+                f'class "{policy.name}" give up after {seconds_text(deadline_us)}'
             )
             self.findings.conflict(operation.timeout_location, reason, policy.override_location)
 
 
-def _seconds(microseconds: int) -> str:
-    return f"{microseconds / MICROSECONDS_PER_SECOND:g}"
-
-
 def _templates(operation: Operation) -> list[str]:
-    """Return the route below the path of each of its servers; servers that differ by host alone share one."""
+    """Return a route template for each distinct base path of the operation's servers."""
     if operation.kind is not OperationKind.HTTP:
         return [operation.route]
     base_paths = {urlsplit(url).path.rstrip("/") for url in operation.servers} or {""}
     return sorted(base_path + operation.route for base_path in base_paths)
+
+
+def _tokens(kind: OperationKind, template: str) -> tuple[Token, ...]:
+    """Return the tokens of a template. Raises RouteSyntaxError."""
+    return path_tokens(template) if kind is OperationKind.HTTP else subject_tokens(template)
--- a/wheatstile/descriptions/tightening.py
+++ b/wheatstile/descriptions/tightening.py
@@ -1,4 +1,4 @@
-"""Tightens the settings of service classes by what the descriptions say of them. Pure."""
+"""Applies the class policies learned from descriptions to the platform's settings. Pure."""
 
 from collections.abc import Mapping
 from dataclasses import replace
@@ -9,7 +9,7 @@
 
 
 def tighten_settings(settings: Settings, learned: Mapping[str, LearnedClass]) -> Settings:
-    """Return the settings with each learned class tightened; classes that the settings lack are left out."""
+    """Return the settings with each learned class tightened. Classes that the settings lack are ignored."""
     classes = dict(settings.classes)
     for name, learned_class in learned.items():
         if name in classes:
@@ -18,7 +18,7 @@
 
 
 def _tighten_class(service_class: ServiceClass, learned: LearnedClass) -> ServiceClass:
-    """Return the stricter idempotency, the narrower scope and the shorter window of the two."""
+    """Return the class with the stricter idempotency, narrower scope and shorter window of the two."""
     windows_us = [
         source.deduplication_window_us
         for source in (service_class, learned)
--- a/wheatstile/descriptions/worker.py
+++ b/wheatstile/descriptions/worker.py
@@ -1,7 +1,7 @@
 """Compiles descriptions in a process of its own: `python -m wheatstile.descriptions.worker`.
 
-The event loop of the balancer never waits for it, its memory is returned to the system, and the system bounds
-its time and memory. It reads one request as JSON from standard input and writes one result as JSON to
+A separate process keeps the balancer's event loop free, returns its memory to the system, and has limits on
+processor time and memory. It reads one request as JSON from standard input and writes one result as JSON to
 standard output (`worker_protocol`).
 """
 
@@ -10,8 +10,9 @@
 from pathlib import Path
 
 from wheatstile.config.operator import OperatorFile
+from wheatstile.descriptions.compile_types import ClassPolicy
 from wheatstile.descriptions.findings import InvalidDescriptionError
-from wheatstile.descriptions.reader import class_policies, compile_paths
+from wheatstile.descriptions.reader import Compilation, class_policies, compile_paths
 from wheatstile.descriptions.worker_protocol import (
     CompilationRejected,
     CompilationResult,
@@ -22,36 +23,44 @@
 )
 
 MAX_CPU_TIME_S = 120
-MAX_MEMORY_BYTES = 2 << 30
-MAX_REASONS = 100  # that a result holds; also of warnings
+MAX_MEMORY_MB = 2048
+BYTES_PER_MB = 1 << 20
+MAX_REPORTED = 100  # reasons or warnings in one result
 
 
 def handle_request(request: CompileRequest) -> CompilationResult:
-    """Compile what the request asks for: the classes as they hold, or the reasons for rejecting it."""
+    """Compile the descriptions that a request names; return a summary, or the reasons for rejecting them."""
     operator = OperatorFile(Path(request.operator_path), request.settings)
     paths = [operator.near(path) for path in operator.settings.descriptions.paths]
     policies = class_policies(request.classes)
     try:
-        compiled, source = compile_paths(paths, operator, policies, request.max_attempts)
+        compilation = compile_paths(paths, operator, policies, request.max_attempts)
     except InvalidDescriptionError as error:
-        return CompilationRejected(reasons=error.lines()[:MAX_REASONS], reason_count=len(error.findings))
+        return CompilationRejected(reasons=error.lines()[:MAX_REPORTED], reason_count=len(error.findings))
     except MemoryError:
-        return CompilationRejected(reasons=[f"needs more than {MAX_MEMORY_BYTES >> 20} MB"], reason_count=1)
+        return CompilationRejected(reasons=[f"needs more than {MAX_MEMORY_MB} MB"], reason_count=1)
+    return _summary(compilation)
+
+
+def _summary(compilation: Compilation) -> CompilationSummary:
+    descriptions = compilation.descriptions
     return CompilationSummary(
-        classes={
-            name: LearnedClass(policy.idempotency, policy.deduplication_scope, policy.deduplication_window_us)
-            for name, policy in compiled.classes.items()
-        },
-        route_count=len(compiled.routes),
-        files=sorted(source.files),
-        warnings=[str(warning) for warning in compiled.warnings[:MAX_REASONS]],
+        classes={name: _learned_class(policy) for name, policy in descriptions.classes.items()},
+        route_count=len(descriptions.routes),
+        files=sorted(compilation.source.files),
+        warnings=[str(warning) for warning in descriptions.warnings[:MAX_REPORTED]],
     )
 
 
+def _learned_class(policy: ClassPolicy) -> LearnedClass:
+    return LearnedClass(policy.idempotency, policy.deduplication_scope, policy.deduplication_window_us)
+
+
 def main() -> None:
-    """Bound this process, then answer the request on standard input."""
+    """Limit the time and memory of this process, then answer the request on standard input."""
+    max_memory_bytes = MAX_MEMORY_MB * BYTES_PER_MB
     resource.setrlimit(resource.RLIMIT_CPU, (MAX_CPU_TIME_S, MAX_CPU_TIME_S))
-    resource.setrlimit(resource.RLIMIT_AS, (MAX_MEMORY_BYTES, MAX_MEMORY_BYTES))
+    resource.setrlimit(resource.RLIMIT_AS, (max_memory_bytes, max_memory_bytes))
     request = CompileRequest.decode(sys.stdin.buffer.read())
     sys.stdout.buffer.write(encode_result(handle_request(request)))
 
--- a/wheatstile/descriptions/worker_client.py
+++ b/wheatstile/descriptions/worker_client.py
@@ -17,10 +17,11 @@
 
 WORKER_ARGUMENTS = ("-m", "wheatstile.descriptions.worker")
 WORKER_TIMEOUT_S = 300.0
+SECTION_POINTER = "/descriptions"  # JSON pointer in the operator's file
 
 
 def build_request(operator: OperatorFile, config: Config) -> bytes:
-    """Return the request for these files; equal bytes ask for the same compilation."""
+    """Return the encoded request for these files. Equal bytes ask for the same compilation."""
     request = CompileRequest(
         operator_path=str(operator.path.absolute()),
         classes=class_settings(config),
@@ -31,7 +32,7 @@
 
 
 def compile_blocking(request: bytes, operator: OperatorFile) -> CompilationResult:
-    """Compile in a worker and wait for it, for use before the event loop runs."""
+    """Run a worker and block until it has ended. For use before the event loop runs."""
     try:
         worker = subprocess.run(
             [sys.executable, *WORKER_ARGUMENTS],
@@ -41,12 +42,12 @@
             check=False,  # the exit status is part of the result
         )
     except subprocess.TimeoutExpired:
-        return _timed_out(f"{operator.path}:1: /descriptions")
-    return _result_of(worker.stdout, worker.returncode)
+        return _timed_out(f"{operator.path}:1: {SECTION_POINTER}")
+    return _decode_output(worker.stdout, worker.returncode)
 
 
 async def compile_in_worker(request: bytes) -> CompilationResult:
-    """Compile in a worker while the event loop goes on. The worker is killed when this is cancelled."""
+    """Run a worker while the event loop goes on. The worker is killed if this task is cancelled."""
     worker = await asyncio.create_subprocess_exec(
         sys.executable,
         *WORKER_ARGUMENTS,
@@ -58,14 +59,14 @@
         async with asyncio.timeout(WORKER_TIMEOUT_S):
             output, _ = await worker.communicate(request)
     except TimeoutError:
-        return _timed_out("/descriptions")
+        return _timed_out(SECTION_POINTER)
     finally:
-        await _end(worker)
-    return _result_of(output, worker.returncode)
+        await _kill(worker)
+    return _decode_output(output, worker.returncode)
 
 
-async def _end(worker: asyncio.subprocess.Process) -> None:
-    """Kill the worker if it still runs, and wait for its end."""
+async def _kill(worker: asyncio.subprocess.Process) -> None:
+    """Kill the worker if it still runs, and wait until it has ended."""
     if worker.returncode is not None:
         return
     with suppress(ProcessLookupError):
@@ -73,14 +74,18 @@
     await worker.wait()
 
 
-def _timed_out(origin: str) -> CompilationRejected:
-    return CompilationRejected(reasons=[f"{origin}: took over {WORKER_TIMEOUT_S:g} s"])
+def _timed_out(location: str) -> CompilationRejected:
+    reason = f"{location}: the compilation took more than {WORKER_TIMEOUT_S:g} s and was stopped"
+    return CompilationRejected(reasons=[reason])
 
 
-def _result_of(output: bytes, status: int | None) -> CompilationResult:
-    """Return what the worker wrote, or a rejection if it ended without a result."""
+def _decode_output(output: bytes, status: int | None) -> CompilationResult:
+    """Return the result that the worker wrote, or a rejection if it ended without one."""
     try:
         return decode_result(output)
     except ValueError:
-        reason = f"/descriptions: the worker ended with status {status}, out of its bounds or by a fault"
+        reason = (
+            f"{SECTION_POINTER}: the worker ended with status {status} and no result: "
+            "it exceeded its processor time or memory, or it failed"
+        )
         return CompilationRejected(reasons=[reason])
