--- a/tests/descriptions/test_descriptions_section.py
+++ b/tests/descriptions/test_descriptions_section.py
@@ -1,4 +1,4 @@
-"""Descriptions in a running balancer: which attempts follow a reset, and changes of the files."""
+"""Descriptions in a running balancer: the attempts that follow a reset, and changes of the files."""
 
 import asyncio
 import signal
@@ -18,17 +18,19 @@
 from wheatstile.resolvers.atomic_write import write_atomic
 
 IMMEDIATE_S = 1.5  # well below the client's deadline
+POLL_INTERVAL_S = 0.02
 KEYED = "x-wheatstile-repeat: keyed, x-wheatstile-window-s: 60, x-wheatstile-scope: zone, "
 THREE_OPERATIONS = (
     operation("s", "get", "reads")
     + operation("u", "post", "writes")
     + operation("k", "post", "orders", KEYED)
 )
+UNKNOWN_CLASS = operation("r", "get", "nobody")
 
 
 @pytest.fixture
 def balancer() -> Iterator[DescribedBalancer]:
-    """A balancer with descriptions, not started yet; it is ended with the test."""
+    """A balancer with descriptions, not started yet. It is ended with the test."""
     balancer = DescribedBalancer()
     try:
         yield balancer
@@ -36,64 +38,107 @@
         balancer.close()
 
 
+@pytest.fixture
+def started(balancer: DescribedBalancer) -> DescribedBalancer:
+    """A balancer that was started on the description of one operation, in the class `reads`."""
+    balancer.write_description(operation("s", "get", "reads"))
+    balancer.start_with_two_zones()
+    balancer.logged("descriptions_applied")
+    return balancer
+
+
+@pytest.fixture
+def changed(started: DescribedBalancer) -> DescribedBalancer:
+    """A balancer whose description was changed to THREE_OPERATIONS after its start."""
+    started.write_description(THREE_OPERATIONS)
+    started.logged("descriptions_applied")
+    return started
+
+
 def check_retries_of_every_class(balancer: DescribedBalancer) -> None:
-    """Check that safe is retried, unsafe rejected after one attempt, keyed retried in its zone."""
+    """Check that `reads` is retried, `writes` is tried once, and `orders` is retried in one zone only."""
+    check_idempotent_class_is_retried(balancer)
+    check_non_idempotent_class_is_tried_once(balancer)
+    check_class_with_key_is_retried_in_one_zone(balancer)
+
+
+def check_idempotent_class_is_retried(balancer: DescribedBalancer) -> None:
+    """Check that a request of `reads` has several attempts before it is rejected."""
     zones, answer = balancer.attempts("reads")
     assert len(zones) > 1
     assert answer == "BUSY"
+
+
+def check_non_idempotent_class_is_tried_once(balancer: DescribedBalancer) -> None:
+    """Check that a request of `writes` has one attempt, and is answered long before its deadline."""
     begin_s = time.monotonic()
     zones, answer = balancer.attempts("writes")
     assert (len(zones), answer) == (1, "ERR")
     assert time.monotonic() - begin_s < IMMEDIATE_S
+
+
+def check_class_with_key_is_retried_in_one_zone(balancer: DescribedBalancer) -> None:
+    """Check that all attempts of each request of `orders` go to one zone."""
     for _ in range(3):
         zones, answer = balancer.attempts("orders")
         assert (len(set(zones)), answer) == (1, "ERR"), zones
 
 
 def test_each_class_is_retried_as_its_descriptions_allow(balancer: DescribedBalancer) -> None:
-    balancer.describe(THREE_OPERATIONS)
-    balancer.begin()
+    balancer.write_description(THREE_OPERATIONS)
+    balancer.start_with_two_zones()
     classes = balancer.logged("descriptions_applied")["classes"]
     assert classes == {"orders": "keyed", "reads": "safe", "writes": "unsafe"}
     check_retries_of_every_class(balancer)
 
 
-def test_changed_descriptions_are_applied_completely_or_not_at_all(balancer: DescribedBalancer) -> None:
-    balancer.describe(operation("s", "get", "reads"))
-    balancer.begin()
-    balancer.logged("descriptions_applied")
-    assert len(balancer.attempts("writes")[0]) > 1  # nothing is declared of it yet
-    balancer.describe(THREE_OPERATIONS)
-    balancer.logged("descriptions_applied")
-    check_retries_of_every_class(balancer)
-    balancer.describe(THREE_OPERATIONS + operation("r", "get", "nobody"))
-    reasons = balancer.logged("descriptions_rejected")["reasons"]
+def test_class_without_described_operations_keeps_the_platform_settings(started: DescribedBalancer) -> None:
+    zones, _ = started.attempts("writes")
+    assert len(zones) > 1
+
+
+def test_changed_descriptions_are_applied(changed: DescribedBalancer) -> None:
+    check_retries_of_every_class(changed)
+
+
+def test_rejected_descriptions_leave_the_earlier_ones_in_force(changed: DescribedBalancer) -> None:
+    changed.write_description(THREE_OPERATIONS + UNKNOWN_CLASS)
+    reasons = changed.logged("descriptions_rejected")["reasons"]
     assert 'the class "nobody" is not in the settings' in reasons[0]
-    check_retries_of_every_class(balancer)
-    balancer.process.send_signal(signal.SIGHUP)  # the platform's settings are read and tightened again
-    balancer.logged("config_reloaded")
-    check_retries_of_every_class(balancer)
-    balancer.operator.write_text("{}")
-    balancer.process.send_signal(signal.SIGHUP)
-    balancer.logged("descriptions_disabled")
-    assert len(balancer.attempts("writes")[0]) > 1
+    check_retries_of_every_class(changed)
+
+
+def test_reloaded_platform_settings_are_tightened_again(changed: DescribedBalancer) -> None:
+    changed.write_description(THREE_OPERATIONS + UNKNOWN_CLASS)
+    changed.logged("descriptions_rejected")
+    changed.process.send_signal(signal.SIGHUP)
+    changed.logged("config_reloaded")
+    check_retries_of_every_class(changed)
+
+
+def test_descriptions_removed_from_the_operator_file_are_not_applied(changed: DescribedBalancer) -> None:
+    changed.operator_file.write_text("{}")
+    changed.process.send_signal(signal.SIGHUP)
+    changed.logged("descriptions_disabled")
+    zones, _ = changed.attempts("writes")
+    assert len(zones) > 1
 
 
 def test_change_in_a_referenced_file_is_applied(balancer: DescribedBalancer) -> None:
-    part = balancer.begin_with_part()
-    write_atomic(part, f"post: {{x-wheatstile-class: reads, {RESPONSES}}}\n".encode())
+    referenced = balancer.start_with_referenced_file()
+    write_atomic(referenced, f"post: {{x-wheatstile-class: reads, {RESPONSES}}}\n".encode())
     assert balancer.logged("descriptions_applied")["classes"] == {"reads": "unsafe"}
 
 
 def test_removal_of_a_referenced_file_is_rejected(balancer: DescribedBalancer) -> None:
-    part = balancer.begin_with_part()
-    part.unlink()
+    referenced = balancer.start_with_referenced_file()
+    referenced.unlink()
     reasons = balancer.logged("descriptions_rejected")["reasons"]
     assert "No such file" in reasons[0]
 
 
 def test_invalid_descriptions_at_the_start_end_the_process(balancer: DescribedBalancer) -> None:
-    balancer.describe(operation("u", "post", "wrong"))
+    balancer.write_description(operation("u", "post", "wrong"))
     balancer.write_config()
     balancer.launch()
     assert balancer.wait() == 1
@@ -101,14 +146,14 @@
 
 
 def test_change_keeps_the_platform_settings_that_were_read_last(balancer: DescribedBalancer) -> None:
-    balancer.describe(operation("s", "get", "reads"))
+    balancer.write_description(operation("s", "get", "reads"))
     balancer.write_config()
-    asyncio.run(follow_changes(balancer))
+    asyncio.run(check_that_a_change_keeps_other_settings(balancer))
 
 
-async def follow_changes(balancer: DescribedBalancer) -> None:
+async def check_that_a_change_keeps_other_settings(balancer: DescribedBalancer) -> None:
     """Change a platform setting that the worker does not need, then the description."""
-    operator = operator_file.read(str(balancer.operator))
+    operator = operator_file.read(str(balancer.operator_file))
     config = Config.read({"RELAY_CONFIG": str(balancer.path)})
     decisions = DecisionLoop(config.settings, config.seed)
     section = DescriptionsSection(decisions, None)
@@ -120,7 +165,7 @@
     decisions.configure(section.applied(changed.settings))
     section.follow(operator, changed)
 
-    balancer.describe(operation("s", "post", "reads"))
+    balancer.write_description(operation("s", "post", "reads"))
     await wait_until(lambda: section.learned["reads"].idempotency is Idempotency.NON_IDEMPOTENT)
     section.close()
     assert decisions.balancer.settings.fleet_size == fleet_size
@@ -131,4 +176,4 @@
     """Wait until the condition holds. Raises TimeoutError."""
     async with asyncio.timeout(TIMEOUT_S):
         while not condition():
-            await asyncio.sleep(0.02)
+            await asyncio.sleep(POLL_INTERVAL_S)
--- a/tests/support/described_balancer.py
+++ b/tests/support/described_balancer.py
@@ -10,46 +10,54 @@
 from support.peer import TIMEOUT_S, Listener, Peer
 from wheatstile.resolvers.atomic_write import write_atomic
 
-SERVERS_PER_ZONE = 12  # a server that resets is not tried again for a while
+SERVERS_PER_ZONE = 12  # enough for several requests, since a server that resets is ejected for a while
 CLIENT_DEADLINE_MS = 2000
-HEALTHY = "PONG x0=0.3"  # the answer to a health check
-CLASS = {"aimUs": 300000, "deadlineUs": 2000000, "repeat": "retryable"}
+HEALTHY = "PONG x0=0.3"  # reply to a health check
+CLASS_SETTINGS = {"aimUs": 300000, "deadlineUs": 2000000, "repeat": "retryable"}
 CLASS_NAMES = ("reads", "writes", "orders")
 HEADER = "openapi: 3.1.0\ninfo: {title: t, version: '1'}\npaths:\n"
 RESPONSES = "responses: {default: {description: d}}"
 
 
-def operation(path: str, method: str, name: str, more: str = "") -> str:
-    """Return a path of a description with one operation of the class."""
-    return f"  /{path}: {{{method}: {{x-wheatstile-class: {name}, {more}{RESPONSES}}}}}\n"
+def operation(path: str, method: str, service_class: str, extensions: str = "") -> str:
+    """Return the YAML of a path with one operation of the class."""
+    return f"  /{path}: {{{method}: {{x-wheatstile-class: {service_class}, {extensions}{RESPONSES}}}}}\n"
 
 
 class DescribedBalancer(Balancer):
-    """A balancer whose operator's file names the descriptions in a folder; it is not started yet."""
+    """A balancer whose operator's file names the descriptions in a folder.
+
+    The constructor opens a listener for the servers of each zone, and starts no process.
+    """
 
     def __init__(self) -> None:
-        super().__init__({"classes": [CLASS | {"name": name} for name in CLASS_NAMES]})
+        super().__init__({"classes": [CLASS_SETTINGS | {"name": name} for name in CLASS_NAMES]})
         base = Path(self.folder.name)
         self.descriptions = base / "api"
         self.descriptions.mkdir()
         self.description = self.descriptions / "shop.yaml"
-        self.operator = base / "operator.json"
+        self.operator_file = base / "operator.json"
         self.write_operator(paths=["api"])
-        self.arguments = ("serve", "--file", str(self.operator))
+        self.arguments = ("serve", "--file", str(self.operator_file))
         self.other_zone = Listener()
         self._ids = itertools.count(1)
 
+    def close(self) -> None:
+        """End the process, remove its files, and close the listener of the other zone."""
+        super().close()
+        self.other_zone.sock.close()
+
     def write_operator(self, paths: list[str]) -> None:
-        """Write an operator's file that names these descriptions."""
+        """Write an operator's file that names these paths of descriptions."""
         section = {"paths": paths, "settle_s": 0.05, "recheck_s": 0.3}
-        self.operator.write_text(json.dumps({"descriptions": section}))
+        self.operator_file.write_text(json.dumps({"descriptions": section}))
 
-    def describe(self, paths: str) -> None:
-        """Write the description with these paths."""
+    def write_description(self, paths: str) -> None:
+        """Write the description with these paths, each as `operation` returns it."""
         write_atomic(self.description, (HEADER + paths).encode())
 
-    def begin(self) -> None:
-        """Start the balancer with servers in two zones."""
+    def start_with_two_zones(self) -> None:
+        """Start the balancer with servers in two zones. `close` ends it."""
         elsewhere = {"locality": "there", "host_port": self.other_zone.address}
         numbers = range(SERVERS_PER_ZONE)
         self.start(
@@ -57,19 +65,22 @@
             + [self.member(f"there{number}", **elsewhere) for number in numbers]
         )
 
-    def begin_with_part(self) -> Path:
-        """Start on a description that refers to another file; return that file."""
+    def start_with_referenced_file(self) -> Path:
+        """Start the balancer on a description that refers to another file. Return that file."""
         self.write_operator(paths=["api/shop.yaml"])
-        part = self.descriptions / "parts" / "p.yaml"
-        part.parent.mkdir()
-        part.write_text(f"get: {{x-wheatstile-class: reads, {RESPONSES}}}\n")
-        self.describe("  /s: {$ref: 'parts/p.yaml'}\n")
-        self.begin()
+        referenced = self.descriptions / "parts" / "p.yaml"
+        referenced.parent.mkdir()
+        referenced.write_text(f"get: {{x-wheatstile-class: reads, {RESPONSES}}}\n")
+        self.write_description("  /s: {$ref: 'parts/p.yaml'}\n")
+        self.start_with_two_zones()
         assert self.logged("descriptions_applied")["classes"] == {"reads": "safe"}
-        return part
+        return referenced
 
     def attempts(self, service_class: str) -> tuple[list[str], str]:
-        """Open one connection; return the zones that it was tried in and the client's final answer."""
+        """Open one connection, and reset every attempt.
+
+        Return the zones of the attempts in their order, and the first word of the client's final answer.
+        """
         client = self.client()
         fields = f"c={service_class},d={CLIENT_DEADLINE_MS},g=g{next(self._ids)}"
         client.send(f"OPEN {next(self._ids):016x} key {fields}")
@@ -92,7 +103,7 @@
 
 
 def answer_health_check(listener: Listener, peer: Peer) -> None:
-    """Answer a health check on an open connection, or forget the connection if it has ended."""
+    """Answer a health check on an open connection, or close the connection if the balancer has ended it."""
     if peer.line():
         peer.send(HEALTHY)
     else:
@@ -101,7 +112,10 @@
 
 
 def reset_attempt(listener: Listener) -> bool:
-    """Accept a connection and reset it if it is an attempt; a health check is answered, and its peer kept."""
+    """Accept a connection. Reset it and return True if it is an attempt.
+
+    A health check is answered, and its connection stays open in the listener's list.
+    """
     peer = listener.accept()
     if peer.line() == "STATS":
         peer.send(HEALTHY)
