--- a/tests/process/test_background_tasks.py
+++ b/tests/process/test_background_tasks.py
@@ -1,19 +1,20 @@
-"""Background tasks: they run beside the block, survive their own faults, and end with the block."""
+"""Background tasks run during their context, are restarted after a failure, and end with the context."""
 
 import asyncio
+from functools import partial
 
 import pytest
 
 from wheatstile.process.background_tasks import run_supervised, running_in_background
 
 
-def test_a_component_that_fails_starts_again() -> None:
+def test_failed_component_is_restarted() -> None:
     starts: list[int] = []
 
     async def component() -> None:
         starts.append(len(starts))
         if len(starts) < 3:
-            raise RuntimeError("a fault")
+            raise RuntimeError("the component failed")
         await asyncio.Event().wait()
 
     async def main() -> None:
@@ -25,7 +26,7 @@
     assert starts == [0, 1, 2]
 
 
-def test_all_have_ended_when_the_block_is_left() -> None:
+def test_components_have_ended_when_the_context_exits() -> None:
     running: set[str] = set()
 
     async def component(name: str) -> None:
@@ -33,16 +34,16 @@
         try:
             await asyncio.Event().wait()
         finally:
-            await asyncio.sleep(0.01)  # what takes a while to end is waited for
+            await asyncio.sleep(0.01)  # the exit of the context waits for slow components
             running.discard(name)
 
     async def main() -> None:
         names = ("one", "two")
-        with pytest.raises(RuntimeError, match="of the block"):
-            async with running_in_background({name: lambda name=name: component(name) for name in names}):  # type: ignore[misc]
+        with pytest.raises(RuntimeError, match="raised inside the context"):
+            async with running_in_background({name: partial(component, name) for name in names}):
                 await asyncio.sleep(0.05)
                 assert running == {"one", "two"}
-                raise RuntimeError("of the block")
+                raise RuntimeError("raised inside the context")
         assert not running
 
     asyncio.run(main())
--- a/tests/process/test_config_reload.py
+++ b/tests/process/test_config_reload.py
@@ -1,11 +1,11 @@
-"""Reload of the platform's file: what it changes, what holds until the next start, and what is rejected."""
+"""Reload of the platform's file: which fields it changes, and which files it rejects."""
 
 import json
 from pathlib import Path
 from typing import Any
 
 import pytest
-from peers import SETTINGS
+from support.balancer import SETTINGS
 
 from wheatstile.config.platform import Config
 from wheatstile.process.reload import reload_platform_config
@@ -23,6 +23,7 @@
 
 @pytest.fixture
 def path(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Path:
+    """A file with DOCUMENT, named by RELAY_CONFIG; the other variables are not set."""
     path = tmp_path / "config.json"
     path.write_text(json.dumps(DOCUMENT))
     monkeypatch.setenv("RELAY_CONFIG", str(path))
@@ -31,12 +32,14 @@
     return path
 
 
-def test_keys_of_the_start_are_kept_and_named_and_all_others_are_followed(path: Path) -> None:
+def test_reload_changes_every_field_except_those_read_only_at_the_start(path: Path) -> None:
     current = Config.read({"RELAY_CONFIG": str(path)})
     known = DOCUMENT["known"] | {"revision": 9}
     changes = {"name": "n1", "listen": "127.0.0.1:90", "seed": "2", "known": known}
     path.write_text(json.dumps(DOCUMENT | changes | {"discovery": "127.0.0.1:91", "limits": {"sockets": 40}}))
+
     reloaded = reload_platform_config(current)
+
     assert reloaded is not None
     assert reloaded.pending_restart == ["name", "listen", "seed", "known"]
     latest = reloaded.config
@@ -46,18 +49,21 @@
     assert latest.client_limits.descriptors == 40
 
 
-def test_discovery_is_the_files_whatever_the_variable_says(
+def test_reload_takes_discovery_from_the_file_and_not_from_the_variable(
     path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setenv("RELAY_DISCOVERY", "127.0.0.1:99")
     current = Config.read({"RELAY_CONFIG": str(path), "RELAY_DISCOVERY": "127.0.0.1:99"})
+
     reloaded = reload_platform_config(current)
+
     assert reloaded is not None
     assert reloaded.config.discovery == ("127.0.0.1", 81)
     assert reloaded.pending_restart == []
 
 
-def test_a_file_that_cannot_be_used_is_rejected(path: Path) -> None:
+def test_file_that_is_not_json_is_rejected(path: Path) -> None:
     current = Config.read({"RELAY_CONFIG": str(path)})
     path.write_text("{")
+
     assert reload_platform_config(current) is None
--- a/tests/process/test_listener_socket.py
+++ b/tests/process/test_listener_socket.py
@@ -1,4 +1,4 @@
-"""The listening socket: an address in use is waited for, any other cause is raised at once."""
+"""The listening socket: binding is retried while the address is in use; any other error is raised at once."""
 
 import asyncio
 import socket
@@ -10,7 +10,7 @@
 ANY_PORT = ("127.0.0.1", 0)
 
 
-def test_a_free_address_is_bound_at_once_and_does_not_block() -> None:
+def test_free_address_is_bound_to_a_non_blocking_socket() -> None:
     async def main() -> None:
         listener = await bind_listener(ANY_PORT, asyncio.Event())
         assert listener is not None
@@ -20,10 +20,10 @@
     asyncio.run(main())
 
 
-def test_an_address_is_bound_once_its_holder_has_closed() -> None:
+def test_address_in_use_is_bound_after_the_other_socket_closes() -> None:
     async def main() -> None:
-        with socket.create_server(ANY_PORT) as holder:
-            address = holder.getsockname()
+        with socket.create_server(ANY_PORT) as other:
+            address = other.getsockname()
             binding = asyncio.create_task(bind_listener(address, asyncio.Event()))
             await asyncio.sleep(3 * BIND_RETRY_S)
             assert not binding.done()
@@ -35,11 +35,11 @@
     asyncio.run(main())
 
 
-def test_a_shutdown_ends_the_wait() -> None:
+def test_shutdown_request_ends_the_retries() -> None:
     async def main() -> None:
         shutdown_requested = asyncio.Event()
-        with socket.create_server(ANY_PORT) as holder:
-            binding = asyncio.create_task(bind_listener(holder.getsockname(), shutdown_requested))
+        with socket.create_server(ANY_PORT) as other:
+            binding = asyncio.create_task(bind_listener(other.getsockname(), shutdown_requested))
             await asyncio.sleep(0)
             shutdown_requested.set()
             assert await binding is None
@@ -47,7 +47,7 @@
     asyncio.run(main())
 
 
-def test_any_other_cause_is_raised_at_once() -> None:
+def test_any_error_but_an_address_in_use_is_raised_at_once() -> None:
     async def main() -> None:
         with pytest.raises(OSError, match="assign"):
             await bind_listener(("192.0.2.1", 1), asyncio.Event())
--- a/tests/process/test_reload.py
+++ b/tests/process/test_reload.py
@@ -1,4 +1,4 @@
-"""SIGHUP: what a reload changes, and what it leaves alone."""
+"""A reload by SIGHUP, seen from outside: what it changes, what it rejects, and what stays as it is."""
 
 import json
 import select
@@ -10,7 +10,7 @@
 from support.balancer import SETTINGS, SLOW_CONNECT, WITHOUT_HEALTH_CHECKS, Balancer
 from support.peer import Listener
 
-ABSURD_SETTINGS: tuple[tuple[str, object], ...] = (
+INVALID_SETTINGS: tuple[tuple[str, object], ...] = (
     ("fleetSize", 0), ("fleetSize", "three"), ("classes.0.aimUs", 0), ("classes.0.aimUs", None),
     ("classes.0.deadlineUs", 0), ("classes.0.deadlineUs", True), ("limits.maxAttempts", 0),
     ("limits.dialTimeoutUs", -1), ("limits.dialTimeoutUs", "75"), ("limits.keepaliveUs", 0),
@@ -19,7 +19,7 @@
     ("familyInfo.messageAimUs", [-1]), ("deductions.crossZone", float("inf")),
     ("accounts", [{"name": "a", "share": 0}]),
 )  # fmt: skip
-KEYS_IN_MESSAGES = {"fleetSize": "fleet"}  # where a message does not name the key itself
+WORDS_IN_MESSAGES = {"fleetSize": "fleet"}  # for keys that the message does not name literally
 
 
 @pytest.fixture
@@ -40,39 +40,42 @@
     return json.dumps(copy)
 
 
-def key_of(path: str) -> str:
-    """Return what the message for a bad setting at this path names."""
+def word_in_message(path: str) -> str:
+    """Return the word by which the message for an invalid setting at this path names its key."""
     key = path.rpartition(".")[2]
-    return KEYS_IN_MESSAGES.get(key, key)
+    return WORDS_IN_MESSAGES.get(key, key)
 
 
-def test_watch_follows_the_files_discovery_and_nothing_else_changes(balancer: Balancer) -> None:
-    files_discovery = Listener()
-    balancer.path.write_text(json.dumps(balancer.config() | {"discovery": files_discovery.address}))
-    # It goes before the file, until the file changes.
+def test_reload_moves_the_watch_to_the_discovery_of_the_file(balancer: Balancer) -> None:
+    # The variable has priority over the file until the first reload.
+    new_discovery = Listener()
+    balancer.path.write_text(json.dumps(balancer.config() | {"discovery": new_discovery.address}))
     balancer.launch(RELAY_DISCOVERY=balancer.discovery.address)
     balancer.ready()
     old, _ = balancer.discovery.watch()
     old.begin_watch()
     old.chunk(70, balancer.member("s2"))
     client, server = balancer.establish()
+
     balancer.reload()
-    call, request = files_discovery.watch()
-    # Its revisions are its own: changes since any revision told elsewhere might leave some out.
+
+    # Revisions of the old discovery mean nothing to the new one, so the complete list is fetched first.
+    call, request = new_discovery.watch()
     assert request == "GET /discovery/hosts HTTP/1.1"
     assert old.line() == ""
     body = json.dumps({"revision": 2, "complete": True, "members": [balancer.member("s3")]}, indent=1)
     call.send("HTTP/1.1 200 OK", f"Content-Length: {len(body)}", "", body)
-    watch, request = files_discovery.watch()
+    watch, request = new_discovery.watch()
     assert "after=2 " in request
     watch.begin_watch()
     watch.chunk(3, balancer.member("s3", host_port=Listener().address))
     watch.close()
-    new_watch, request = files_discovery.watch()
+    new_watch, request = new_discovery.watch()
     assert "after=3 " in request
-    client.send("still")
-    assert server.line() == "still"
-    balancer.reload()
+    client.send("a line")
+    assert server.line() == "a line"  # the open session is not affected
+
+    balancer.reload()  # without a change, the watch stays open
     new_watch.begin_watch()
     new_watch.chunk(4, balancer.member("s3"), complete=True)
     balancer.establish(2)
@@ -80,30 +83,36 @@
 
 def test_new_discovery_is_called_at_once_though_the_old_one_failed(balancer: Balancer) -> None:
     balancer.start()
-    for _ in range(3):  # from here the next call would be two to six seconds off
+    for _ in range(3):  # the back-off after three failures is 2 to 6 s
         balancer.discovery.watch()[0].close()
-    new = Listener()
+    new_discovery = Listener()
     reloaded_at = time.monotonic()
-    balancer.reload(discovery=new.address)
-    new.watch()
+
+    balancer.reload(discovery=new_discovery.address)
+
+    new_discovery.watch()
     assert time.monotonic() - reloaded_at < 1.5
 
 
 def test_unusable_file_changes_nothing(balancer: Balancer) -> None:
     balancer.start()
     watch, _ = balancer.discovery.watch()
-    good = json.loads(balancer.path.read_text())
-    for text in ["{", "[" * 100_000, json.dumps(good | {"discovery": "nowhere"}), "[]"]:
+    valid = json.loads(balancer.path.read_text())
+
+    for text in ["{", "[" * 100_000, json.dumps(valid | {"discovery": "nowhere"}), "[]"]:
         assert balancer.reload(text)["level"] == "error", text[:20]
+
     watch.begin_watch()
     watch.chunk(2, balancer.member("s2"))
     balancer.establish()
 
 
-def test_new_settings_count_at_once(balancer: Balancer) -> None:
+def test_new_settings_are_applied_at_once(balancer: Balancer) -> None:
     balancer.start()
     classes = [SETTINGS["classes"][0] | {"name": "other"}]
+
     entry = balancer.reload(name="n1", settings=SETTINGS | balancer.settings | {"classes": classes})
+
     assert "name" in entry["pending_restart"]
     client = balancer.client()
     client.send("OPEN 0000000000000001 k c=other,d=9000,g=a")
@@ -111,24 +120,25 @@
 
 
 @pytest.mark.parametrize("settings", [SLOW_CONNECT])
-def test_absurd_settings_are_rejected_at_a_reload_with_their_key(balancer: Balancer) -> None:
+def test_reload_rejects_an_invalid_setting_and_names_its_key(balancer: Balancer) -> None:
     balancer.start()
-    good = json.loads(balancer.path.read_text())
-    for path, value in ABSURD_SETTINGS:
-        entry = balancer.reload(with_setting(good, path, value))
+    valid = json.loads(balancer.path.read_text())
+    for path, value in INVALID_SETTINGS:
+        entry = balancer.reload(with_setting(valid, path, value))
         assert entry["event"] == "config_reload_rejected", (path, value)
-        assert key_of(path) in entry["reason"], (path, value)
+        assert word_in_message(path) in entry["reason"], (path, value)
     balancer.check_serving(1)
 
 
 @pytest.mark.parametrize("settings", [SLOW_CONNECT])
-@pytest.mark.parametrize(("path", "value"), ABSURD_SETTINGS[::4])  # a reload reads by the same code
-def test_absurd_settings_are_rejected_at_the_start_with_their_key(
+# Every fourth setting is enough: the start and a reload read them with the same code.
+@pytest.mark.parametrize(("path", "value"), INVALID_SETTINGS[::4])
+def test_start_rejects_an_invalid_setting_and_names_its_key(
     balancer: Balancer, path: str, value: object
 ) -> None:
     balancer.start(text=with_setting(balancer.config(), path, value))
     assert balancer.wait() == 2
-    assert key_of(path) in balancer.stop()
+    assert word_in_message(path) in balancer.stop()
 
 
 @pytest.mark.parametrize("settings", [SLOW_CONNECT])
@@ -136,18 +146,21 @@
     balancer.start()
     watch, _ = balancer.discovery.watch()
     watch.begin_watch()
-    new = Listener()
-    balancer.path.write_text(json.dumps(json.loads(balancer.path.read_text()) | {"discovery": new.address}))
+    new_discovery = Listener()
+    config = json.loads(balancer.path.read_text())
+    balancer.path.write_text(json.dumps(config | {"discovery": new_discovery.address}))
+
     with balancer.paused():
         watch.close()
         balancer.process.send_signal(signal.SIGHUP)
     balancer.logged("config_reloaded")
-    call, request = new.watch()
+
+    call, request = new_discovery.watch()
     assert request == "GET /discovery/hosts HTTP/1.1"
-    call.send("HTTP/1.1 200 OK", "Content-Length: 2", "", "{}")  # no list: asked for again
-    _, request = new.watch()
+    call.send("HTTP/1.1 200 OK", "Content-Length: 2", "", "{}")  # not a list, so the list is fetched again
+    _, request = new_discovery.watch()
     assert request == "GET /discovery/hosts HTTP/1.1"
-    assert select.select([new.sock, balancer.discovery.sock], [], [], 1.0)[0] == []
+    assert select.select([new_discovery.sock, balancer.discovery.sock], [], [], 1.0)[0] == []
 
 
 @pytest.mark.parametrize("settings", [SLOW_CONNECT])
@@ -159,9 +172,11 @@
 ) -> None:
     balancer.start()
     client, _server = balancer.establish()
+
     with balancer.paused():
         balancer.process.send_signal(first)
         balancer.process.send_signal(second)
+
     assert (client.line(), client.line()) == ("MOVE", "")
     client.close()
     assert balancer.wait() == 0
--- a/tests/process/test_restart.py
+++ b/tests/process/test_restart.py
@@ -1,4 +1,4 @@
-"""Restarts of the process under load."""
+"""Restarts of the process while many clients reconnect."""
 
 import itertools
 import signal
@@ -6,7 +6,8 @@
 import subprocess
 import threading
 import time
-from contextlib import suppress
+from collections.abc import Iterator
+from contextlib import closing, suppress
 from typing import Any
 
 import pytest
@@ -14,9 +15,9 @@
 from support.balancer import SLOW_CONNECT, Balancer
 from support.peer import TIMEOUT_S, Peer
 
-# Of the standing test.
-READY_TIMEOUT_S = 6.0
-READY_TIMEOUT_BESIDE_PREDECESSOR_S = 10.0
+READY_TIMEOUT_S = 6.0  # from the launch until the balancer answers PING
+READY_TIMEOUT_BESIDE_PREDECESSOR_S = 10.0  # while the previous process still uses the address
+RECONNECT_DELAY_S = 0.02
 
 
 @pytest.fixture
@@ -24,29 +25,32 @@
     return SLOW_CONNECT
 
 
-class Load:
-    """Clients that connect again at once, for as long as the program is restarted under them."""
+class ReconnectingClients:
+    """Starts one thread for each client, which opens a session and reconnects when it ends.
 
-    CLIENTS = 20
+    `close` ends all threads and their connections.
+    """
+
+    COUNT = 20
 
     def __init__(self, listen: tuple[str, int]) -> None:
         self.listen = listen
-        self.established = 0  # connections that have come up
+        self.established = 0  # sessions established so far
         self._numbers = itertools.count(1)
         self._changed = threading.Condition()
-        self._over = threading.Event()
-        self._threads = [threading.Thread(target=self._keep_connecting) for _ in range(self.CLIENTS)]
+        self._closing = threading.Event()
+        self._threads = [threading.Thread(target=self._keep_connecting) for _ in range(self.COUNT)]
         for thread in self._threads:
             thread.start()
 
     def _keep_connecting(self) -> None:
-        while not self._over.is_set():
-            with suppress(OSError):
+        while not self._closing.is_set():
+            with suppress(OSError):  # the connect is refused while no process listens
                 self._run_session()
-            self._over.wait(0.02)  # refused, while nobody listens
+            self._closing.wait(RECONNECT_DELAY_S)
 
     def _run_session(self) -> None:
-        """Run one session until the balancer ends it."""
+        """Open one session, and return when the balancer ends it."""
         with socket.create_connection(self.listen, TIMEOUT_S) as sock:
             client = Peer(sock)
             with self._changed:
@@ -58,35 +62,41 @@
                 self.established += 1
                 self._changed.notify_all()
             client.sock.settimeout(0.2)
-            while not self._over.is_set():
+            while not self._closing.is_set():
                 with suppress(TimeoutError):
                     if not client.line():
                         return
 
     def wait_for_all(self, before: int) -> None:
-        """Wait until as many sessions as there are clients were established since there were so many."""
+        """Wait until COUNT more sessions than `before` have been established."""
         with self._changed:
-            assert self._changed.wait_for(lambda: self.established >= before + self.CLIENTS, TIMEOUT_S)
+            assert self._changed.wait_for(lambda: self.established >= before + self.COUNT, TIMEOUT_S)
 
-    def end(self) -> None:
-        """End all clients."""
-        self._over.set()
+    def close(self) -> None:
+        """End all clients and wait for their threads."""
+        self._closing.set()
         for thread in self._threads:
             thread.join()
 
 
+@pytest.fixture
+def fleet() -> Iterator[Fleet]:
+    """Three servers that accept every session."""
+    with closing(Fleet(["s1", "s2", "s3"])) as fleet:
+        yield fleet
+
+
 @pytest.mark.parametrize("address_in_use", [False, True], ids=["address free", "address in use"])
-def test_restart_under_load_is_ready_in_time(balancer: Balancer, address_in_use: bool) -> None:
-    """Three times in a row, all clients coming again at once; the second way the address is still held."""
-    fleet = Fleet(["s1", "s2", "s3"])
+def test_restart_under_load_is_ready_in_time(balancer: Balancer, fleet: Fleet, address_in_use: bool) -> None:
+    """Restarts three times. With `address_in_use`, the new process starts while the old one shuts down."""
     members = [balancer.member(name, host_port=address) for name, address in fleet.addresses.items()]
     balancer.start(members, stderr=subprocess.DEVNULL)
-    load = Load(balancer.listen)
-    try:
-        load.wait_for_all(before=0)
+    timeout_s = READY_TIMEOUT_BESIDE_PREDECESSOR_S if address_in_use else READY_TIMEOUT_S
+    with closing(ReconnectingClients(balancer.listen)) as clients:
+        clients.wait_for_all(before=0)
         for _ in range(3):
             predecessor = balancer.process
-            established = load.established
+            established = clients.established
             predecessor.send_signal(signal.SIGTERM)
             if not address_in_use:
                 assert predecessor.wait(TIMEOUT_S) == 0
@@ -94,9 +104,5 @@
             balancer.launch(stderr=subprocess.DEVNULL)
             assert predecessor.wait(TIMEOUT_S) == 0
             balancer.ready()
-            ready_after_s = time.monotonic() - launched_at
-            assert ready_after_s < (READY_TIMEOUT_BESIDE_PREDECESSOR_S if address_in_use else READY_TIMEOUT_S)
-            load.wait_for_all(before=established)
-    finally:
-        load.end()
-        fleet.close()
+            assert time.monotonic() - launched_at < timeout_s
+            clients.wait_for_all(before=established)
--- a/tests/process/test_shutdown_schedule.py
+++ b/tests/process/test_shutdown_schedule.py
@@ -1,4 +1,4 @@
-"""The schedule of a graceful shutdown: it ends in time before the platform kills the process."""
+"""The schedule of a graceful shutdown ends before the platform sends SIGKILL."""
 
 import pytest
 
@@ -15,12 +15,13 @@
     ("longest_deadline_s", "serve_s", "migrate_s"),
     [(1.0, 0.5, 0.5), (2.0, 0.7, 1.3), (3.0, 1.7, 1.3), (9.0, 1.7, 1.3)],
 )
-def test_the_last_client_is_migrated_before_the_process_is_killed(
+def test_last_migration_is_a_margin_before_the_earliest_sigkill(
     longest_deadline_s: float, serve_s: float, migrate_s: float
 ) -> None:
     schedule = ShutdownSchedule.for_deadline(longest_deadline_s)
+
     assert schedule.serve_s == pytest.approx(serve_s)
     assert schedule.migrate_s == pytest.approx(migrate_s)
-    killed_after_s = min(longest_deadline_s, MAX_COUNTED_DEADLINE_S) + KILL_MARGIN_S
+    earliest_kill_s = min(longest_deadline_s, MAX_COUNTED_DEADLINE_S) + KILL_MARGIN_S
     assert schedule.serve_s >= NEW_CONNECTIONS_S
-    assert schedule.serve_s + schedule.migrate_s == pytest.approx(killed_after_s - MIGRATION_MARGIN_S)
+    assert schedule.serve_s + schedule.migrate_s == pytest.approx(earliest_kill_s - MIGRATION_MARGIN_S)
--- a/tests/process/test_start.py
+++ b/tests/process/test_start.py
@@ -1,4 +1,4 @@
-"""The start of the process: its address, its configuration, and signals that come early."""
+"""The start of the process: an address in use, an unusable configuration, and signals during the start."""
 
 import json
 import os
@@ -26,10 +26,12 @@
 @pytest.mark.parametrize(
     ("text", "message"), [("{", "config.json"), (NO_SETTINGS, "missing"), ("[]", "config.json")]
 )
-def test_unusable_configuration_is_one_plain_line(balancer: Balancer, text: str, message: str) -> None:
+def test_unusable_configuration_is_reported_in_one_line(balancer: Balancer, text: str, message: str) -> None:
     if text == NO_SETTINGS:
         text = json.dumps(balancer.config() | {"settings": {}})
+
     balancer.start(text=text)
+
     assert balancer.wait() == 2
     errors = balancer.stop()
     assert errors.count("\n") == 1, errors
@@ -37,7 +39,7 @@
 
 
 @pytest.mark.parametrize("settings", [{}])
-def test_address_in_use_is_waited_for(balancer: Balancer) -> None:
+def test_process_serves_once_its_address_is_free(balancer: Balancer) -> None:
     balancer.write_config()
     with socket.create_server(balancer.listen):
         balancer.launch()
@@ -57,12 +59,12 @@
 
 def test_sighup_while_the_address_is_in_use_changes_discovery(balancer: Balancer) -> None:
     balancer.write_config()
-    new = Listener()
+    new_discovery = Listener()
     with socket.create_server(balancer.listen):
         balancer.launch()
         balancer.logged("bind_address_in_use")
-        balancer.reload(discovery=new.address)
-        assert new.watch()[1] == "GET /discovery/hosts HTTP/1.1"
+        balancer.reload(discovery=new_discovery.address)
+        assert new_discovery.watch()[1] == "GET /discovery/hosts HTTP/1.1"
     balancer.logged("serving_started")
 
 
@@ -71,21 +73,23 @@
     text = json.dumps(balancer.config())
     os.mkfifo(balancer.path)
     balancer.launch()
-    with open(balancer.path, "w") as file:  # opens once the program has opened it to read
+    with open(balancer.path, "w") as file:  # blocks until the program has opened the file
         balancer.process.send_signal(signal.SIGHUP)
         file.write(text)
     balancer.logged("serving_started")
     balancer.path.write_text(text)  # read by the reload
+
     balancer.logged("config_reloaded")
     balancer.ready()
 
 
 def test_sighup_while_the_program_is_loaded_ends_nothing(balancer: Balancer) -> None:
-    """By the command of the deploy file: the interpreter is held in its start until the signal came."""
+    """Runs the command of the deploy file. `sitecustomize` blocks the start until the signal is sent."""
     command = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["run"]
     folder = Path(balancer.folder.name)
-    os.mkfifo(folder / "hold")
-    (folder / "sitecustomize.py").write_text(f"open({str(folder / 'hold')!r}).read()\n")
+    gate = folder / "gate"
+    os.mkfifo(gate)
+    (folder / "sitecustomize.py").write_text(f"open({str(gate)!r}).read()\n")
     balancer.write_config()
     environ = {key: value for key, value in os.environ.items() if not key.startswith("RELAY_")}
     balancer.node = subprocess.Popen(
@@ -95,8 +99,10 @@
         stderr=subprocess.PIPE,
         text=True,
     )
-    with open(folder / "hold", "w"):  # opens once the interpreter reads it
+
+    with open(gate, "w"):  # blocks until the interpreter opens it
         balancer.process.send_signal(signal.SIGHUP)
+
     balancer.logged("serving_started")
     balancer.ready()
 
@@ -110,10 +116,10 @@
 
 
 @pytest.mark.parametrize("settings", [{}])
-def test_log_that_cannot_be_written_ends_nothing(balancer: Balancer) -> None:
+def test_balancer_serves_though_its_log_cannot_be_written(balancer: Balancer) -> None:
     with open("/dev/full", "wb") as full:
         balancer.start(stderr=full)
         client, _server = balancer.establish()
-        balancer.terminate()  # which logs again
+        balancer.terminate()  # the shutdown is logged, too
         assert client.line() == "MOVE"
         assert balancer.wait() == 0
--- a/wheatstile/__main__.py
+++ b/wheatstile/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m wheatstile`: with no argument the platform's balancer, else the command line."""
+"""Entry point of `python -m wheatstile`: runs the balancer without arguments, else the command line."""
 
 import sys
 
--- a/wheatstile/cli/serve.py
+++ b/wheatstile/cli/serve.py
@@ -1,15 +1,20 @@
-"""`serve`: the balancer, with the operator's file where one is named."""
+"""`wheatstile serve`: runs the balancer, optionally with an operator's file."""
 
 import click
 
 from wheatstile import logs
 from wheatstile.process import main as process
 
+LOG_FORMATS = click.Choice([log_format.value for log_format in logs.LogFormat])
+LOG_LEVELS = click.Choice([level.value for level in logs.LogLevel])
+
 
 @click.command("serve")
-@click.option("--file", metavar="FILE", help=f"The operator's file (else {process.OPERATOR_FILE} names one).")
-@click.option("--log-format", type=click.Choice(logs.FORMATS), help="Goes before the file's.")
-@click.option("--log-level", type=click.Choice(logs.LEVELS), help="Goes before the file's.")
+@click.option(
+    "--file", metavar="FILE", help=f"The operator's file (default: {process.OPERATOR_FILE_VARIABLE})."
+)
+@click.option("--log-format", type=LOG_FORMATS, help="Overrides the operator's file.")
+@click.option("--log-level", type=LOG_LEVELS, help="Overrides the operator's file.")
 def command(file: str | None, log_format: str | None, log_level: str | None) -> int:
-    """Serve until SIGTERM, from RELAY_* and the operator's file."""
+    """Serve until SIGTERM, with the configuration in RELAY_* and the operator's file."""
     return process.main(file, log_format, log_level)
--- a/wheatstile/logs.py
+++ b/wheatstile/logs.py
@@ -1,4 +1,4 @@
-"""The log on standard error, by structlog. Its events' names are listed in docs/operators/logs.md."""
+"""Configuration of the log on standard error. docs/operators/logs.md lists the events."""
 
 import logging
 import os
@@ -11,43 +11,50 @@
 
 
 class LogFormat(StrEnum):
-    """How a line of the log is written: for programs, or for people."""
+    """The format of the log's lines; the values are those of the option and the operator's file."""
 
     JSON = "json"
     CONSOLE = "console"
 
 
-FORMATS = tuple(one.value for one in LogFormat)
-LEVELS = ("debug", "info", "warning", "error")
+class LogLevel(StrEnum):
+    """The lowest level that is logged; the values are those of the option and the operator's file."""
+
+    DEBUG = "debug"
+    INFO = "info"
+    WARNING = "warning"
+    ERROR = "error"
+
+
 STDERR_DESCRIPTOR = 2
 
 
 class LossyStderr:
-    """Standard error, for complete lines.
+    """A text stream that writes complete lines to standard error, and drops a line that cannot be written.
 
-    A line that cannot be written (a full disk, a reader that has gone, a full pipe that does not wait) is
-    dropped: a balancer with connections may not end over its log.
+    Writing fails if the disk is full, the reader has closed the pipe, or a non-blocking pipe is full. The
+    process must not end because of its log.
     """
 
     def __init__(self) -> None:
         self._parts: list[str] = []
 
     def write(self, text: str) -> int:
-        """Keep a part of a line. Returns its length."""
+        """Buffer a part of a line, and return its length."""
         self._parts.append(text)
         return len(text)
 
     def flush(self) -> None:
-        """Write what was kept."""
+        """Write the buffered line."""
         line = "".join(self._parts).encode("utf-8", "replace")
         self._parts = []
         with suppress(OSError):
-            # Past Python's own buffer, which would keep the line and fail again, at the end with status 120.
+            # os.write bypasses the buffer of sys.stderr, which would keep the line and fail again on exit.
             os.write(STDERR_DESCRIPTOR, line)
 
 
-def configure(log_format: str = LogFormat.JSON, level: str = "info") -> None:
-    """Log lines of this level and above, in this format."""
+def configure(log_format: str = LogFormat.JSON, level: str = LogLevel.INFO) -> None:
+    """Configure structlog to log events of this level and above in this format."""
     processors: list[structlog.typing.Processor] = [
         structlog.processors.add_log_level,
         structlog.processors.TimeStamper(fmt="iso", utc=True),
--- a/wheatstile/process/background_tasks.py
+++ b/wheatstile/process/background_tasks.py
@@ -1,4 +1,4 @@
-"""Tasks that run beside the main one, restarted when they fail and cancelled when their scope ends."""
+"""Supervised background tasks: restarted after a failure, and cancelled when their context ends."""
 
 import asyncio
 from collections.abc import AsyncIterator, Awaitable, Callable, Mapping
@@ -11,10 +11,14 @@
 RESTART_DELAY_S = 0.05
 
 Component = Callable[[], Awaitable[None]]
+"""Creates the coroutine of a background task; called again for each restart."""
 
 
 async def run_supervised(name: str, component: Component) -> None:
-    """Run a component until cancelled; an exception is logged, and the component starts again."""
+    """Run a component until cancelled. Log an exception, and start the component again after RESTART_DELAY_S.
+
+    A component that returns is started again too.
+    """
     while True:
         try:
             await component()
@@ -25,7 +29,10 @@
 
 @asynccontextmanager
 async def running_in_background(components: Mapping[str, Component]) -> AsyncIterator[None]:
-    """Run these components, by name, while the block is entered. At its end all have been cancelled."""
+    """Run the named components for the duration of the context.
+
+    On exit all of them are cancelled, and have ended when the exit completes.
+    """
     tasks = [asyncio.create_task(run_supervised(name, component)) for name, component in components.items()]
     try:
         yield
--- a/wheatstile/process/balancer_process.py
+++ b/wheatstile/process/balancer_process.py
@@ -1,6 +1,7 @@
-"""The running balancer: its parts, and its life from start to graceful shutdown."""
+"""The running balancer: its components, from the start to the end of the graceful shutdown."""
 
 import asyncio
+import socket
 from typing import TYPE_CHECKING
 
 import structlog
@@ -20,7 +21,7 @@
 from wheatstile.process.operator_sections import OperatorSections
 from wheatstile.process.reload import reload_operator_file, reload_platform_config
 
-if TYPE_CHECKING:  # what is switched off is not imported
+if TYPE_CHECKING:  # optional subsystems are imported only when the operator's file enables them
     from wheatstile.config.operator import OperatorFile
     from wheatstile.descriptions.section import StartupCompilation
 
@@ -28,7 +29,7 @@
 
 
 class BalancerProcess:
-    """Owns the balancer's parts, and what its signals do to them. Made inside the event loop."""
+    """Owns the balancer's components and handles the process's signals. Create it inside the event loop."""
 
     def __init__(
         self,
@@ -50,11 +51,14 @@
         signals.install_handlers(self.shutdown_requested.set, self.reload, self.report_counters)
 
     def report_counters(self) -> None:
-        """Log every counter by its name."""
+        """Log the value of every counter, each as a field with the counter's name."""
         log.info("counters_reported", **self.decisions.counters)
 
     def reload(self) -> None:
-        """Apply the files as they are now to the running parts; a file that is rejected changes nothing."""
+        """Read the operator's file and the platform's file again, and apply each one that is valid.
+
+        A file that is rejected changes nothing.
+        """
         self.decisions.counters["config_reloads"] += 1
         self._reload_operator_file()
         self._reload_platform_config()
@@ -82,37 +86,41 @@
         self.discovery_watcher.follow(self.config.discovery)
         log.info("config_reloaded", discovery=self.config.discovery, pending_restart=reloaded.pending_restart)
 
-    def _start_parts(self) -> None:
+    def _start_components(self) -> None:
         self.decisions.start(self.upstreams, self.discovery_watcher)
         self.discovery_watcher.on_update(self.config.known, api.EndpointUpdateKind.CACHED)
+        # Where discovery is polled, the decisions ask for the first watch.
         if not self.config.settings.poll_endpoints:
-            self.discovery_watcher.watch()  # a watch that pushes counts as answered from the first moment
+            self.discovery_watcher.watch()
         if self.operator:
             self.sections.follow(self.operator, self.config)
 
     async def run(self) -> None:
         """Serve until a shutdown is requested, then shut down gracefully.
 
-        Raises OSError if it cannot listen.
+        Raises OSError if the listening socket cannot be bound.
         """
-        # Before the address is bound: a signal may be acted on as soon as the decisions have been started.
-        self._start_parts()
+        # A signal may arrive while the address is being bound, and its handler needs the started components.
+        self._start_components()
         listener = await bind_listener(self.config.listen, self.shutdown_requested)
         if listener is None:
             log.info("shutdown_requested_before_serving")
             return
+        with listener:
+            await self._serve(listener)
+        self.report_counters()
+
+    async def _serve(self, listener: socket.socket) -> None:
         monitors = {
             "unresponsive_upstream_detector": UnresponsiveUpstreamDetector(self.client_listener).run,
             "latency_monitor": LatencyMonitor(self.upstreams, self.decisions).run,
         }
-        with listener:
-            async with running_in_background(monitors):
-                async with running_in_background({"accept": lambda: self.client_listener.serve(listener)}):
-                    log.info("serving_started", name=self.config.name, servers=len(self.upstreams.by_name))
-                    await self.shutdown_requested.wait()
-                    log.info("shutdown_started", connections=len(self.decisions.sessions))
-                    await migrate_clients(self.client_listener, self.config.longest_deadline_s)
-                await answer_pending_clients(self.client_listener, listener)
-                self.discovery_watcher.close()
-                self.sections.close()
-        self.report_counters()
+        async with running_in_background(monitors):
+            async with running_in_background({"accept": lambda: self.client_listener.serve(listener)}):
+                log.info("serving_started", name=self.config.name, servers=len(self.upstreams.by_name))
+                await self.shutdown_requested.wait()
+                log.info("shutdown_started", connections=len(self.decisions.sessions))
+                await migrate_clients(self.client_listener, self.config.longest_deadline_s)
+            await answer_pending_clients(self.client_listener, listener)
+            self.discovery_watcher.close()
+            self.sections.close()
--- a/wheatstile/process/graceful_shutdown.py
+++ b/wheatstile/process/graceful_shutdown.py
@@ -1,6 +1,7 @@
-"""Graceful shutdown: after SIGTERM, clients are migrated while there is time, and the rest are rejected.
+"""Graceful shutdown of the process: after SIGTERM clients are migrated, and the remaining ones are rejected.
 
-The platform sends SIGKILL a while after SIGTERM, so the schedule counts backwards from the earliest moment.
+The platform sends SIGKILL some time after SIGTERM, so the schedule is computed backwards from the earliest
+SIGKILL.
 """
 
 import asyncio
@@ -12,41 +13,42 @@
 from wheatstile.net.graceful_shutdown import GracefulShutdown
 from wheatstile.net.line_stream import LINGER_S
 
-KILL_MARGIN_S = 0.7  # beside the longest deadline, from SIGTERM to SIGKILL at the earliest
-MAX_COUNTED_DEADLINE_S = 3.0  # a longer deadline is taken as this one
-NEW_CONNECTIONS_S = 0.5  # in which new connections still come after SIGTERM
-# Clients are migrated late and over a while: until then they are served here, and where balancers are
-# restarted in turn, the one before this may still be down.
-MIGRATION_MARGIN_S = 0.7  # before SIGKILL, by which the last client has been migrated
-MIGRATION_SPREAD_S = 1.3  # over which the migrations are spread
+KILL_MARGIN_S = 0.7  # minimum time between the end of the longest deadline and SIGKILL
+MAX_COUNTED_DEADLINE_S = 3.0  # upper bound for the deadline that the schedule assumes
+NEW_CONNECTIONS_S = 0.5  # minimum time of unchanged service: new connections still arrive after SIGTERM
+# Migrations start late and are spread over time, because a client may reconnect to another balancer, and in a
+# rolling restart the balancer that was restarted before this one may not be ready yet.
+MIGRATION_MARGIN_S = 0.7  # time between the last migration and the earliest SIGKILL
+MIGRATION_SPREAD_S = 1.3  # duration of the migrations
 
 
 @dataclass(frozen=True, slots=True)
 class ShutdownSchedule:
-    """How long clients are served after SIGTERM as before, and over how long they are migrated then."""
+    """The two phases after SIGTERM: unchanged service for `serve_s`, then migrations during `migrate_s`."""
 
     serve_s: float
     migrate_s: float
 
     @classmethod
     def for_deadline(cls, longest_deadline_s: float) -> "ShutdownSchedule":
-        """Make the schedule that ends MIGRATION_MARGIN_S before the earliest SIGKILL."""
-        killed_after_s = min(longest_deadline_s, MAX_COUNTED_DEADLINE_S) + KILL_MARGIN_S
-        serve_s = max(NEW_CONNECTIONS_S, killed_after_s - MIGRATION_MARGIN_S - MIGRATION_SPREAD_S)
-        return cls(serve_s, killed_after_s - MIGRATION_MARGIN_S - serve_s)
+        """Return the schedule that ends MIGRATION_MARGIN_S before the earliest SIGKILL."""
+        earliest_kill_s = min(longest_deadline_s, MAX_COUNTED_DEADLINE_S) + KILL_MARGIN_S
+        migrations_end_s = earliest_kill_s - MIGRATION_MARGIN_S
+        serve_s = max(NEW_CONNECTIONS_S, migrations_end_s - MIGRATION_SPREAD_S)
+        return cls(serve_s, migrations_end_s - serve_s)
 
 
 async def migrate_clients(client_listener: ClientListener, longest_deadline_s: float) -> None:
-    """Serve on for a while, then migrate the clients one by one; new ones are still accepted."""
+    """Serve as before for a while, then migrate the clients one by one. New clients are still accepted."""
     schedule = ShutdownSchedule.for_deadline(longest_deadline_s)
     await asyncio.sleep(schedule.serve_s)
     await GracefulShutdown(client_listener).migrate_sessions(schedule.migrate_s)
 
 
 async def answer_pending_clients(client_listener: ClientListener, listener: socket.socket) -> None:
-    """Answer the clients that are left, and close the listening socket; nobody may accept from it meanwhile.
+    """Answer the remaining clients and close the listening socket. No other task may accept from it.
 
-    It has a time of its own, so that all get an answer however late it is.
+    The timeout of LINGER_S starts with this call, so every client is answered even if the shutdown is late.
     """
     with suppress(TimeoutError):
         async with asyncio.timeout(LINGER_S):
--- a/wheatstile/process/listener_socket.py
+++ b/wheatstile/process/listener_socket.py
@@ -1,4 +1,4 @@
-"""The listening socket, bound also while a predecessor that is about to exit still holds the address."""
+"""Creation of the listening socket, with retries while the previous process still uses the address."""
 
 import asyncio
 import errno
@@ -9,25 +9,25 @@
 
 log = structlog.get_logger()
 
-BACKLOG = 1024  # connections that the kernel queues until they are accepted
-BIND_TIMEOUT_S = 6.0  # more than the longest graceful shutdown, after which a predecessor's address is free
-BIND_RETRY_S = 0.05
+BACKLOG = 1024  # connections queued by the kernel until they are accepted
+BIND_TIMEOUT_S = 6.0  # longer than any graceful shutdown of the previous process
+BIND_RETRY_S = 0.05  # interval between attempts to bind
 
 
 async def bind_listener(address: tuple[str, int], shutdown_requested: asyncio.Event) -> socket.socket | None:
-    """Listen on `address`, and retry for BIND_TIMEOUT_S while another process holds it.
+    """Return a non-blocking socket that listens on `address`, or None if a shutdown is requested first.
 
-    Returns None if a shutdown is requested meanwhile: nobody has been served yet, so nothing is to be done.
-    Raises OSError when the address cannot be bound, at once for any cause but an address in use.
+    While the address is in use, retries for BIND_TIMEOUT_S. Raises OSError when that time is over, and at
+    once for any other error.
     """
     loop = asyncio.get_running_loop()
-    give_up_at = loop.time() + BIND_TIMEOUT_S
+    deadline_s = loop.time() + BIND_TIMEOUT_S
     is_logged = False
     while True:
         try:
             return _create_listener(address)
         except OSError as error:
-            if error.errno != errno.EADDRINUSE or loop.time() > give_up_at:
+            if error.errno != errno.EADDRINUSE or loop.time() > deadline_s:
                 raise
         if not is_logged:
             log.warning("bind_address_in_use", address=f"{address[0]}:{address[1]}", timeout_s=BIND_TIMEOUT_S)
--- a/wheatstile/process/main.py
+++ b/wheatstile/process/main.py
@@ -1,5 +1,6 @@
-"""The start of the process: settings from RELAY_* and the operator's file, then the event loop."""
+"""The start of the balancer: reads RELAY_* and the operator's file, then runs the event loop."""
 
+import enum
 import os
 import resource
 import sys
@@ -12,35 +13,44 @@
 from wheatstile.process import signals
 from wheatstile.process.balancer_process import BalancerProcess
 
-if TYPE_CHECKING:  # what is switched off is not imported
+if TYPE_CHECKING:  # optional subsystems are imported only when the operator's file enables them
     from wheatstile.config.operator import OperatorFile
     from wheatstile.descriptions.section import StartupCompilation
 
-OPERATOR_FILE = "WHEATSTILE_FILE"  # the variable that names the operator's file, where no option does
+OPERATOR_FILE_VARIABLE = "WHEATSTILE_FILE"  # names the operator's file; the option --file has priority
 
-EXIT_OK = 0
-EXIT_REJECTED = 1  # an operator's file or descriptions that are rejected, or an address nobody can listen on
-EXIT_BAD_CONFIG = 2  # no usable RELAY_CONFIG
+
+class ExitStatus(enum.IntEnum):
+    """The exit statuses of the balancer."""
+
+    OK = 0
+    REJECTED = 1
+    """The operator's file or the descriptions were rejected, or the listening address cannot be bound."""
+    BAD_CONFIG = 2
+    """RELAY_CONFIG is missing or names a file that cannot be used."""
 
 
 class StartError(Exception):
-    """The balancer cannot start: the exit status, and the lines that say why."""
+    """The balancer cannot start. Carries the exit status and the lines to print to standard error."""
 
-    def __init__(self, status: int, lines: list[str]) -> None:
+    def __init__(self, status: ExitStatus, lines: list[str]) -> None:
         super().__init__("\n".join(lines))
         self.status = status
         self.lines = lines
 
 
 def main(file: str | None = None, log_format: str | None = None, log_level: str | None = None) -> int:
-    """Serve from RELAY_*, and from the operator's file if one is named. Returns the exit status."""
+    """Run the balancer until SIGTERM or SIGINT, and return the exit status.
+
+    The platform's configuration comes from RELAY_*. `file` names the operator's file, which is optional.
+    """
     signals.block_reload_signal()
     try:
-        _serve(file or os.environ.get(OPERATOR_FILE), log_format, log_level)
+        _serve(file or os.environ.get(OPERATOR_FILE_VARIABLE), log_format, log_level)
     except StartError as error:
         print("\n".join(error.lines), file=sys.stderr)
         return error.status
-    return EXIT_OK
+    return ExitStatus.OK
 
 
 def _serve(file: str | None, log_format: str | None, log_level: str | None) -> None:
@@ -50,13 +60,13 @@
     startup_compilation = _compile_descriptions(operator, config) if operator else None
     _raise_descriptor_limit()
     try:
-        uvloop.run(_balance(config, operator, startup_compilation))
+        uvloop.run(_run_balancer(config, operator, startup_compilation))
     except OSError as error:
         host, port = config.listen
-        raise StartError(EXIT_REJECTED, [f"wheatstile: {host}:{port}: {error}"]) from error
+        raise StartError(ExitStatus.REJECTED, [f"wheatstile: {host}:{port}: {error}"]) from error
 
 
-async def _balance(
+async def _run_balancer(
     config: Config, operator: "OperatorFile | None", startup_compilation: "StartupCompilation | None"
 ) -> None:
     await BalancerProcess(config, operator, startup_compilation).run()
@@ -68,22 +78,22 @@
     try:
         return operator.read(file)
     except violations.ConfigurationError as error:
-        raise StartError(EXIT_REJECTED, error.lines()) from error
+        raise StartError(ExitStatus.REJECTED, error.lines()) from error
 
 
 def _configure_log(operator: "OperatorFile | None", log_format: str | None, log_level: str | None) -> None:
-    """Configure the log; the command line's options go before the operator's file."""
+    """Configure the log. The arguments have priority over the operator's file."""
     if operator:
         log_format = log_format or operator.settings.log.format
         log_level = log_level or operator.settings.log.level
-    logs.configure(log_format or "json", log_level or "info")
+    logs.configure(log_format or logs.LogFormat.JSON, log_level or logs.LogLevel.INFO)
 
 
 def _read_platform_config() -> Config:
     try:
         return Config.read(os.environ)
     except ConfigError as error:
-        raise StartError(EXIT_BAD_CONFIG, [f"wheatstile: {error}"]) from error
+        raise StartError(ExitStatus.BAD_CONFIG, [f"wheatstile: {error}"]) from error
 
 
 def _compile_descriptions(operator: "OperatorFile", config: Config) -> "StartupCompilation | None":
@@ -94,11 +104,11 @@
 
     result = compile_at_startup(operator, config)
     if isinstance(result, CompilationRejected):
-        raise StartError(EXIT_REJECTED, result.reasons)
+        raise StartError(ExitStatus.REJECTED, result.reasons)
     return result
 
 
 def _raise_descriptor_limit() -> None:
-    """As many descriptors as the system allows: each connection takes one or two."""
+    """Raise the limit of open descriptors to the hard limit. Each connection needs one or two."""
     _, hard_limit = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (hard_limit, hard_limit))
--- a/wheatstile/process/operator_sections.py
+++ b/wheatstile/process/operator_sections.py
@@ -1,4 +1,4 @@
-"""The subsystems that the operator's file switches on; what is switched off is not imported."""
+"""The optional subsystems. Each is imported and created when the operator's file first enables it."""
 
 from typing import TYPE_CHECKING
 
@@ -14,7 +14,7 @@
 
 
 class OperatorSections:
-    """Owns the subsystem of each section of the operator's file, and applies the file to them."""
+    """Owns one subsystem for each section of the operator's file, and applies changes of the file to them."""
 
     def __init__(
         self,
@@ -31,12 +31,12 @@
         self.descriptions: DescriptionsSection | None = None
 
     def follow(self, operator: "OperatorFile", config: Config) -> None:
-        """Switch on, change or switch off what the operator's file says."""
+        """Enable, reconfigure or disable each subsystem as the operator's file says."""
         self._follow_servers(operator)
         self._follow_descriptions(operator, config)
 
     def configure(self, operator: "OperatorFile | None", config: Config) -> None:
-        """Configure the decisions by the platform's settings, as far as descriptions do not tighten them."""
+        """Pass the platform's settings, tightened by the descriptions, to the decisions."""
         settings = config.settings
         if self.descriptions:
             settings = self.descriptions.applied(settings)
@@ -45,7 +45,7 @@
             self.descriptions.follow(operator, config)
 
     def close(self) -> None:
-        """End the tasks of all subsystems."""
+        """Cancel the tasks of all subsystems."""
         if self.servers:
             self.servers.close()
         if self.descriptions:
--- a/wheatstile/process/reload.py
+++ b/wheatstile/process/reload.py
@@ -1,4 +1,4 @@
-"""Reload: the files as they are now, each taken as a whole or rejected with its reason in the log."""
+"""Reload of the configuration files. Each is accepted as a whole, or rejected with the reason in the log."""
 
 import os
 from dataclasses import dataclass, replace
@@ -8,26 +8,26 @@
 
 from wheatstile.config.platform import Config, ConfigError
 
-if TYPE_CHECKING:  # what is switched off is not imported
+if TYPE_CHECKING:  # imported only when the process has an operator's file
     from wheatstile.config.operator import OperatorFile
 
 log = structlog.get_logger()
 
-START_ONLY_KEYS = ("name", "listen", "seed", "known")  # fields of Config that hold from start to end
+START_ONLY_FIELDS = ("name", "listen", "seed", "known")  # fields of Config that a reload does not change
 
 
 @dataclass(frozen=True, slots=True)
 class ReloadedConfig:
-    """The configuration to go on with, and the changed keys that count only after a restart."""
+    """The new configuration, and the keys whose changes take effect only after a restart."""
 
     config: Config
     pending_restart: list[str]
 
 
 def reload_platform_config(current: Config) -> ReloadedConfig | None:
-    """Read the platform's file again; None, with the reason logged, if it cannot be used.
+    """Read the platform's file again. Return None, and log the reason, if it cannot be used.
 
-    Discovery is the file's from here on: RELAY_DISCOVERY says where it was when the process started.
+    RELAY_DISCOVERY applies only at the start of the process: a reload takes the address from the file.
     """
     environ = {name: value for name, value in os.environ.items() if name != "RELAY_DISCOVERY"}
     try:
@@ -35,13 +35,13 @@
     except ConfigError as error:
         log.error("config_reload_rejected", reason=str(error))
         return None
-    start_values = {key: getattr(current, key) for key in START_ONLY_KEYS}
-    pending_restart = [key for key, value in start_values.items() if getattr(latest, key) != value]
+    start_values = {field: getattr(current, field) for field in START_ONLY_FIELDS}
+    pending_restart = [field for field, value in start_values.items() if getattr(latest, field) != value]
     return ReloadedConfig(replace(latest, **start_values), pending_restart)
 
 
 def reload_operator_file(current: "OperatorFile") -> "OperatorFile | None":
-    """Read the operator's file again; None, with all reasons logged, if it is rejected."""
+    """Read the operator's file again. Return None, and log all reasons, if it is rejected."""
     from wheatstile.config import operator, violations
 
     try:
--- a/wheatstile/process/signals.py
+++ b/wheatstile/process/signals.py
@@ -1,4 +1,4 @@
-"""The signals that control the process: SIGTERM and SIGINT, SIGHUP, SIGUSR1."""
+"""The signals of the process: SIGTERM and SIGINT shut down, SIGHUP reloads, SIGUSR1 reports the counters."""
 
 import asyncio
 import signal
@@ -6,9 +6,9 @@
 
 
 def block_reload_signal() -> None:
-    """Have the kernel hold SIGHUP back until its handler is installed.
+    """Block SIGHUP until its handler is installed.
 
-    Unhandled it would end the process; blocked, it stays pending and is delivered later.
+    An unhandled SIGHUP would end the process. While blocked it stays pending, and is delivered later.
     """
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
 
@@ -16,7 +16,7 @@
 def install_handlers(
     on_shutdown: Callable[[], None], on_reload: Callable[[], None], on_report_counters: Callable[[], None]
 ) -> None:
-    """Have the running event loop call these, and deliver a SIGHUP that is pending."""
+    """Install the handlers in the running event loop, then unblock SIGHUP, which delivers a pending one."""
     loop = asyncio.get_running_loop()
     loop.add_signal_handler(signal.SIGTERM, on_shutdown)
     loop.add_signal_handler(signal.SIGINT, on_shutdown)
