--- a/tests/config/test_endpoints.py
+++ b/tests/config/test_endpoints.py
@@ -1,4 +1,4 @@
-"""Lists of endpoints in discovery's form."""
+"""Endpoint lists in the JSON format of discovery: entries, addresses and weights."""
 
 import pytest
 
@@ -6,7 +6,7 @@
 from wheatstile.config.endpoints import EndpointSnapshot, address_of, weight_of
 
 
-def test_a_list_is_read_with_the_addresses_of_what_is_not_gone() -> None:
+def test_list_is_read_with_the_addresses_of_all_endpoints_that_are_not_gone() -> None:
     full = {
         "id": "s1",
         "phase": "ready",
@@ -17,24 +17,26 @@
         "up_since_ms": 7,
     }
     members = [full, {"id": 2, "phase": "gone"}, {"id": "s3", "phase": "odd", "host_port": "10.0.0.3:90"}]
+
     snapshot = EndpointSnapshot.read({"revision": "5", "complete": 1, "members": members})
+
     assert (snapshot.revision, snapshot.complete) == (5, True)
     assert snapshot.endpoints == [
         api.Endpoint("s1", api.EndpointState.READY, "here", 4, 2.5, 7000),
         api.Endpoint("2", api.EndpointState.GONE, "", 0, 1.0, 0),
-        api.Endpoint("s3", api.EndpointState.DRAINING, "", 0, 1.0, 0),  # an unknown state: nothing new
+        api.Endpoint("s3", api.EndpointState.DRAINING, "", 0, 1.0, 0),  # unknown state
     ]
     addresses = [member.address for member in snapshot.members]
     assert addresses == [("10.0.0.1", 90), None, ("10.0.0.3", 90)]
 
 
 @pytest.mark.parametrize("text", ["", "80", ":80", "10.0.0.1", "10.0.0.1:0", "10.0.0.1:65536", "10.0.0.1:x"])
-def test_what_is_no_address_with_a_port_is_rejected(text: str) -> None:
+def test_text_that_is_not_an_address_with_a_port_is_rejected(text: str) -> None:
     with pytest.raises(ValueError, match=r"HOST:PORT|invalid literal"):
         address_of(text)
 
 
-def test_a_host_is_an_ipv4_literal() -> None:
+def test_host_must_be_an_ipv4_address() -> None:
     assert address_of("127.0.0.1:65535") == ("127.0.0.1", 65535)
     with pytest.raises(OSError, match="illegal IP address"):
         address_of("localhost:80")
@@ -43,5 +45,5 @@
 @pytest.mark.parametrize(
     ("value", "weight"), [(2.5, 2.5), ("3", 3.0), (0, 1.0), (-1, 1.0), ("inf", 1.0), ("nan", 1.0)]
 )
-def test_a_weight_that_nobody_could_balance_by_counts_as_1(value: float | str, weight: float) -> None:
+def test_weight_that_is_not_positive_and_finite_counts_as_1(value: float | str, weight: float) -> None:
     assert weight_of(value) == weight
--- a/tests/config/test_networks.py
+++ b/tests/config/test_networks.py
@@ -1,4 +1,4 @@
-"""Sets of IPv4 addresses: networks and ranges."""
+"""Sets of IPv4 addresses, written as networks and ranges."""
 
 from ipaddress import IPv4Address
 
@@ -20,7 +20,7 @@
         ("192.168.0.10", False),
     ],
 )
-def test_the_union_of_networks_and_ranges_has_its_first_and_last_addresses(
+def test_union_contains_the_first_and_last_address_of_each_network_and_range(
     address: str, is_member: bool
 ) -> None:
     networks = Networks(["10.0.0.0/8", "192.168.0.5 - 192.168.0.9", "10.1.0.0/16"])
@@ -36,10 +36,10 @@
         ("::1/128", "is not IPv4"),
     ],
 )
-def test_any_other_text_is_rejected_by_name(text: str, reason: str) -> None:
+def test_any_other_text_is_rejected_with_an_error_that_names_it(text: str, reason: str) -> None:
     with pytest.raises(NetworkError, match=f'"{text}" {reason}'):
         Networks(["10.0.0.0/8", text])
 
 
-def test_no_text_is_no_address() -> None:
+def test_empty_list_contains_no_address() -> None:
     assert 0 not in Networks([])
--- a/tests/config/test_operator.py
+++ b/tests/config/test_operator.py
@@ -1,4 +1,4 @@
-"""The operator's file: every fault with its place, and the schema that ships."""
+"""The operator's file: its violations with their locations, and the shipped schema and example."""
 
 import json
 from pathlib import Path
@@ -13,7 +13,7 @@
 
 ROOT = Path(__file__).parents[2]
 
-FAULTY = """{
+INVALID = """{
  "servers": {"file": "x", "mod": "merge", "after_s": "1",
    "networks": ["10.0.0.0/33", "::1/128", "10.0.0.1-10.0.0.9"],
    "most_removed": 2},
@@ -22,14 +22,16 @@
 }"""
 
 
-def lines(text: str | bytes) -> list[str]:
-    with pytest.raises(ConfigurationError) as refused:
-        operator.parse("f", text if isinstance(text, bytes) else text.encode())
-    return refused.value.lines()
+def violation_lines(text: str | bytes) -> list[str]:
+    """Return the lines that report the violations of an operator's file with this text."""
+    data = text if isinstance(text, bytes) else text.encode()
+    with pytest.raises(ConfigurationError) as rejection:
+        operator.parse("f", data)
+    return rejection.value.lines()
 
 
-def test_every_fault_is_told_at_once_with_its_line_and_pointer() -> None:
-    found = lines(FAULTY)
+def test_all_violations_are_reported_with_their_lines_and_pointers() -> None:
+    found = violation_lines(INVALID)
     assert [line.rpartition(": ")[0].split(": ")[0] + " " + line.split(": ")[1] for line in found] == [
         "f:2 /servers/mod",
         "f:2 /servers/after_s",
@@ -44,7 +46,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "told"),
+    ("text", "reason"),
     [
         ("", "f:1: /: no JSON"),
         ("[" * 100_000, "nested too deeply"),
@@ -55,25 +57,27 @@
         (b"\xef\xbb\xbf{}", "byte order mark"),
         ('{"$schema": "\\ud800"}', "surrogate"),
         ('{"log": 1%s}' % ("1" * 5000), "no JSON"),
-        (" " * (operator.MOST_BYTES + 1), "at most"),
+        (" " * (operator.MAX_OPERATOR_FILE_BYTES + 1), "at most"),
     ],
 )  # fmt: skip
-def test_what_is_no_operators_file_is_refused(text: str | bytes, told: str) -> None:
-    assert any(told in line for line in lines(text))
+def test_text_that_is_not_an_operators_file_is_rejected_with_the_reason(
+    text: str | bytes, reason: str
+) -> None:
+    assert any(reason in line for line in violation_lines(text))
 
 
 @given(st.text(alphabet='{}[]",:\\ \nabtrue1.-eu', max_size=60) | st.text(max_size=30))
-def test_no_text_brings_any_other_error(text: str) -> None:
+def test_no_text_raises_any_other_error(text: str) -> None:
     try:
         operator.parse("f", text.encode(errors="replace"))
-    except ConfigurationError as refused:
-        assert refused.lines()
-        assert all(line.startswith("f:") for line in refused.lines())
+    except ConfigurationError as rejection:
+        assert rejection.lines()
+        assert all(line.startswith("f:") for line in rejection.lines())
 
 
-def test_the_schema_and_the_example_that_ship_are_those_of_the_types() -> None:
+def test_shipped_schema_and_example_match_the_types() -> None:
     deploy = ROOT / "deploy"
     assert json.loads((deploy / "wheatstile.schema.json").read_text()) == operator.schema()
     shipped = operator.read(str(deploy / "wheatstile.json")).settings
-    plain = msgspec.to_builtins(operator.Operator(schema=shipped.schema))  # all at its default, all off
-    assert msgspec.to_builtins(shipped) == plain
+    defaults = msgspec.to_builtins(operator.Operator(schema=shipped.schema))
+    assert msgspec.to_builtins(shipped) == defaults
--- a/tests/config/test_platform.py
+++ b/tests/config/test_platform.py
@@ -1,11 +1,11 @@
-"""The platform's file: what the sockets get from it, and what is named as at fault."""
+"""The platform's file: the configuration read from it, and the errors that name an invalid key."""
 
 import json
 from pathlib import Path
 from typing import Any
 
 import pytest
-from peers import SETTINGS
+from support.balancer import SETTINGS
 
 from wheatstile.config.platform import ClientLimits, Config, ConfigError, UpstreamLimits
 
@@ -28,33 +28,35 @@
 
 
 def read(path: Path, document: object = DOCUMENT, **variables: str) -> Config:
+    """Write the document to the file, and return the configuration read from it and the variables."""
     path.write_text(json.dumps(document))
     return Config.read({"RELAY_CONFIG": str(path)} | variables)
 
 
 @pytest.fixture
 def path(tmp_path: Path) -> Path:
+    """The path of the platform's file, which does not exist yet."""
     return tmp_path / "config.json"
 
 
-def test_the_file_is_read_into_limits_with_their_units(path: Path) -> None:
+def test_file_is_read_into_limits_with_their_units(path: Path) -> None:
     config = read(path)
     assert (config.name, config.listen, config.discovery) == ("n0", ("127.0.0.1", 80), ("127.0.0.1", 81))
     assert config.seed == 0x8C1F
     assert config.upstream_limits == UpstreamLimits(1.0, 15.0, True, 60.0, 50)
     assert config.client_limits == ClientLimits(50, {"web": 9000}, 2000)
     assert config.longest_deadline_s == 9.0
-    assert not config.settings.reports_message_latency  # the protocol on sockets has no line for it
+    assert not config.settings.reports_message_latency  # the line protocol has no message for it
     assert config.known.addresses == {"s1": ("10.0.0.1", 90), "s2": None}
 
 
-def test_variables_go_before_the_file(path: Path) -> None:
+def test_variables_have_priority_over_the_file(path: Path) -> None:
     config = read(path, RELAY_NAME="n7", RELAY_LISTEN="127.0.0.2:1", RELAY_DISCOVERY="127.0.0.3:2")
     assert (config.name, config.listen, config.discovery) == ("n7", ("127.0.0.2", 1), ("127.0.0.3", 2))
 
 
 @pytest.mark.parametrize("key", ["name", "listen", "discovery", "seed", "limits", "known", "settings"])
-def test_a_missing_key_is_named(path: Path, key: str) -> None:
+def test_error_names_the_missing_key(path: Path, key: str) -> None:
     document = {name: value for name, value in DOCUMENT.items() if name != key}
     with pytest.raises(ConfigError) as caught:
         read(path, document)
@@ -74,14 +76,14 @@
         ({"known": {"revision": 1, "complete": True}}, "the key members is missing"),
     ],
 )
-def test_a_value_at_fault_is_named(path: Path, change: dict[str, Any], text: str) -> None:
+def test_error_names_the_invalid_value(path: Path, change: dict[str, Any], text: str) -> None:
     with pytest.raises(ConfigError) as caught:
         read(path, DOCUMENT | change)
     assert str(caught.value).startswith(f"{path}: ")
     assert text in str(caught.value)
 
 
-def test_no_file_is_said(tmp_path: Path) -> None:
+def test_missing_variable_or_file_is_rejected(tmp_path: Path) -> None:
     with pytest.raises(ConfigError, match="RELAY_CONFIG names no file"):
         Config.read({})
     with pytest.raises(ConfigError, match="absent"):
--- a/tests/config/test_reports.py
+++ b/tests/config/test_reports.py
@@ -1,4 +1,4 @@
-"""Load reports, as a line of text carries them."""
+"""Parser of load reports."""
 
 import pytest
 
--- a/tests/config/test_settings.py
+++ b/tests/config/test_settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings: what is accepted, what stands in for a missing key, what is named as at fault."""
+"""The platform's settings: accepted values, defaults, and errors that name the invalid key."""
 
 import copy
 import json
@@ -6,7 +6,7 @@
 from typing import Any
 
 import pytest
-from peers import SETTINGS
+from support.balancer import SETTINGS
 
 from wheatstile import interface as api
 from wheatstile.config.errors import InvalidConfigurationError, MissingKeyError, SettingsError, WrongTypeError
@@ -18,12 +18,13 @@
 
 
 def changed(change: Change) -> dict[str, Any]:
+    """Return a copy of SETTINGS with this change."""
     settings = copy.deepcopy(SETTINGS)
     change(settings)
     return settings
 
 
-def test_keys_of_the_platform_become_settings_of_the_decisions() -> None:
+def test_platform_keys_are_mapped_to_settings_of_the_decisions() -> None:
     settings = read_settings(SETTINGS)
     assert settings == parse_settings(json.dumps(SETTINGS))
     assert settings.classes["web"].latency_objective_us == 500_000
@@ -33,7 +34,8 @@
     assert settings.health_checks_enabled
     assert settings.retry_after_enabled
     assert settings.load_metrics == ("load",)
-    assert settings.slow_start_overload_window_us == 1_500_000  # stands in for a key that is missing
+    # The keys of these two are missing, so the defaults are used.
+    assert settings.slow_start_overload_window_us == 1_500_000
     assert settings.poll_interval_us == 10_000_000
 
 
@@ -41,25 +43,40 @@
     "change",
     [
         lambda settings: settings["classes"][0].update(aimUs=500000.0),
-        lambda settings: settings["familyInfo"].update(messageAimUs=[60000, 5, 7]),  # more than classes
+        lambda settings: settings["familyInfo"].update(messageAimUs=[60000, 5, 7]),  # only one class
         lambda settings: settings["telemetry"].update(names=["x0", "unheard_of", 7, None]),
         lambda settings: settings.update(unheard_of=[1], accounts=[]),
         lambda settings: settings["limits"].update(unheard_of=None),
         lambda settings: settings["classes"][0].update(dedupScope="all", dedupWindowUs=0, worth=1),
     ],
 )  # fmt: skip
-def test_floats_surplus_values_and_unknown_keys_change_nothing(change: Change) -> None:
+def test_floats_surplus_elements_and_unknown_keys_change_nothing(change: Change) -> None:
     assert read_settings(changed(change)) == read_settings(SETTINGS)
 
 
 @pytest.mark.parametrize("value", [None, [], 0, False])
-def test_message_objectives_may_be_none(value: object) -> None:
+def test_message_latency_objectives_may_be_absent(value: object) -> None:
     settings = read_settings(changed(lambda settings: settings["familyInfo"].update(messageAimUs=value)))
     assert settings.classes["web"].message_latency_objective_us == 0
 
 
 @pytest.mark.parametrize(
-    ("change", "place"),
+    ("word", "scope"),
+    [
+        ("all", api.DeduplicationScope.ALL),
+        ("zone", api.DeduplicationScope.ZONE),
+        ("cell", api.DeduplicationScope.CELL),
+        ("planet", api.DeduplicationScope.UNKNOWN),
+        (None, api.DeduplicationScope.UNKNOWN),
+    ],
+)
+def test_deduplication_scope_is_mapped(word: object, scope: api.DeduplicationScope) -> None:
+    settings = read_settings(changed(lambda settings: settings["classes"][0].update(dedupScope=word)))
+    assert settings.classes["web"].deduplication_scope is scope
+
+
+@pytest.mark.parametrize(
+    ("change", "expectation"),
     [
         (lambda settings: settings.update(limits=[]), "limits must be an object"),
         (lambda settings: settings.update(telemetry=None), "telemetry must be an object"),
@@ -70,8 +87,8 @@
         (lambda settings: settings["familyInfo"].update(messageAimUs=5), "messageAimUs must be a list"),
     ],
 )
-def test_a_value_of_a_wrong_type_is_named(change: Change, place: str) -> None:
-    with pytest.raises(WrongTypeError, match=f"^settings: has a value of a wrong type: .*{place}"):
+def test_error_names_the_value_of_a_wrong_type(change: Change, expectation: str) -> None:
+    with pytest.raises(WrongTypeError, match=f"^settings: has a value of a wrong type: .*{expectation}"):
         read_settings(changed(change))
 
 
@@ -102,7 +119,7 @@
         (lambda settings: settings["classes"][0].pop("repeat"), "lacks the key repeat"),
     ],
 )
-def test_a_value_at_fault_is_named_with_its_place(change: Change, text: str) -> None:
+def test_error_names_the_location_of_the_invalid_value(change: Change, text: str) -> None:
     with pytest.raises(SettingsError) as caught:
         read_settings(changed(change))
     assert str(caught.value) == f"settings: {text}"
--- a/wheatstile/config/__init__.py
+++ b/wheatstile/config/__init__.py
@@ -1,1 +1,1 @@
-"""Configuration: the platform's file and settings, and the operator's file; violations have a location."""
+"""Configuration: the platform's file and settings, the operator's file, and the violations found in them."""
--- a/wheatstile/config/endpoints.py
+++ b/wheatstile/config/endpoints.py
@@ -1,4 +1,4 @@
-"""Lists of endpoints in discovery's form; the platform's file holds one of these too."""
+"""Endpoint lists in the JSON format of discovery. The platform's file contains one, under `known`."""
 
 import socket
 from dataclasses import dataclass
@@ -7,17 +7,19 @@
 
 from wheatstile import interface as api
 
-# The word in `phase` -> the interface's.
+# By the value of the key `phase`.
 STATES = {
     "ready": api.EndpointState.READY,
     "draining": api.EndpointState.DRAINING,
     "gone": api.EndpointState.GONE,
 }
 MAX_PORT = 65535
+DEFAULT_WEIGHT = 1.0
+US_PER_MS = 1000
 
 
 def address_of(text: str) -> tuple[str, int]:
-    """HOST:PORT, of an IPv4 literal, as a socket takes it. Raises ValueError or OSError."""
+    """Parse HOST:PORT, where HOST is an IPv4 address. Raises ValueError or OSError."""
     host, _, port = text.rpartition(":")
     if host:
         socket.inet_aton(host)
@@ -27,35 +29,38 @@
 
 
 def weight_of(value: float | str) -> float:
-    """Read a weight; what nobody could balance by counts as 1. Raises ValueError or TypeError."""
+    """Return the weight as a number; one that is not positive and finite is replaced by DEFAULT_WEIGHT.
+
+    Raises ValueError or TypeError if the value is not a number.
+    """
     weight = float(value)
-    return weight if 0 < weight < inf else 1.0
+    return weight if 0 < weight < inf else DEFAULT_WEIGHT
 
 
 class ResolvedEndpoint(NamedTuple):
-    """One endpoint, and where it is reached (None: gone)."""
+    """One endpoint with its address."""
 
     endpoint: api.Endpoint
-    address: tuple[str, int] | None
+    address: tuple[str, int] | None  # None if the endpoint is gone
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointSnapshot:
-    """One list of endpoints, or the changes to one, with the addresses to reach them at."""
+    """A complete endpoint list, or the changes to one, with the addresses of the endpoints."""
 
     revision: int
-    complete: bool
+    complete: bool  # whether the endpoints that are not listed are gone
     endpoints: list[api.Endpoint]
-    addresses: dict[str, tuple[str, int] | None]  # None: gone
+    addresses: dict[str, tuple[str, int] | None]  # by name; None if the endpoint is gone
 
     @property
     def members(self) -> list[ResolvedEndpoint]:
-        """Each endpoint with its address, in the order of the list."""
+        """Return each endpoint with its address, in the order of the list."""
         return [ResolvedEndpoint(endpoint, self.addresses[endpoint.name]) for endpoint in self.endpoints]
 
     @classmethod
     def read(cls, data: Any) -> "EndpointSnapshot":
-        """From discovery's JSON. Raises ValueError, KeyError, TypeError, AttributeError or OSError."""
+        """Read a list of discovery. Raises ValueError, KeyError, TypeError, AttributeError or OSError."""
         members = [_read_member(member) for member in data["members"]]
         return cls(
             revision=int(data["revision"]),
@@ -66,15 +71,15 @@
 
 
 def _read_member(member: dict[str, Any]) -> ResolvedEndpoint:
-    """One entry. One of an unknown state gets nothing new, as if it were draining."""
+    """Read one entry. An unknown state counts as DRAINING, so the server gets no new sessions."""
     state = STATES.get(member["phase"], api.EndpointState.DRAINING)
     endpoint = api.Endpoint(
-        str(member["id"]),
-        state,
-        str(member.get("locality", "")),
-        int(member.get("cell", 0)),
-        weight_of(member.get("size", 1.0)),
-        int(member.get("up_since_ms", 0)) * 1000,
+        name=str(member["id"]),
+        state=state,
+        zone=str(member.get("locality", "")),
+        cell=int(member.get("cell", 0)),
+        weight=weight_of(member.get("size", DEFAULT_WEIGHT)),
+        started_at_us=int(member.get("up_since_ms", 0)) * US_PER_MS,
     )
     is_gone = state is api.EndpointState.GONE
     return ResolvedEndpoint(endpoint, None if is_gone else address_of(member["host_port"]))
--- a/wheatstile/config/errors.py
+++ b/wheatstile/config/errors.py
@@ -1,16 +1,16 @@
-"""The errors of the package; `ConfigError` and `ConfigurationError` stand beside what raises them."""
+"""The errors of the package, except `ConfigError` in `platform` and `ConfigurationError` in `violations`."""
 
 
 class InvalidConfigurationError(ValueError):
-    """The base of all: a configuration nobody could balance by. Nothing of it is in force."""
+    """Base of the package's errors: a configuration was rejected, and nothing of it is applied."""
 
 
 class SettingsError(InvalidConfigurationError):
-    """Settings that cannot be used; the text says which key is at fault."""
+    """The settings were rejected. The message names the invalid key."""
 
 
 class MissingKeyError(SettingsError):
-    """A key that nothing can stand in for is missing."""
+    """A required key is missing."""
 
     def __init__(self, key: str) -> None:
         super().__init__(f"settings: lacks the key {key}")
@@ -18,7 +18,7 @@
 
 
 class WrongTypeError(SettingsError):
-    """A value is of a type that it cannot have."""
+    """A value has the wrong type."""
 
     def __init__(self, location: str, expected: str, value: object) -> None:
         super().__init__(
--- a/wheatstile/config/networks.py
+++ b/wheatstile/config/networks.py
@@ -1,4 +1,4 @@
-"""Sets of IPv4 addresses, as an operator writes them."""
+"""Sets of IPv4 addresses, written as networks and ranges."""
 
 from bisect import bisect_right
 from collections.abc import Iterable
@@ -9,11 +9,14 @@
 
 
 class NetworkError(ValueError):
-    """A text that names no set of addresses."""
+    """A text is neither an IPv4 network nor an IPv4 range."""
 
 
 class Networks:
-    """The union of networks (`10.0.0.0/8`) and ranges (`10.1.0.1-10.1.0.9`). Raises NetworkError."""
+    """The union of networks (`10.0.0.0/8`) and ranges (`10.1.0.1-10.1.0.9`), with a fast membership test.
+
+    The constructor raises NetworkError. Addresses are integers.
+    """
 
     def __init__(self, texts: Iterable[str]) -> None:
         address_set = netaddr.IPSet()
@@ -23,7 +26,7 @@
                 address_set.update(addresses)
             else:
                 address_set.add(addresses)
-        # A look-up in an IPSet walks its networks by prefix; sorted ranges cost a bisection each.
+        # Bisection over sorted ranges is faster than the lookup of IPSet, which tries each prefix length.
         ranges = [(int(span.first), int(span.last)) for span in address_set.iter_ipranges()]
         self._first_addresses = [first for first, _ in ranges]
         self._last_addresses = [last for _, last in ranges]
@@ -40,5 +43,5 @@
     except (netaddr.AddrFormatError, ValueError):
         raise NetworkError(f'"{text}" is no network (10.0.0.0/8) or range (10.1.0.1-10.1.0.9)') from None
     if addresses.version != IPV4:
-        raise NetworkError(f'"{text}" is not IPv4, which alone is served')
+        raise NetworkError(f'"{text}" is not IPv4; no other version is supported')
     return addresses
--- a/wheatstile/config/operator.py
+++ b/wheatstile/config/operator.py
@@ -1,6 +1,6 @@
-"""The operator's file: JSON, one section for each subsystem, all of them off where it says nothing.
+"""The operator's file: JSON with a section for each optional subsystem. Without its section, it is disabled.
 
-The JSON Schema is made from these types (`wheatstile schema`). Paths in the file are relative to its folder.
+`wheatstile schema` generates the JSON Schema from these types. Paths in the file are relative to its folder.
 """
 
 from dataclasses import dataclass
@@ -13,11 +13,11 @@
 from wheatstile.config import shape
 from wheatstile.config.violations import ConfigurationError, Violation, load, locate, pointer
 
-MOST_BYTES = 1 << 20  # of the operator's file itself
+MAX_OPERATOR_FILE_BYTES = 1 << 20
 
 
 class Log(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """The log on standard error; `--log-format` and `--log-level` go before it."""
+    """The log on standard error. The options `--log-format` and `--log-level` have priority."""
 
     format: Literal["json", "console"] = "json"
     level: Literal["debug", "info", "warning", "error"] = "info"
@@ -28,84 +28,88 @@
 
 
 class Servers(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """The watched file of servers. Off without `file`."""
+    """The watched endpoint file. Disabled without `file`."""
 
-    file: Annotated[str, _described("the file of servers; none: off", min_length=1)] | None = None
+    file: Annotated[str, _described("endpoint file; null disables the section", min_length=1)] | None = None
     mode: Annotated[
         Literal["fallback", "override", "merge"],
-        _described(
-            "when the file's list holds: discovery being silent, always, or together with discovery's"
-        ),
+        _described("when the file is in force: while discovery is silent, always, or merged with discovery"),
     ] = "fallback"
     after_s: Annotated[
-        float, _described("silence of discovery after which the file holds", ge=0, le=86400)
+        float, _described("seconds of silence of discovery until the file is in force", ge=0, le=86400)
     ] = 10.0
     hold_down_s: Annotated[
         float,
-        _described("steady answers asked of a discovery that flaps; doubles up to 8 times", ge=0, le=3600),
+        _described("seconds that a flapping discovery must answer; doubles up to 8 times", ge=0, le=3600),
     ] = 30.0
-    require_seal: Annotated[bool, _described("refuse a file without a seal")] = False
+    require_seal: Annotated[bool, _described("reject a file without a seal")] = False
     settle_s: Annotated[
-        float, _described("how long an unsealed file must stand unchanged", ge=0.02, le=60)
+        float, _described("seconds that an unsealed file must stay unchanged", ge=0.02, le=60)
     ] = 0.2
     recheck_s: Annotated[
-        float, _described("what a lost notice of a change costs at most", ge=0.1, le=3600)
+        float, _described("seconds between checks for changes without a notification", ge=0.1, le=3600)
     ] = 5.0
     state_dir: (
-        Annotated[str, _described("where the last good list is kept; none: off", min_length=1)] | None
+        Annotated[str, _described("folder of the last known good list; null disables it", min_length=1)]
+        | None
     ) = None
     networks: Annotated[
-        list[str], _described("address sets that servers may lie in, as CIDR or FIRST-LAST", min_length=1)
+        list[str], _described("allowed addresses of servers, as CIDR or FIRST-LAST", min_length=1)
     ] = msgspec.field(default_factory=lambda: ["0.0.0.0/0"])
-    least_per_site: Annotated[int, _described("ready servers that each site must keep", ge=1, le=100_000)] = 1
-    may_be_empty: Annotated[
-        list[str], _described("sites that may go without servers: the explicit override")
-    ] = msgspec.field(default_factory=list)
-    most: Annotated[int, _described("servers in the file", ge=1, le=1_000_000)] = 20_000
-    most_bytes: Annotated[int, _described("bytes of the file", ge=64, le=1 << 30)] = 8 << 20
+    least_per_site: Annotated[
+        int, _described("minimum number of ready servers in each site", ge=1, le=100_000)
+    ] = 1
+    may_be_empty: Annotated[list[str], _described("sites that may have no ready servers")] = msgspec.field(
+        default_factory=list
+    )
+    most: Annotated[int, _described("maximum number of servers in the file", ge=1, le=1_000_000)] = 20_000
+    most_bytes: Annotated[int, _described("maximum size of the file in bytes", ge=64, le=1 << 30)] = 8 << 20
     most_removed: Annotated[
-        float, _described("share of the ready servers that one change may take away; 1: any", ge=0, le=1)
+        float, _described("maximum share of the ready servers that one change may remove", ge=0, le=1)
     ] = 0.5
 
 
 Repeat = Literal["safe", "keyed", "unsafe"]
+"""Whether a request may be repeated: the words of the operator's file for `Idempotency`."""
 
 
 class DescriptionRule(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """Gives operations a class, and may say how far they may be repeated."""
+    """Assigns a class to operations, and optionally whether they may be repeated."""
 
     when: Annotated[
-        str, _described('which operations, as in: method == "POST" and path ~ "/orders/**"', min_length=1)
+        str, _described('the operations, for example: method == "POST" and path ~ "/orders/**"', min_length=1)
     ]
-    service_class: Annotated[str, _described("the class", min_length=1)] = msgspec.field(name="class")
+    service_class: Annotated[str, _described("name of the class", min_length=1)] = msgspec.field(name="class")
     repeat: (
-        Annotated[Repeat, _described("tighter than the description is taken, looser is a conflict")] | None
+        Annotated[Repeat, _described("stricter than the description: applied; looser: a conflict")] | None
     ) = None
 
 
 class ClassOverride(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """What the operator says of a class, whatever its descriptions say."""
+    """The operator's setting for a class, which has priority over its descriptions."""
 
     repeat: Repeat
 
 
 class Descriptions(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """OpenAPI and AsyncAPI descriptions. Off without `paths`."""
+    """OpenAPI and AsyncAPI descriptions. Disabled without `paths`."""
 
-    paths: Annotated[list[str], _described("files and folders; none: off")] = msgspec.field(
-        default_factory=list
+    paths: Annotated[list[str], _described("files and folders; an empty list disables the section")] = (
+        msgspec.field(default_factory=list)
     )
-    rules: Annotated[list[DescriptionRule], _described("in order; the first that fits counts")] = (
+    rules: Annotated[list[DescriptionRule], _described("in order; the first match is applied")] = (
         msgspec.field(default_factory=list)
     )
-    classes: Annotated[dict[str, ClassOverride], _described("by name")] = msgspec.field(default_factory=dict)
-    require_class: Annotated[bool, _described("refuse operations that nothing gives a class")] = False
-    strict: Annotated[bool, _described("warnings are conflicts")] = False
-    settle_s: Annotated[float, _described("how long changed files must stand unchanged", ge=0.02, le=60)] = (
-        0.5
+    classes: Annotated[dict[str, ClassOverride], _described("overrides by the name of the class")] = (
+        msgspec.field(default_factory=dict)
     )
+    require_class: Annotated[bool, _described("reject operations without a class")] = False
+    strict: Annotated[bool, _described("treat warnings as conflicts")] = False
+    settle_s: Annotated[
+        float, _described("seconds that changed files must stay unchanged", ge=0.02, le=60)
+    ] = 0.5
     recheck_s: Annotated[
-        float, _described("what a lost notice of a change costs at most", ge=0.1, le=3600)
+        float, _described("seconds between checks for changes without a notification", ge=0.1, le=3600)
     ] = 5.0
 
 
@@ -120,19 +124,19 @@
 
 @dataclass(frozen=True, slots=True)
 class OperatorFile:
-    """The file as read, and the folder that its paths are relative to."""
+    """The settings of an operator's file, and its path."""
 
     path: Path
     settings: Operator
 
     def near(self, path: str) -> Path:
-        """Resolve a path that the file names."""
+        """Return a path in the file, resolved against the folder of the file."""
         return self.path.parent / path
 
 
 def parse(file: str, data: bytes) -> Operator:
-    """Read the settings in these bytes. Raises ConfigurationError with every violation and its location."""
-    text, value = load(file, data, MOST_BYTES)
+    """Return the settings in these bytes. Raises ConfigurationError with every violation and its location."""
+    text, value = load(file, data, MAX_OPERATOR_FILE_BYTES)
     if not isinstance(value, dict):
         raise ConfigurationError(file, [Violation("", "is no object", 1)])
     violations = list(shape.find_violations(value, Operator))
@@ -148,7 +152,7 @@
     """Read the operator's file at this path. Raises ConfigurationError."""
     try:
         with open(path, "rb") as file:
-            data = file.read(MOST_BYTES + 1)
+            data = file.read(MAX_OPERATOR_FILE_BYTES + 1)
     except OSError as error:
         raise ConfigurationError(path, [Violation("", error.strerror or str(error))]) from None
     return OperatorFile(Path(path), parse(path, data))
@@ -161,7 +165,7 @@
 
 
 def _network_violations(networks: list[object]) -> list[Violation]:
-    from wheatstile.config.networks import NetworkError, Networks  # netaddr, which little else needs
+    from wheatstile.config.networks import NetworkError, Networks  # imports netaddr only if it is needed
 
     violations = []
     for index, network in enumerate(networks):
--- a/wheatstile/config/platform.py
+++ b/wheatstile/config/platform.py
@@ -1,4 +1,4 @@
-"""The platform's configuration: one JSON file and a few variables, as the deployment page has them."""
+"""Reads the platform's configuration: the JSON file that RELAY_CONFIG names, and other RELAY_* variables."""
 
 import json
 import resource
@@ -12,40 +12,46 @@
 from wheatstile.config.section import Section
 from wheatstile.config.settings import message_latency_objectives_us, read_settings
 
-MIN_DEADLINE_US = 1000  # the line protocol tells whole milliseconds
+MIN_DEADLINE_US = 1000  # the line protocol carries deadlines in whole milliseconds
+US_PER_MS = 1000
+US_PER_S = 1_000_000
+MS_PER_S = 1000
+HEALTH_CHECK_TIMEOUT_FACTOR = 2  # times the message latency objective
 
 
 class ConfigError(InvalidConfigurationError):
-    """A platform's configuration that cannot be used; the text names the file and says what is wrong."""
+    """The platform's configuration was rejected. The message names the file and the reason."""
 
 
 @dataclass(frozen=True, slots=True)
 class UpstreamLimits:
-    """What the settings say of dealing with servers."""
+    """The limits for connections to servers."""
 
     connect_timeout_s: float
-    idle_timeout_s: float  # after which an unused connection is closed
+    idle_timeout_s: float  # an unused connection is closed after this time
     reports_message_latency: bool
-    message_latency_objective_ms: float  # the shortest of all classes; 0: none is set
-    descriptors: int
+    message_latency_objective_ms: float  # shortest objective of all classes; 0 if none is set
+    descriptors: int  # maximum number of open descriptors of the process
 
     @property
     def health_check_timeout_s(self) -> float:
-        """For a health check's answer, once connected: twice what a message may take.
+        """Return the timeout for the answer to a health check, once connected.
 
-        It is answered beside the queue, so a sound server takes a pause of its own at most; each moment more
-        is one in which newcomers still go to a server that hangs. Without objectives: the connect timeout.
+        It is a multiple of the message latency objective, or the connect timeout if there is none. It is kept
+        short because servers answer health checks ahead of their queue, and because a server that hangs gets
+        new sessions until the timeout.
         """
-        return 2 * self.message_latency_objective_ms / 1000 or self.connect_timeout_s
+        timeout_ms = HEALTH_CHECK_TIMEOUT_FACTOR * self.message_latency_objective_ms
+        return timeout_ms / MS_PER_S or self.connect_timeout_s
 
 
 @dataclass(frozen=True, slots=True)
 class ClientLimits:
-    """What the configuration says of dealing with clients."""
+    """The limits for connections from clients."""
 
-    descriptors: int
-    deadlines_ms: dict[str, int]  # that a class's clients wait at most
-    max_retry_after_ms: int  # that a client may be told to stay away; 0: clients are told no time
+    descriptors: int  # maximum number of open descriptors of the process
+    deadlines_ms: dict[str, int]  # longest time that a client waits, by class
+    max_retry_after_ms: int  # longest retry delay in a rejection; 0 if rejections carry none
 
 
 @dataclass(frozen=True, slots=True)
@@ -64,7 +70,7 @@
 
     @classmethod
     def read(cls, environ: Mapping[str, str]) -> "Config":
-        """From the file that RELAY_CONFIG names; the other variables go before what it says.
+        """Read the file that RELAY_CONFIG names. The other variables have priority over it.
 
         Raises ConfigError.
         """
@@ -80,7 +86,7 @@
             return _read(document, environ)
         except MissingKeyError as error:
             raise ConfigError(f"{path}: the key {error.key} is missing") from None
-        except KeyError as error:  # in the list of endpoints
+        except KeyError as error:  # raised for an endpoint list without a required key
             raise ConfigError(f"{path}: the key {error.args[0]} is missing") from None
         except (ValueError, TypeError, AttributeError, OSError, OverflowError) as error:
             raise ConfigError(f"{path}: {error}") from None
@@ -101,18 +107,18 @@
         discovery=address_of(environ.get("RELAY_DISCOVERY") or config.text("discovery")),
         seed=int(config.text("seed"), 16),
         known=EndpointSnapshot.read(config.require("known")),
-        # The protocol on sockets has no line for a delay: what the settings promise are the simulator's
-        # events. Slow messages are measured here too, but as clients send every 2 s and a server may answer
-        # lines at once though it is full, the decisions cannot count on them and have to read loads.
+        # The setting describes the simulator: the line protocol has no message for latencies. Those that the
+        # latency monitor measures do not replace load reports: they are rare, and an overloaded server may
+        # still answer lines at once.
         settings=replace(decisions, reports_message_latency=False),
         upstream_limits=_upstream_limits(settings, limits, descriptors),
         client_limits=ClientLimits(descriptors, deadlines_ms, _max_retry_after_ms(decisions)),
-        longest_deadline_s=max(deadlines_ms.values()) / 1000,
+        longest_deadline_s=max(deadlines_ms.values()) / MS_PER_S,
     )
 
 
 def _descriptors(config: Section) -> int:
-    """Return how many descriptors may be open: what the platform gives, as far as the system allows it."""
+    """Return the maximum number of open descriptors: the platform's limit, at most the hard limit."""
     platform_limits = Section(config.require("limits"), "the platform's limits.")
     _, hard_limit = resource.getrlimit(resource.RLIMIT_NOFILE)
     return min(platform_limits.integer("sockets", 1), hard_limit)
@@ -120,23 +126,23 @@
 
 def _deadlines_ms(settings: Section) -> dict[str, int]:
     return {
-        service_class.name("name"): service_class.integer("deadlineUs", MIN_DEADLINE_US) // 1000
+        service_class.name("name"): service_class.integer("deadlineUs", MIN_DEADLINE_US) // US_PER_MS
         for service_class in settings.sections("classes")
     }
 
 
 def _upstream_limits(settings: Section, limits: Section, descriptors: int) -> UpstreamLimits:
-    # Checked, as far as there are classes for them, when the decisions' settings were read.
+    # The elements were checked to be numbers when the decisions' settings were read.
     objectives_us = cast(list[float], message_latency_objectives_us(settings))
     is_reported = settings.optional_section("familyInfo").flag("tellsDelay")
     return UpstreamLimits(
-        connect_timeout_s=limits.number("dialTimeoutUs", 1) / 1e6,
-        idle_timeout_s=limits.number("keepaliveUs", 1) / 1e6,
+        connect_timeout_s=limits.number("dialTimeoutUs", 1) / US_PER_S,
+        idle_timeout_s=limits.number("keepaliveUs", 1) / US_PER_S,
         reports_message_latency=is_reported and bool(objectives_us),
-        message_latency_objective_ms=min(objectives_us, default=0.0) / 1000,
+        message_latency_objective_ms=min(objectives_us, default=0.0) / US_PER_MS,
         descriptors=descriptors,
     )
 
 
 def _max_retry_after_ms(settings: api.Settings) -> int:
-    return settings.max_retry_after_us // 1000 if settings.retry_after_enabled else 0
+    return settings.max_retry_after_us // US_PER_MS if settings.retry_after_enabled else 0
--- a/wheatstile/config/reports.py
+++ b/wheatstile/config/reports.py
@@ -1,4 +1,4 @@
-"""Load reports: named values as a line of text carries them."""
+"""Parser of load reports, which a line of text contains as `NAME<separator>VALUE,...`."""
 
 from collections.abc import Mapping
 from math import isfinite
@@ -7,9 +7,9 @@
 
 
 def parse_load_report(text: str, separator: str, metric_names: Mapping[str, str]) -> api.LoadReport:
-    """Read the values of `NAME<separator>VALUE,...`, by the interface's names.
+    """Return the values of the report by `LoadMetric`; `metric_names` maps the names of the text to them.
 
-    Unknown names, and values that are no finite number of 0 or more, count as absent.
+    Unknown names are ignored, as are values that are not finite numbers of 0 or more.
     """
     report = {}
     for pair in text.split(","):
--- a/wheatstile/config/section.py
+++ b/wheatstile/config/section.py
@@ -1,17 +1,21 @@
-"""Typed access to one object of a parsed JSON document; each error names the key at fault.
+"""Typed access to an object in a parsed JSON document, with errors that name the invalid key.
 
-The platform's file is not read into structs: unknown keys are passed over, whole numbers may be written as
-floats, and its reader has to do without msgspec, which a balancer without an operator's file does not import.
+The platform's file is not decoded with msgspec: its unknown keys are ignored, its integers may be written as
+floats, and a balancer without an operator's file must not import msgspec.
 """
 
 from collections.abc import Mapping
 from math import isfinite
+from typing import TypeGuard
 
 from wheatstile.config.errors import MissingKeyError, SettingsError, WrongTypeError
 
 
 class Section:
-    """One object, and the prefix that names its keys in messages. Raises SettingsError in all its methods."""
+    """One JSON object. Every method raises SettingsError for an invalid value.
+
+    `prefix` is the path of the object, which precedes its keys in error messages.
+    """
 
     def __init__(self, value: object, prefix: str = "") -> None:
         if not isinstance(value, dict):
@@ -20,11 +24,11 @@
         self._prefix = prefix
 
     def get(self, key: str, default: object) -> object:
-        """Return the value as it is, whatever its type."""
+        """Return the value under this key, of any type, or the default if the key is missing."""
         return self._values.get(key, default)
 
     def require(self, key: str) -> object:
-        """Return the value as it is. Raises MissingKeyError."""
+        """Return the value under this key, of any type. Raises MissingKeyError."""
         try:
             return self._values[key]
         except KeyError:
@@ -35,16 +39,16 @@
         return Section(self.require(key), f"{self._prefix}{key}.")
 
     def optional_section(self, key: str) -> "Section":
-        """Return the object under this key, an empty one if it is missing."""
+        """Return the object under this key, or an empty one if the key is missing."""
         return Section(self.get(key, {}), f"{self._prefix}{key}.")
 
     def sections(self, key: str) -> list["Section"]:
         """Return the objects of the list under this key. Raises MissingKeyError."""
-        values = iterable(self.require(key), f"{self._prefix}{key}")
+        values = checked_list(self.require(key), f"{self._prefix}{key}")
         return [Section(value, f"{self._prefix}{key}[{index}].") for index, value in enumerate(values)]
 
     def optional_sections(self, key: str) -> list["Section"]:
-        """Return the objects of the list under this key, none if it is missing."""
+        """Return the objects of the list under this key, or no objects if the key is missing."""
         return self.sections(key) if key in self._values else []
 
     def text(self, key: str) -> str:
@@ -55,50 +59,58 @@
         return value
 
     def name(self, key: str) -> str:
-        """Return the string under this key, or a number or null as text. Raises MissingKeyError."""
+        """Return the value under this key as text. A number, a boolean and null are converted.
+
+        Raises MissingKeyError.
+        """
         return checked_name(self.require(key), f"{self._prefix}{key}")
 
     def names(self, key: str) -> list[str]:
-        """Return the strings, as `name` has them, of the list under this key; none if it is missing."""
+        """Return the elements of the list under this key as text; no elements if the key is missing."""
         location = f"{self._prefix}{key}"
-        return [checked_name(value, location) for value in iterable(self.get(key, []), location)]
+        return [checked_name(value, location) for value in checked_list(self.get(key, []), location)]
 
     def flag(self, key: str) -> bool:
-        """Whether the key holds anything that counts as true; false if it is missing."""
+        """Return whether the value under this key is true in Python's sense; false if the key is missing."""
         return bool(self.get(key, False))
 
-    def number(self, key: str, least: float, default: float | None = None) -> float:
-        """Return the finite number under this key, `least` or more.
+    def number(self, key: str, minimum: float, default: float | None = None) -> float:
+        """Return the finite number under this key, which must be `minimum` or more.
 
-        Raises MissingKeyError without a default.
+        Raises MissingKeyError if the key is missing and there is no default.
         """
         value = self.require(key) if default is None else self.get(key, default)
-        return checked_number(value, f"{self._prefix}{key}", least)
+        return checked_number(value, f"{self._prefix}{key}", minimum)
 
-    def integer(self, key: str, least: float, default: int | None = None) -> int:
-        """As `number`, without its fraction."""
-        return int(self.number(key, least, default))
+    def integer(self, key: str, minimum: float, default: int | None = None) -> int:
+        """Return the number under this key, truncated to an integer. The checks are those of `number`."""
+        return int(self.number(key, minimum, default))
 
 
-def checked_number(value: object, location: str, least: float) -> float:
-    """Return the value if it is a finite number, `least` or more; else raise SettingsError naming it."""
-    # JSON's true would pass as 1, and the standard library reads NaN and Infinity.
-    if isinstance(value, bool) or not isinstance(value, int | float) or not isfinite(value) or value < least:
-        raise SettingsError(f"settings: {location} must be a number of {least:g} or more, not {value!r}")
+def checked_number(value: object, location: str, minimum: float) -> float:
+    """Return the value if it is a finite number of `minimum` or more. Raises SettingsError."""
+    if not _is_finite_number(value) or value < minimum:
+        raise SettingsError(f"settings: {location} must be a number of {minimum:g} or more, not {value!r}")
     return value
 
 
+def _is_finite_number(value: object) -> TypeGuard[float]:
+    # Python's JSON parser reads NaN and Infinity as numbers, and its booleans are integers.
+    return isinstance(value, int | float) and not isinstance(value, bool) and isfinite(value)
+
+
 def checked_name(value: object, location: str) -> str:
-    """Return the value as text, if it is no list or object. Raises WrongTypeError naming the location."""
+    """Return the value as text, unless it is a list or an object. Raises WrongTypeError."""
     if isinstance(value, list | dict):
         raise WrongTypeError(location, "a string", value)
     return str(value)
 
 
-def iterable(value: object, location: str) -> list[object]:
-    """Return the elements of a list. Raises WrongTypeError naming the location."""
-    if not isinstance(
-        value, list | dict | str
-    ):  # the latter two pass where they are empty: elements are checked
+def checked_list(value: object, location: str) -> list[object]:
+    """Return the elements of a list. Raises WrongTypeError.
+
+    An object counts as the list of its keys, and a string as that of its characters.
+    """
+    if not isinstance(value, list | dict | str):
         raise WrongTypeError(location, "a list", value)
     return list(value)
--- a/wheatstile/config/settings.py
+++ b/wheatstile/config/settings.py
@@ -1,6 +1,6 @@
-"""The settings that the platform gives every balancer: nested JSON, in the platform's own words.
+"""Reads the platform's settings, which are nested JSON, into `Settings`. The keys are in docs/glossary.md.
 
-The balancer on sockets reads them from the platform's file, the simulator's host from its first message.
+The balancer reads them from the platform's file, the simulator's host from its first message.
 """
 
 import json
@@ -8,30 +8,37 @@
 
 from wheatstile import interface as api
 from wheatstile.config.errors import MissingKeyError, SettingsError
-from wheatstile.config.section import Section, checked_number, iterable
+from wheatstile.config.section import Section, checked_list, checked_number
 
-# The settings' word -> the interface's word.
-IDEMPOTENCY = {
+IDEMPOTENCY = {  # by the value of `classes[].repeat`
     "retryable": api.Idempotency.IDEMPOTENT,
     "dedup": api.Idempotency.IDEMPOTENCY_KEY,
     "fragile": api.Idempotency.NON_IDEMPOTENT,
 }
-LOAD_METRICS = {
-    "outstanding": "inflight",
-    "backlog": "queue",
-    "utilization": "busy",
-    "recent_ms": "latency_ms",
-    "throughput": "served_per_s",
-    "errors_per_s": "errors_per_s",
-    "x0": "load",
-    "x1": "backlog_s",
+DEDUPLICATION_SCOPES = {  # by the value of `classes[].dedupScope`
+    "all": api.DeduplicationScope.ALL,
+    "zone": api.DeduplicationScope.ZONE,
+    "cell": api.DeduplicationScope.CELL,
 }
-POLLED_DISCOVERY = "on_request"  # the value of `discovery` with which endpoints are not pushed
-NO_TELEMETRY = "silent"  # the value of `telemetry.via` with which servers report nothing
+DEFAULT_DEDUPLICATION_SCOPE = "all"
+LOAD_METRICS: dict[str, str] = {  # by the values of `telemetry.names`
+    "outstanding": api.LoadMetric.IN_FLIGHT.value,
+    "backlog": api.LoadMetric.QUEUE_LENGTH.value,
+    "utilization": api.LoadMetric.BUSY_SHARE.value,
+    "recent_ms": api.LoadMetric.LATENCY_MS.value,
+    "throughput": api.LoadMetric.SERVED_PER_S.value,
+    "errors_per_s": api.LoadMetric.ERRORS_PER_S.value,
+    "x0": api.LoadMetric.LOAD.value,
+    "x1": api.LoadMetric.BACKLOG_S.value,
+}
+POLLED_DISCOVERY = "on_request"  # value of `discovery` if balancers have to ask for the endpoint list
+NO_TELEMETRY = "silent"  # value of `telemetry.via` if servers do not report their load
+DEFAULT_SLOW_START_OVERLOAD_WINDOW_US = 1_500_000
+DEFAULT_POLL_INTERVAL_US = 10_000_000
 
 
 def parse_settings(text: str) -> api.Settings:
-    """Read the settings in this JSON text. Raises SettingsError naming the key at fault."""
+    """Return the settings in this JSON text. Raises SettingsError, which names the invalid key."""
     try:
         value = json.loads(text)
     except ValueError as error:
@@ -40,7 +47,7 @@
 
 
 def read_settings(value: object) -> api.Settings:
-    """Read the settings in this parsed JSON. Raises SettingsError naming the key at fault."""
+    """Return the settings in this parsed JSON. Raises SettingsError, which names the invalid key."""
     try:
         return _read(Section(value))
     except MissingKeyError as error:
@@ -49,20 +56,23 @@
         raise SettingsError(f"settings: has a value of a wrong type: {error}") from None
     except SettingsError:
         raise
-    except ValueError as error:  # the interface's own checks
+    except ValueError as error:  # raised by the checks of api.Settings
         raise SettingsError(str(error)) from None
 
 
 def message_latency_objectives_us(settings: Section) -> list[object]:
-    """`familyInfo.messageAimUs`, one for each class in their order: unchecked, and empty if there is none."""
+    """Return `familyInfo.messageAimUs`: one objective for each class, in the order of the classes.
+
+    The elements are not checked. The list is empty if no objectives are set.
+    """
     objectives = settings.optional_section("familyInfo").get("messageAimUs", None) or []
-    return iterable(objectives, "familyInfo.messageAimUs")
+    return checked_list(objectives, "familyInfo.messageAimUs")
 
 
 def _read(settings: Section) -> api.Settings:
     limits = settings.section("limits")
     rules = settings.section("rules")
-    _check_unused(settings, rules)
+    _check_unused_keys(settings, rules)
     return api.Settings(
         fleet_size=settings.integer("fleetSize", -inf),
         zone=str(settings.get("zone", "")),
@@ -71,8 +81,8 @@
         slow_start_initial_capacity=rules.number("coldFrom", 0),
         slow_start_duration_us=rules.integer("warmAfterUs", 0),
         slow_start_overload_factor=rules.number("tipMultiple", 0),
-        slow_start_overload_window_us=rules.integer("fallUs", 1, 1_500_000),
-        poll_interval_us=rules.integer("askEveryUs", 1, 10_000_000),
+        slow_start_overload_window_us=rules.integer("fallUs", 1, DEFAULT_SLOW_START_OVERLOAD_WINDOW_US),
+        poll_interval_us=rules.integer("askEveryUs", 1, DEFAULT_POLL_INTERVAL_US),
         poll_endpoints=settings.require("discovery") == POLLED_DISCOVERY,
         health_checks_enabled=limits.flag("mayProbe"),
         load_metrics=_load_metrics(settings),
@@ -83,13 +93,13 @@
     )
 
 
-def _check_unused(settings: Section, rules: Section) -> None:
-    """Check also what is not decided by: a fault there shows that these are no settings."""
+def _check_unused_keys(settings: Section, rules: Section) -> None:
+    """Check the keys that the balancer does not use: an invalid one shows that the settings are damaged."""
     accounts = settings.optional_sections("accounts")
     shares = [account.number("share", 0, 1.0) for account in accounts]
     if accounts and not sum(shares):
         raise SettingsError("settings: accounts[].share must not sum to nothing")
-    rules.number("drainGraceUs", 0, 0)  # nothing is begun at a server once it is draining
+    rules.number("drainGraceUs", 0, 0)  # unused because a draining server gets no new sessions
 
 
 def _service_classes(settings: Section) -> dict[str, api.ServiceClass]:
@@ -103,26 +113,21 @@
 
 
 def _service_class(section: Section, message_objective_us: object, index: int) -> api.ServiceClass:
+    scope = str(section.get("dedupScope", DEFAULT_DEDUPLICATION_SCOPE))
+    objective_location = f"familyInfo.messageAimUs.{index}"
     return api.ServiceClass(
-        section.name("name"),
-        section.integer("aimUs", 1),
-        IDEMPOTENCY.get(section.name("repeat"), api.Idempotency.NON_IDEMPOTENT),
-        _deduplication_scope(str(section.get("dedupScope", "all"))),
-        section.integer("dedupWindowUs", 0, 0),
-        section.number("worth", 0, 1.0),
-        int(checked_number(message_objective_us, f"familyInfo.messageAimUs.{index}", 0)),
+        name=section.name("name"),
+        latency_objective_us=section.integer("aimUs", 1),
+        idempotency=IDEMPOTENCY.get(section.name("repeat"), api.Idempotency.NON_IDEMPOTENT),
+        deduplication_scope=DEDUPLICATION_SCOPES.get(scope, api.DeduplicationScope.UNKNOWN),
+        deduplication_window_us=section.integer("dedupWindowUs", 0, 0),
+        priority_weight=section.number("worth", 0, 1.0),
+        message_latency_objective_us=int(checked_number(message_objective_us, objective_location, 0)),
     )
 
 
-def _deduplication_scope(value: str) -> api.DeduplicationScope:
-    try:
-        return api.DeduplicationScope(value)
-    except ValueError:
-        return api.DeduplicationScope.UNKNOWN
-
-
 def _load_metrics(settings: Section) -> tuple[str, ...]:
-    """Return the metrics that servers report, in the interface's words; unknown ones are passed over."""
+    """Return the names in `LoadMetric` of the metrics that servers report. Unknown metrics are ignored."""
     telemetry = settings.optional_section("telemetry")
     if telemetry.get("via", NO_TELEMETRY) == NO_TELEMETRY:
         return ()
--- a/wheatstile/config/shape.py
+++ b/wheatstile/config/shape.py
@@ -1,4 +1,4 @@
-"""A JSON value held against msgspec types: every violation at once, where msgspec itself raises the first."""
+"""Validation of a JSON value by msgspec types. Unlike msgspec itself, it reports every violation."""
 
 import types
 from collections.abc import Iterator
@@ -8,34 +8,38 @@
 
 from wheatstile.config.violations import Violation, nearest, pointer
 
-Path = tuple[str | int, ...]  # keys and indices from the document's root
+Path = tuple[str | int, ...]
+"""The keys and indices from the root of the document to a value."""
 
 
 def find_violations(value: object, expected: Any, path: Path = ()) -> Iterator[Violation]:
-    """Yield a violation for each way in which the value is not of the expected type.
+    """Yield every violation of the expected type by the value, including its elements and members.
 
-    Structs, lists and dicts are gone into; a key that a struct does not have is a violation.
+    A key that a struct does not define is a violation.
     """
-    expected = _without_none(expected) if value is not None else expected
-    inner = get_args(expected)[0] if get_origin(expected) is Annotated else expected
-    if isinstance(inner, type) and issubclass(inner, msgspec.Struct) and isinstance(value, dict):
-        yield from _struct_violations(value, inner, path)
-    elif inner is Any:
+    if value is not None:
+        expected = _without_none(expected)
+    plain = get_args(expected)[0] if get_origin(expected) is Annotated else expected
+    origin = get_origin(plain)
+    arguments = get_args(plain)
+    if plain is Any:
         return
-    elif get_origin(inner) is list and get_args(inner)[0] is not Any and isinstance(value, list):
+    if isinstance(value, dict) and isinstance(plain, type) and issubclass(plain, msgspec.Struct):
+        yield from _struct_violations(value, plain, path)
+    elif isinstance(value, list) and origin is list and arguments[0] is not Any:
         for index, element in enumerate(value):
-            yield from find_violations(element, get_args(inner)[0], (*path, index))
-    elif get_origin(inner) is dict and isinstance(value, dict):
+            yield from find_violations(element, arguments[0], (*path, index))
+    elif isinstance(value, dict) and origin is dict:
         for key, element in value.items():
-            yield from find_violations(element, get_args(inner)[1], (*path, key))
-    elif get_origin(inner) is Literal and isinstance(value, str) and value not in get_args(inner):
-        yield Violation(pointer(*path), f'"{value}" is not known{nearest(value, get_args(inner))}')
+            yield from find_violations(element, arguments[1], (*path, key))
+    elif isinstance(value, str) and origin is Literal and value not in arguments:
+        yield Violation(pointer(*path), f'"{value}" is not known{nearest(value, arguments)}')
     else:
         yield from _value_violations(value, expected, path)
 
 
 def _without_none(expected: Any) -> Any:
-    """T of `T | None`, any other type as it is."""
+    """Return T for `T | None`, and any other type unchanged."""
     if get_origin(expected) not in (types.UnionType, Union):
         return expected
     alternatives = [kind for kind in get_args(expected) if kind is not type(None)]
--- a/wheatstile/descriptions/operator_rules.py
+++ b/wheatstile/descriptions/operator_rules.py
@@ -4,8 +4,7 @@
 from dataclasses import dataclass, field, replace
 from pathlib import Path
 
-from wheatstile.config.operator import MOST_BYTES as MAX_OPERATOR_FILE_BYTES
-from wheatstile.config.operator import OperatorFile
+from wheatstile.config.operator import MAX_OPERATOR_FILE_BYTES, OperatorFile
 from wheatstile.config.violations import ConfigurationError, Violation, load, locate, pointer
 from wheatstile.descriptions.compile_types import ClassificationRule, ClassPolicies
 from wheatstile.descriptions.findings import Finding, InvalidDescriptionError, SourceLocation
--- a/wheatstile/descriptions/parser.py
+++ b/wheatstile/descriptions/parser.py
@@ -2,7 +2,7 @@
 
 from contextlib import suppress
 
-from wheatstile.config import violations
+from wheatstile.config import json_locations, violations
 from wheatstile.descriptions.findings import Finding, InvalidDescriptionError, SourceLocation
 from wheatstile.descriptions.parsed_file import (
     MAX_FILE_BYTES,
@@ -50,7 +50,7 @@
             for violation in error.violations
         ]
         raise InvalidDescriptionError(findings) from None
-    lines = {pointer: line for pointer, line, _ in violations.walk(text)}
+    lines = {pointer: line for pointer, line, _ in json_locations.walk(text)}
     if len(lines) > MAX_VALUES:
         raise parse_error(file, 1, f"more than {MAX_VALUES} values")
     for pointer, line in lines.items():
