--- a/tests/cli/test_check_command.py
+++ b/tests/cli/test_check_command.py
@@ -1,4 +1,4 @@
-"""`wheatstile check` and `serve` as processes: all that the operator's file names is checked at the start."""
+"""`wheatstile check` and `serve` as processes: the operator's file is checked before the balancer serves."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 
 
 @pytest.mark.usefixtures("live_file")
-def test_check_lists_what_it_could_not_check() -> None:
+def test_check_lists_the_checks_that_were_not_possible() -> None:
     result = run_command("check", "op.json")
     assert result.status == 0
     assert "not checked: against the platform's settings" in result.output
 
 
 @pytest.mark.usefixtures("live_file")
-def test_check_compares_the_file_with_the_servers_that_the_platform_knows() -> None:
+def test_check_compares_the_endpoint_file_with_the_platforms_servers() -> None:
     result = run_command("check", "op.json", RELAY_CONFIG=str(EXAMPLE_CONFIG))
     assert result.status == 1
     assert "takes 2 of 2 ready servers away" in result.errors
@@ -33,7 +33,7 @@
     assert run_command("check", "op.json", "--config", "none.json").status == 1
 
 
-def test_serve_rejects_a_bad_operator_file() -> None:
+def test_serve_rejects_an_invalid_operator_file() -> None:
     result = run_command("serve", WHEATSTILE_FILE="bad.json", RELAY_CONFIG=str(EXAMPLE_CONFIG))
     assert result.status == 1
     assert "bad.json:2: /sael: unknown key" in result.errors
--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -1,4 +1,4 @@
-"""The command line as a whole: usage, what is imported, and the events that are logged."""
+"""The command line as a whole: usage, aliases, imported modules, and the list of logged events."""
 
 import ast
 import re
@@ -18,9 +18,9 @@
     "rfc8785",
     "wheatstile.resolvers",
 }
-"""What the process that only serves has no use for."""
+"""Modules that a balancer without an operator's file must not import."""
 LOGGER_NAME = "log"
-"""What every module calls its logger."""
+"""The name of the logger in every module."""
 LOG_METHODS = frozenset({"debug", "info", "warning", "error", "exception", "critical", "log"})
 LOGGED_EVENT_ROW = re.compile(r"^\| `([^`]+)` \|", re.MULTILINE)
 
@@ -35,16 +35,38 @@
     assert run_command(*arguments).status == 0
 
 
-def test_what_is_switched_off_is_not_imported() -> None:
+@pytest.mark.parametrize("name", ["fault-proxy", "link"])
+def test_fault_proxy_has_the_same_exit_statuses_by_both_names(name: str) -> None:
+    assert run_command(name, "--help").status == 0
+    assert run_command(name).status == 2
+    rejected = run_command(name, "no-route")
+    assert (rejected.status, rejected.errors) == (1, "route 'no-route': SRC:DST:LISTEN:TARGET wanted\n")
+
+
+def test_fault_proxy_has_the_same_options_by_both_names() -> None:
+    current = run_command("fault-proxy", "--help").output
+    former = run_command("link", "--help").output
+    assert current.partition("fault-proxy")[2] == former.partition("link")[2]
+
+
+def test_help_lists_the_fault_proxy_by_its_current_name_only() -> None:
+    listed = [line.split()[0] for line in run_command("--help").output.splitlines() if line.strip()]
+    assert "fault-proxy" in listed
+    assert "link" not in listed
+
+
+def test_modules_of_disabled_subsystems_are_not_imported() -> None:
     code = "import sys, wheatstile.process.main; print(*sys.modules)"
+
     done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True)
+
     modules = set(done.stdout.split())
     packages = {name.partition(".")[0] for name in modules}
     assert not (modules | packages) & OPTIONAL_MODULES
 
 
 def logged_events() -> Iterator[str]:
-    """Yield the name of every event that a module of the program logs, as its source says."""
+    """Yield the name of every event that the source of the program logs."""
     for path in (ROOT / "wheatstile").rglob("*.py"):
         for node in ast.walk(ast.parse(path.read_text())):
             if isinstance(node, ast.Call) and isinstance(node.func, ast.Attribute) and node.args:
@@ -52,7 +74,7 @@
 
 
 def event_of_call(call: ast.Call, function: ast.Attribute) -> Iterator[str]:
-    """Yield the event that this call logs, if it does; its name has to be a constant."""
+    """Yield the event if this is a call of the logger. The name of the event has to be a constant."""
     is_logger = isinstance(function.value, ast.Name) and function.value.id == LOGGER_NAME
     if is_logger and function.attr in LOG_METHODS:
         event = ast.literal_eval(call.args[0])
@@ -60,6 +82,6 @@
         yield event
 
 
-def test_every_logged_event_is_listed_and_every_listed_one_is_logged() -> None:
+def test_documentation_lists_exactly_the_events_that_are_logged() -> None:
     page = (ROOT / "docs" / "operators" / "logs.md").read_text()
     assert set(logged_events()) == set(LOGGED_EVENT_ROW.findall(page))
--- a/tests/cli/test_servers_command.py
+++ b/tests/cli/test_servers_command.py
@@ -1,4 +1,4 @@
-"""`wheatstile servers` as a process: files of servers are published, compared, accepted and explained."""
+"""`wheatstile servers` as a process: endpoint files are published, compared, accepted and explained."""
 
 from __future__ import annotations
 
@@ -34,26 +34,28 @@
     assert "link-2    removed" in run_command("servers", "diff", "live.json", "few.json").output
 
 
-def test_accepted_publication_raises_the_generation_and_names_the_digest(live_file: Path) -> None:
+def test_accepted_publication_raises_the_generation_and_writes_the_approval(live_file: Path) -> None:
     result = run_command("servers", "publish", "few.json", "live.json", "--accept", "--bump")
+
     assert result.status == 0
     assert "generation 2" in result.output
     accepted = json.loads(Path("live.json.accept").read_text())["digest"]
     assert accepted == json.loads(live_file.read_text())["seal"]
     older = run_command("servers", "publish", "new.json", "live.json")
-    assert older.status == 1, "its generation goes back"
+    assert older.status == 1, "a lower generation was published"
 
 
-def test_file_is_sealed_and_accepted() -> None:
+def test_seal_and_accept_succeed_for_a_valid_file() -> None:
     assert run_command("servers", "seal", "new.json").status == 0
     assert run_command("servers", "accept", "new.json").status == 0
 
 
-def test_explain_reports_which_source_holds_and_why() -> None:
+def test_explain_prints_the_source_in_force_and_the_reason() -> None:
     member = {"id": "link-1", "host_port": "127.0.0.1:9001", "locality": "home", "phase": "draining"}
     answer = {"revision": 1, "complete": True, "members": [member]}
     Path("discovery.json").write_text(json.dumps(answer))
     explain = ("servers", "explain", "new.json", "--discovery", "discovery.json")
+
     assert "discovery holds: discovery answers" in run_command(*explain).output
     silent = run_command(*explain, "--silent-s", "11")
     assert silent.status == 0
@@ -61,7 +63,7 @@
     assert re.search(r"link-1 .* draining +file; discovery tells it to drain", silent.output)
 
 
-def test_rejection_names_every_violation_on_standard_error() -> None:
+def test_rejection_prints_every_violation_to_standard_error() -> None:
     result = run_command("servers", "check", "bad.json")
     assert (result.status, result.output) == (1, "")
     assert [line.split(": ")[:2] for line in result.errors.splitlines()] == [
--- a/tests/fault_proxy/test_delivery.py
+++ b/tests/fault_proxy/test_delivery.py
@@ -1,4 +1,4 @@
-"""The delivery schedule: the order is kept, and the first frame is never lost or duplicated."""
+"""The delivery schedule keeps the order, and never loses or duplicates the first frame."""
 
 from __future__ import annotations
 
@@ -14,18 +14,20 @@
     schedule = DeliverySchedule(random.Random(1), frames=False)
     delayed = list(schedule.add(b"one", LinkConditions(delay_s=5.0), now_s=10.0))
     healed = list(schedule.add(b"two", LinkConditions(), now_s=11.0))
+
     assert delayed == [ScheduledPiece(15.0, b"one")]
     assert healed == [ScheduledPiece(15.0, b"two")]
     assert schedule.end() == ScheduledPiece(15.0, b"")
 
 
-def test_first_frame_is_delivered_once_whatever_the_conditions() -> None:
+def test_first_frame_is_always_delivered_once() -> None:
     lossy = DeliverySchedule(random.Random(1), frames=True)
     duplicating = DeliverySchedule(random.Random(1), frames=True)
     copies_when_lossy = [len(list(lossy.add(FRAME, LinkConditions(loss_ratio=1.0), 0.0))) for _ in range(3)]
     copies_when_duplicating = [
         len(list(duplicating.add(FRAME, LinkConditions(duplication_ratio=1.0), 0.0))) for _ in range(3)
     ]
+
     assert copies_when_lossy == [1, 0, 0]
     assert copies_when_duplicating == [1, 2, 2]
 
--- a/tests/fault_proxy/test_fault_commands.py
+++ b/tests/fault_proxy/test_fault_commands.py
@@ -1,4 +1,4 @@
-"""The command language: a bad command names its word, a script every line at fault."""
+"""The parser of commands and scripts: errors name the invalid word, and every invalid line of a script."""
 
 from __future__ import annotations
 
@@ -27,21 +27,27 @@
         ("rate a b 0", "word 4: 0 lies outside 1 to 1e"),
     ],
 )
-def test_bad_command_is_rejected_with_its_position(line: str, reason: str) -> None:
+def test_invalid_command_is_rejected_with_the_position_of_the_word(line: str, reason: str) -> None:
     with pytest.raises(CommandError, match=f"^{reason}"):
         parse_command(line)
 
 
 def test_script_is_sorted_by_time() -> None:
-    assert parse_script("# a day\nat 2 heal\n\nat 0.5 cut a b  # one way\n") == [
+    assert parse_script("# a comment\nat 2 heal\n\nat 0.5 cut a b  # one way\n") == [
         ScheduledCommand(0.5, Command(CommandName.CUT, "a", "b")),
         ScheduledCommand(2.0, Command(CommandName.HEAL)),
     ]
 
 
-def test_bad_script_is_rejected_with_every_line_at_fault() -> None:
-    with pytest.raises(ScriptError) as rejected:
-        parse_script("cut a b\nat 1 cut\nat x heal")
-    lines = str(rejected.value).splitlines()
-    assert [line.split(":")[0] for line in lines] == ["line 1", "line 2", "line 3"]
-    assert rejected.value.violations == lines
+def test_invalid_script_is_rejected_with_every_invalid_line() -> None:
+    with pytest.raises(ScriptError) as rejection:
+        parse_script("cut a b\nat 1 cut\nat x heal\nat -1 heal\nat")
+    lines = str(rejection.value).splitlines()
+    assert lines == [
+        "line 1: the line must begin with `at SECONDS`",
+        "line 2: cut takes 2 arguments, not 0",
+        "line 3: time 'x' is not a number",
+        "line 4: time -1 lies outside 0 to 86400",
+        "line 5: the line must begin with `at SECONDS`",
+    ]
+    assert rejection.value.violations == lines
--- a/tests/fault_proxy/test_fault_frames.py
+++ b/tests/fault_proxy/test_fault_frames.py
@@ -1,4 +1,4 @@
-"""Frames: a stream is cut into them wherever it is read."""
+"""The frame splitter: frames are independent of how the stream is divided among reads."""
 
 from __future__ import annotations
 
@@ -11,13 +11,15 @@
 
 
 @given(st.lists(st.binary(max_size=20), max_size=8), st.integers(1, 7))
-def test_stream_is_split_into_its_frames_wherever_it_is_read(bodies: list[bytes], step: int) -> None:
+def test_stream_is_split_into_its_frames_for_any_size_of_reads(bodies: list[bytes], step: int) -> None:
     frames = [len(body).to_bytes(4, "big") + body for body in bodies]
     stream = b"".join(frames)
     splitter = FrameSplitter()
+
     found = []
     for start in range(0, len(stream), step):
         found += splitter.feed(stream[start : start + step])
+
     assert found == frames
     assert not splitter.buffered_bytes
     with pytest.raises(FrameTooLongError, match="at most"):
--- a/wheatstile/cli/__init__.py
+++ b/wheatstile/cli/__init__.py
@@ -1,28 +1,31 @@
-"""The command line. Each group of commands is a module of its own, imported only when it is called."""
+"""The command line. Each command has its own module, which is imported only when the command is called."""
 
 import sys
 
 import click
 
 from wheatstile import __version__
+from wheatstile.cli.exit_status import ExitStatus
 from wheatstile.cli.groups import LazyGroup
 
 COMMAND_MODULES = {
     "check": "wheatstile.cli.check:command",
     "descriptions": "wheatstile.cli.descriptions:command",
-    "link": "wheatstile.cli.link:command",
+    "fault-proxy": "wheatstile.cli.fault_proxy:command",
     "schema": "wheatstile.cli.schema:command",
     "serve": "wheatstile.cli.serve:command",
     "servers": "wheatstile.cli.servers:command",
     "store": "wheatstile.cli.store:command",
 }
+COMMAND_ALIASES = {"link": "fault-proxy"}
+"""Former names of commands, which still work but are not listed."""
 
 
-@click.group(cls=LazyGroup, modules=COMMAND_MODULES, invoke_without_command=True)
+@click.group(cls=LazyGroup, modules=COMMAND_MODULES, aliases=COMMAND_ALIASES, invoke_without_command=True)
 @click.version_option(__version__, prog_name="wheatstile")
 @click.pass_context
 def group(context: click.Context) -> None:
-    """A balancer for long-lived connections. Without a command it serves, from RELAY_* alone."""
+    """Balance long-lived connections. Without a command, serve with the configuration in RELAY_*."""
     if context.invoked_subcommand is None:
         from wheatstile.process.main import main as serve
 
@@ -30,15 +33,15 @@
 
 
 def main() -> int:
-    """Exit status 0: done, or holds; 1: refused, with the reasons on standard error; 2: wrong usage."""
+    """Run the command line, and return the exit status, which is one of `ExitStatus` or 2 for wrong usage."""
     try:
         status = group.main(prog_name="wheatstile", standalone_mode=False)
     except click.ClickException as error:
         error.show()
         return error.exit_code
     except click.Abort:
-        return 1
-    return status if isinstance(status, int) else 0
+        return ExitStatus.REJECTED
+    return status if isinstance(status, int) else ExitStatus.OK
 
 
 if __name__ == "__main__":
--- a/wheatstile/cli/link.py
+++ b/wheatstile/cli/fault_proxy.py
@@ -1,4 +1,4 @@
-"""`wheatstile link`: the fault proxy between the fleet's processes."""
+"""`wheatstile fault-proxy`: injects network faults between the processes of a fleet."""
 
 from pathlib import Path
 
@@ -7,26 +7,34 @@
 from wheatstile.cli.exit_status import reject
 
 
-@click.command("link")
+@click.command("fault-proxy")
 @click.argument("routes", nargs=-1, required=True)
-@click.option("--frames", is_flag=True, help="Streams are frames behind a 4-byte length: `lose`, `repeat`.")
 @click.option(
-    "--control", "control_port", type=click.IntRange(0, 65535), help="A port for commands (0: any)."
+    "--frames", is_flag=True, help="Streams are frames with a 4-byte length prefix: enables lose, repeat."
+)
+@click.option(
+    "--control", "control_port", type=click.IntRange(0, 65535), help="Port for commands (0: any free port)."
 )
 @click.option(
     "--script",
     "script_file",
     type=click.Path(exists=True, dir_okay=False, path_type=Path),
-    help="Commands behind `at SECONDS`, one a line.",
+    help="File of commands, one in each line, after `at SECONDS`.",
 )
-@click.option("--seed", type=int, default=0, help="Seeds what is lost, repeated and jittered.")
+@click.option("--seed", type=int, default=0, help="Seeds the draws of loss, duplication and jitter.")
+@click.pass_context
 def command(
-    routes: tuple[str, ...], frames: bool, control_port: int | None, script_file: Path | None, seed: int
+    context: click.Context,
+    routes: tuple[str, ...],
+    frames: bool,
+    control_port: int | None,
+    script_file: Path | None,
+    seed: int,
 ) -> int:
-    """Relays each ROUTE (SRC:DST:LISTEN:TARGET, on 127.0.0.1) until standard input ends.
+    """Relay each ROUTE (SRC:DST:LISTEN:TARGET, on 127.0.0.1) until standard input ends.
 
-    Commands, one a line on standard input: cut A B, isolate A, delay A B SECONDS [JITTER], rate A B BYTES,
-    lose A B SHARE, repeat A B SHARE, reset A B, heal [A B]; `*` is every name.
+    Commands, one in each line of standard input: cut A B, isolate A, delay A B SECONDS [JITTER],
+    rate A B BYTES, lose A B SHARE, repeat A B SHARE, reset A B, heal [A B]. `*` stands for all names.
     """
     from wheatstile.fault_proxy.commands import FRAME_COMMANDS, parse_script
     from wheatstile.fault_proxy.errors import CommandError
@@ -42,4 +50,5 @@
         return reject([f"{script_file}: {line}" for line in str(error).splitlines()])
     except ValueError as error:
         return reject([str(error)])
-    return main(FaultProxyOptions(parsed_routes, frames, seed, control_port, script))
+    options = FaultProxyOptions(parsed_routes, frames, seed, control_port, script)
+    return main(options, command_name=context.info_name or "fault-proxy")
--- a/wheatstile/cli/groups.py
+++ b/wheatstile/cli/groups.py
@@ -1,4 +1,4 @@
-"""Groups of commands: imported when they are named, and with one way to report what is rejected."""
+"""Click groups: one imports its commands lazily, the other reports rejected configurations."""
 
 from collections.abc import Mapping
 from importlib import import_module
@@ -9,31 +9,44 @@
 
 
 class LazyGroup(click.Group):
-    """Imports a command's module when the command is named, so that `serve` pays for no other."""
-
-    def __init__(self, name: str, *, modules: Mapping[str, str], **options: object) -> None:
-        """`modules`: by command, `MODULE:ATTRIBUTE` of the click command."""
+    """Imports the module of a command when the command is called, so that `serve` imports no other."""
+
+    def __init__(
+        self,
+        name: str,
+        *,
+        modules: Mapping[str, str],
+        aliases: Mapping[str, str] | None = None,
+        **options: object,
+    ) -> None:
+        """Create the group.
+
+        `modules` maps each command to `MODULE:ATTRIBUTE` of its click command. `aliases` maps further names,
+        which are not listed, to commands.
+        """
         super().__init__(name, **options)  # type: ignore[arg-type]
         self._modules = modules
+        self._aliases = aliases or {}
 
     def list_commands(self, ctx: click.Context) -> list[str]:  # noqa: ARG002  the signature of click
-        """Return the commands' names, sorted."""
+        """Return the sorted names of the commands, without aliases."""
         return sorted(self._modules)
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:  # noqa: ARG002
-        """Return the command of this name; None where there is none."""
-        if cmd_name not in self._modules:
+        """Return the command with this name or alias, or None if there is none."""
+        name = self._aliases.get(cmd_name, cmd_name)
+        if name not in self._modules:
             return None
-        module, _, attribute = self._modules[cmd_name].partition(":")
+        module, _, attribute = self._modules[name].partition(":")
         command: click.Command = getattr(import_module(module), attribute)
         return command
 
 
 class ConfigurationGroup(click.Group):
-    """Reports a rejected configuration, whichever command has read it: exit status 1, reasons on stderr."""
+    """Reports a rejected configuration for all its commands: reasons on standard error, exit status 1."""
 
     def invoke(self, ctx: click.Context) -> object:
-        """Run the command that was named; its exit status."""
+        """Run the called command, and return its exit status."""
         from wheatstile.config.platform import ConfigError
         from wheatstile.config.violations import ConfigurationError
 
--- a/wheatstile/fault_proxy/commands.py
+++ b/wheatstile/fault_proxy/commands.py
@@ -1,17 +1,17 @@
-"""The command language of the fault proxy: one command a line.
+"""Parser of the commands of the fault proxy: one command in each line.
 
-Names are the ends of the routes; `*` stands for every name:
+A and B are names of processes, as in the routes. `*` stands for all names.
 
-    cut A B                    bytes from A to B wait, as a lost route holds a TCP stream; one way
-    isolate A                  the same both ways, with everyone
-    delay A B SECONDS [JITTER] bytes arrive later, by up to JITTER more, in their order
-    rate A B BYTES             so many bytes a second pass at most
-    lose A B SHARE             that share of the frames is left out (a route of frames only)
-    repeat A B SHARE           that share of the frames comes twice (a route of frames only)
-    reset A B                  connections between the two end with RST, now
-    heal [A B]                 all of this is over (for A to B alone)
+    cut A B                    block the bytes from A to B, in this direction only, until they are healed
+    isolate A                  block all bytes from and to A
+    delay A B SECONDS [JITTER] delay the bytes from A to B, by up to JITTER seconds more; the order is kept
+    rate A B BYTES             limit the rate from A to B to BYTES per second
+    lose A B SHARE             drop this share of the frames (requires --frames)
+    repeat A B SHARE           deliver this share of the frames twice (requires --frames)
+    reset A B                  close the connections between A and B with RST
+    heal [A B]                 remove all faults, or those that were set for A B
 
-A script has a command a line behind `at SECONDS`; `#` begins a comment.
+A line of a script is a command after `at SECONDS`. `#` begins a comment.
 """
 
 from __future__ import annotations
@@ -23,11 +23,11 @@
 from wheatstile.fault_proxy.errors import CommandError, FaultProxyError, ScriptError
 
 MAX_DELAY_S = 30.0
-"""The longest delay, and the longest jitter; a longer one is a mistake and is rejected."""
+"""Upper bound for a delay and for its jitter."""
 MAX_RATE_BYTES_PER_S = 1e10
 MIN_RATE_BYTES_PER_S = 1.0
 MAX_SCRIPT_TIME_S = 86_400.0
-"""The latest time of a command in a script, from the start of the proxy."""
+"""Upper bound for the time of a command in a script."""
 
 ANY_NAME = "*"
 SCRIPT_TIME_KEYWORD = "at"
@@ -35,7 +35,7 @@
 
 
 class CommandName(enum.StrEnum):
-    """The first word of a command; the values are the words as they are written and logged."""
+    """The first word of a command. The values are also logged."""
 
     CUT = "cut"
     ISOLATE = "isolate"
@@ -48,12 +48,15 @@
 
 
 FRAME_COMMANDS = frozenset({CommandName.LOSE, CommandName.REPEAT})
-"""Commands that make sense only where the streams consist of frames."""
+"""Commands that are valid only if the proxy splits the streams into frames."""
 
 
 @dataclass(frozen=True, slots=True)
 class Command:
-    """A parsed command. `values` are its numbers in the order of the line; a name left out is `*`."""
+    """A parsed command.
+
+    `values` are its numbers in the order of the line. A name that is not given is ANY_NAME.
+    """
 
     name: CommandName
     source: str = ANY_NAME
@@ -63,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ScheduledCommand:
-    """A command of a script, `at_s` seconds after the start of the proxy."""
+    """A command of a script, which is applied `at_s` seconds after the start of the proxy."""
 
     at_s: float
     command: Command
@@ -71,25 +74,25 @@
 
 @dataclass(frozen=True, slots=True)
 class NumberRange:
-    """The numbers from `lowest` to `highest`, both included."""
+    """The numbers from `lowest` to `highest`, including both."""
 
     lowest: float
     highest: float
 
     def __contains__(self, value: float) -> bool:
-        """Whether `value` lies in the range; NaN does not."""
+        """Return whether `value` lies in the range. NaN does not."""
         return self.lowest <= value <= self.highest
 
     def __str__(self) -> str:
-        """Return the range as error messages give it."""
+        """Return the range as text for error messages."""
         return f"{self.lowest:g} to {self.highest:g}"
 
 
 @dataclass(frozen=True, slots=True)
 class Arguments:
-    """What follows a command's name: so many names, then a number in each range.
+    """The arguments of a command: `names` names, then one number in each of the ranges.
 
-    The last `optional_numbers` numbers may be left out.
+    The last `optional_numbers` numbers are optional.
     """
 
     names: int
@@ -98,18 +101,19 @@
 
     @property
     def max_count(self) -> int:
-        """How many arguments there may be."""
+        """Return the maximum number of arguments."""
         return self.names + len(self.numbers)
 
     @property
     def min_count(self) -> int:
-        """How many arguments there must be."""
+        """Return the minimum number of arguments."""
         return self.max_count - self.optional_numbers
 
 
 DELAY_RANGE_S = NumberRange(0.0, MAX_DELAY_S)
 RATE_RANGE_BYTES_PER_S = NumberRange(MIN_RATE_BYTES_PER_S, MAX_RATE_BYTES_PER_S)
 SHARE_RANGE = NumberRange(0.0, 1.0)
+SCRIPT_TIME_RANGE_S = NumberRange(0.0, MAX_SCRIPT_TIME_S)
 
 GRAMMAR = {
     CommandName.CUT: Arguments(names=2),
@@ -124,7 +128,7 @@
 
 
 def parse_command(line: str) -> Command:
-    """Parse one command. Raises CommandError, which names the word at fault by its position from 1."""
+    """Parse one command. Raises CommandError, which names the invalid word by its position, from 1."""
     if not line.split():
         raise CommandError("an empty command")
     first, *arguments = line.split()
@@ -157,7 +161,7 @@
 
 def _parse_numbers(texts: Sequence[str], grammar: Arguments) -> tuple[float, ...]:
     values = []
-    first_position = grammar.names + 2  # the command's name is word 1
+    first_position = 2 + grammar.names  # word 1 is the command's name, then the process names follow
     for position, (text, allowed) in enumerate(zip(texts, grammar.numbers, strict=False), first_position):
         try:
             value = float(text)
@@ -170,7 +174,7 @@
 
 
 def parse_script(text: str) -> list[ScheduledCommand]:
-    """Parse a script into its commands in the order of time. Raises ScriptError with every line at fault."""
+    """Parse a script, and return its commands sorted by time. Raises ScriptError with every invalid line."""
     scheduled = []
     violations = []
     for number, line in enumerate(text.splitlines(), 1):
@@ -187,17 +191,18 @@
 
 
 def _parse_script_line(tokens: Sequence[str]) -> ScheduledCommand:
-    at_s = _parse_script_time(tokens)
-    if not 0 <= at_s <= MAX_SCRIPT_TIME_S:
-        raise CommandError(f"`at SECONDS` wanted first, of 0 to {MAX_SCRIPT_TIME_S:g}")
-    return ScheduledCommand(at_s, parse_command(" ".join(tokens[2:])))
+    keyword, *arguments = tokens
+    if keyword != SCRIPT_TIME_KEYWORD or not arguments:
+        raise CommandError("the line must begin with `at SECONDS`")
+    time_text, *command = arguments
+    return ScheduledCommand(_parse_script_time(time_text), parse_command(" ".join(command)))
 
 
-def _parse_script_time(tokens: Sequence[str]) -> float:
-    """Return the seconds behind `at`; -1 where the line does not begin with it."""
-    if tokens[0] != SCRIPT_TIME_KEYWORD or len(tokens) < 2:  # noqa: PLR2004
-        return -1.0
+def _parse_script_time(text: str) -> float:
     try:
-        return float(tokens[1])
-    except ValueError as error:
-        raise CommandError(str(error)) from None
+        at_s = float(text)
+    except ValueError:
+        raise CommandError(f"time {text!r} is not a number") from None
+    if at_s not in SCRIPT_TIME_RANGE_S:
+        raise CommandError(f"time {at_s:g} lies outside {SCRIPT_TIME_RANGE_S}")
+    return at_s
--- a/wheatstile/fault_proxy/connection.py
+++ b/wheatstile/fault_proxy/connection.py
@@ -1,4 +1,4 @@
-"""One proxied connection: the client's socket joined to one of our own to the route's target."""
+"""One proxied connection: the client's socket, and a socket that is connected to the route's target."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 
 LOOPBACK = "127.0.0.1"
 LINGER_ZERO = struct.pack("ii", 1, 0)
-"""The SO_LINGER value (on, 0 s) by which close() sends RST in place of FIN."""
+"""The SO_LINGER value (on, 0 s) with which close() sends RST in place of FIN."""
 
 
 class ProxiedConnection:
-    """Owns both sockets of one connection on `route`; `run` releases them."""
+    """Owns both sockets of one connection on `route`. `run` closes them."""
 
     def __init__(
         self, route: Route, client: socket.socket, *, faults: LiveFaults, frames: bool, seed: int
@@ -38,11 +38,14 @@
         self._task: asyncio.Task[None] | None = None
 
     async def run(self) -> None:
-        """Relay both directions until either fails, both have ended, or `reset`; then close with RST."""
+        """Relay both directions until one fails, both have ended, or the connection is reset.
+
+        Then close both sockets with RST.
+        """
         self._task = asyncio.current_task()
         try:
             await self._relay()
-        except* (OSError, ValueError) as errors:  # costs this connection; the proxy goes on
+        except* (OSError, ValueError) as errors:  # ends this connection, but not the proxy
             log.info(
                 "proxied_connection_ended",
                 source=self._route.source,
@@ -52,9 +55,9 @@
         finally:
             self._close()
 
-    def reset_if_on(self, links: LinkPattern) -> None:
-        """End the connection with RST if it is on one of `links`, in either direction."""
-        if self._task and links.matches_either_way(self._route.source, self._route.destination):
+    def reset_if_matching(self, pattern: LinkPattern) -> None:
+        """Close the connection with RST if its link matches, in either direction."""
+        if self._task and pattern.matches_either_way(self._route.source, self._route.destination):
             self._task.cancel()
 
     async def _relay(self) -> None:
@@ -69,13 +72,13 @@
             tasks.create_task(self._stream(destination, source).run(self._upstream, self._client))
 
     def _stream(self, source: str, destination: str) -> StreamRelay:
-        # Each connection in one direction gets the same draws, so that a seed replays.
-        draws = random.Random(f"{self._seed}:{source}:{destination}")
-        schedule = DeliverySchedule(draws, frames=self._frames)
+        # All connections in one direction get the same draws, so a run is reproducible from its seed.
+        generator = random.Random(f"{self._seed}:{source}:{destination}")
+        schedule = DeliverySchedule(generator, frames=self._frames)
         return StreamRelay(source, destination, faults=self._faults, schedule=schedule)
 
     def _close(self) -> None:
         for sock in (self._client, self._upstream):
-            with contextlib.suppress(OSError):  # the peer may be gone already
+            with contextlib.suppress(OSError):  # the peer may have closed the connection already
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_ZERO)
             sock.close()
--- a/wheatstile/fault_proxy/delivery.py
+++ b/wheatstile/fault_proxy/delivery.py
@@ -1,4 +1,4 @@
-"""When each piece of a stream is delivered and how often, by seeded draws; no input or output."""
+"""The delivery schedule of a stream: when each piece is delivered, and how often. No input or output."""
 
 from __future__ import annotations
 
@@ -11,49 +11,51 @@
 
 
 class RandomSource(Protocol):
-    """The part of `random.Random` that is used here."""
+    """The method of `random.Random` that the schedule uses."""
 
     def random(self) -> float:
-        """Return the next draw, from 0 up to but not including 1."""
+        """Return a number from 0 up to but not including 1."""
         ...
 
 
 @dataclass(frozen=True, slots=True)
 class ScheduledPiece:
-    """Bytes to be delivered at `due_s` on the loop's clock; no bytes: the end of the stream."""
+    """Bytes to deliver at `due_s` on the event loop's clock. No bytes mean the end of the stream."""
 
     due_s: float
     data: bytes
 
 
 class DeliverySchedule:
-    """The schedule of one direction of a connection. Pieces keep their order, whatever their delays.
+    """The schedule of one direction of a connection. Pieces are delivered in order, whatever their delays.
 
-    With `frames` set, the pieces are frames, which may be lost or come twice, but for the first one: it says
-    who has connected.
+    With `frames` set, the pieces are frames, and may be lost or delivered twice. The first frame is always
+    delivered once, because it identifies the sender.
     """
 
-    def __init__(self, draws: RandomSource, *, frames: bool) -> None:
-        self._draws = draws
+    def __init__(self, generator: RandomSource, *, frames: bool) -> None:
+        self._generator = generator
         self._splitter = FrameSplitter() if frames else None
         self._first_pending = True
         self._last_due_s = 0.0
 
     def split(self, data: bytes) -> list[bytes]:
         """Return the pieces that `data` completes. Raises FrameTooLongError."""
-        return [data] if self._splitter is None else self._splitter.feed(data)
+        if self._splitter is None:
+            return [data]
+        return self._splitter.feed(data)
 
     def add(self, piece: bytes, conditions: LinkConditions, now_s: float) -> Iterator[ScheduledPiece]:
-        """Schedule one piece that was read at `now_s`: it is delivered not at all, once, or twice."""
-        # The order of the draws is part of what a seed replays: loss, duplication, jitter.
+        """Yield the deliveries of a piece that was read at `now_s`: none, one or two."""
+        # The order of the draws must not change, or a seed gives another run: loss, duplication, jitter.
         copies = self._copies(conditions)
-        jitter_s = self._draws.random() * conditions.jitter_s
+        jitter_s = self._generator.random() * conditions.jitter_s
         self._last_due_s = max(self._last_due_s, now_s + conditions.delay_s + jitter_s)
         for _ in range(copies):
             yield ScheduledPiece(self._last_due_s, piece)
 
     def end(self) -> ScheduledPiece:
-        """Return the end of the stream, which comes after every piece."""
+        """Return the end of the stream, which is due when the last piece is."""
         return ScheduledPiece(self._last_due_s, b"")
 
     def _copies(self, conditions: LinkConditions) -> int:
@@ -61,8 +63,8 @@
         self._first_pending = False
         if always_delivered:
             return 1
-        if self._draws.random() < conditions.loss_ratio:
+        if self._generator.random() < conditions.loss_ratio:
             return 0
-        if self._draws.random() < conditions.duplication_ratio:
+        if self._generator.random() < conditions.duplication_ratio:
             return 2
         return 1
--- a/wheatstile/fault_proxy/errors.py
+++ b/wheatstile/fault_proxy/errors.py
@@ -1,4 +1,4 @@
-"""What the fault proxy raises."""
+"""The exceptions of the fault proxy."""
 
 from __future__ import annotations
 
@@ -6,17 +6,17 @@
 
 
 class FaultProxyError(ValueError):
-    """The base of the package's errors: input that it cannot use."""
+    """Base of the package's errors: an input is invalid."""
 
 
 class CommandError(FaultProxyError):
-    """A command that cannot be carried out; the message names the word at fault and the reason."""
+    """A command is invalid. The message names the invalid word by its position, and the reason."""
 
 
 class ScriptError(CommandError):
-    """A script that cannot be used.
+    """A script is invalid.
 
-    `violations` holds `line N: reason` for every line at fault, in the order of the script.
+    `violations` contains `line N: reason` for every invalid line, in the order of the script.
     """
 
     def __init__(self, violations: Iterable[str]) -> None:
@@ -25,7 +25,7 @@
 
 
 class RouteError(FaultProxyError):
-    """A route that cannot be parsed; `route` is its text."""
+    """A route is invalid. `route` is its text."""
 
     def __init__(self, route: str, reason: str) -> None:
         self.route = route
@@ -33,9 +33,9 @@
 
 
 class FrameTooLongError(FaultProxyError):
-    """A frame that is longer than the proxy buffers; both lengths are in bytes, with the prefix."""
+    """A frame is too long to be buffered. Both lengths are in bytes and include the length prefix."""
 
     def __init__(self, length: int, max_length: int) -> None:
         self.length = length
         self.max_length = max_length
-        super().__init__(f"a frame of {length} bytes, {max_length} at most")
+        super().__init__(f"a frame has {length} bytes, {max_length} at most")
--- a/wheatstile/fault_proxy/fault_table.py
+++ b/wheatstile/fault_proxy/fault_table.py
@@ -1,83 +1,87 @@
-"""The faults in force, changed by commands, and what they come to for one direction of a link."""
+"""The active faults, which commands change, and the resulting conditions for one direction of a link."""
 
 from __future__ import annotations
 
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 
 from wheatstile.fault_proxy.commands import ANY_NAME, Command, CommandName
 
 
 @dataclass(frozen=True, slots=True)
 class LinkConditions:
-    """What happens now to the bytes from one process to another.
-
-    A rate of 0 is no limit. The ratios are those of frames that are lost and of frames that come twice.
-    """
+    """The conditions for the bytes from one process to another."""
 
     blocked: bool = False
     delay_s: float = 0.0
-    jitter_s: float = 0.0
-    rate_bytes_per_s: float = 0.0
-    loss_ratio: float = 0.0
-    duplication_ratio: float = 0.0
+    jitter_s: float = 0.0  # maximum of the random addition to the delay
+    rate_bytes_per_s: float = 0.0  # 0 for no limit
+    loss_ratio: float = 0.0  # share of the frames that are dropped
+    duplication_ratio: float = 0.0  # share of the frames that are delivered twice
 
 
 @dataclass(frozen=True, slots=True)
 class LinkPattern:
-    """The links from `source` to `destination`, where `*` stands for every name."""
+    """The links from `source` to `destination`, either of which may be ANY_NAME."""
 
     source: str
     destination: str
 
     def matches(self, source: str, destination: str) -> bool:
-        """Whether the link from `source` to `destination`, in this direction, is one of these."""
+        """Return whether the link from `source` to `destination`, in this direction, matches."""
         return self.source in (ANY_NAME, source) and self.destination in (ANY_NAME, destination)
 
     def matches_either_way(self, source: str, destination: str) -> bool:
-        """Whether a connection between the two is on one of these links."""
+        """Return whether the link between the two matches in either direction."""
         return self.matches(source, destination) or self.matches(destination, source)
 
 
 EVERY_LINK = LinkPattern(ANY_NAME, ANY_NAME)
 
 
-@dataclass
+@dataclass(frozen=True, slots=True)
+class FaultKey:
+    """The identity of a fault: a later command with the same key replaces it."""
+
+    command: CommandName
+    links: LinkPattern
+
+
 class FaultTable:
-    """The faults in force, by kind and links; a later command of the same kind and links replaces one."""
+    """The active faults."""
 
-    _faults: dict[tuple[CommandName, LinkPattern], tuple[float, ...]] = field(default_factory=dict)
+    def __init__(self) -> None:
+        self._values: dict[FaultKey, tuple[float, ...]] = {}
 
     def apply(self, command: Command) -> LinkPattern | None:
-        """Change the faults as `command` says; the links whose connections are to be reset now, if any."""
+        """Apply a command. Return the links whose connections have to be reset, or None."""
         pattern = LinkPattern(command.source, command.destination)
         match command.name:
             case CommandName.HEAL:
                 self._heal(pattern)
             case CommandName.ISOLATE:
-                self._faults[CommandName.CUT, LinkPattern(command.source, ANY_NAME)] = ()
-                self._faults[CommandName.CUT, LinkPattern(ANY_NAME, command.source)] = ()
+                self._values[FaultKey(CommandName.CUT, LinkPattern(command.source, ANY_NAME))] = ()
+                self._values[FaultKey(CommandName.CUT, LinkPattern(ANY_NAME, command.source))] = ()
             case CommandName.RESET:
                 return pattern
             case _:
-                self._faults[command.name, pattern] = command.values
+                self._values[FaultKey(command.name, pattern)] = command.values
         return None
 
     def _heal(self, healed: LinkPattern) -> None:
         if healed == EVERY_LINK:
-            self._faults.clear()
+            self._values.clear()
             return
-        for name, pattern in list(self._faults):
-            if pattern == healed:
-                del self._faults[name, pattern]
+        for key in list(self._values):
+            if key.links == healed:
+                del self._values[key]
 
     def conditions(self, source: str, destination: str) -> LinkConditions:
-        """Return the conditions from `source` to `destination`; the worst of the matching faults counts."""
+        """Return the conditions from `source` to `destination`: of each kind, the worst matching fault."""
         delays = self._matching(CommandName.DELAY, source, destination)
         rates = self._matching(CommandName.RATE, source, destination)
         losses = self._matching(CommandName.LOSE, source, destination)
         duplications = self._matching(CommandName.REPEAT, source, destination)
-        # The longest delay counts together with its own jitter, which may be left out.
-        delay_s, jitter_s = max(((*values, 0.0)[:2] for values in delays), default=(0.0, 0.0))
+        delay_s, jitter_s = max(map(_delay_and_jitter, delays), default=(0.0, 0.0))
         return LinkConditions(
             blocked=bool(self._matching(CommandName.CUT, source, destination)),
             delay_s=delay_s,
@@ -90,6 +94,13 @@
     def _matching(self, wanted: CommandName, source: str, destination: str) -> list[tuple[float, ...]]:
         return [
             values
-            for (name, pattern), values in self._faults.items()
-            if name is wanted and pattern.matches(source, destination)
+            for key, values in self._values.items()
+            if key.command is wanted and key.links.matches(source, destination)
         ]
+
+
+def _delay_and_jitter(values: tuple[float, ...]) -> tuple[float, float]:
+    """Return the delay and the jitter of a delay command, whose jitter is optional."""
+    delay_s = values[0]
+    jitter_s = values[1] if len(values) > 1 else 0.0
+    return delay_s, jitter_s
--- a/wheatstile/fault_proxy/frames.py
+++ b/wheatstile/fault_proxy/frames.py
@@ -1,4 +1,4 @@
-"""Frames behind a 4-byte big-endian length, cut out of a byte stream; no input or output."""
+"""Splits a byte stream into frames, each with a 4-byte big-endian length prefix. No input or output."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 LENGTH_PREFIX_BYTES = 4
 MAX_FRAME_BYTES = 32 * 1024 * 1024
-"""The longest frame that is buffered, with its length prefix."""
+"""The longest frame that is buffered, including its length prefix."""
 
 
 class FrameSplitter:
-    """Cuts one stream into frames, wherever the reads fall; a frame is lost or duplicated as one."""
+    """Splits one stream into frames, independent of how its bytes are divided among reads."""
 
     def __init__(self, max_frame_bytes: int = MAX_FRAME_BYTES) -> None:
         self._max_frame_bytes = max_frame_bytes
@@ -18,11 +18,14 @@
 
     @property
     def buffered_bytes(self) -> int:
-        """How many bytes wait for the rest of their frame."""
+        """Return the number of bytes of the incomplete frame."""
         return len(self._buffer)
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Take in `data`; the frames that are complete now, with their prefixes. Raises FrameTooLongError."""
+        """Add `data`, and return the frames that are complete now, with their prefixes.
+
+        Raises FrameTooLongError.
+        """
         self._buffer += data
         frames = []
         while len(self._buffer) >= LENGTH_PREFIX_BYTES:
--- a/wheatstile/fault_proxy/live_faults.py
+++ b/wheatstile/fault_proxy/live_faults.py
@@ -1,4 +1,4 @@
-"""The fault table as the running streams see it: they wait on its changes."""
+"""The fault table of a running proxy, with waiting for changes."""
 
 from __future__ import annotations
 
@@ -9,24 +9,24 @@
 
 
 class LiveFaults:
-    """A fault table that wakes whoever waits for a link to be unblocked."""
+    """A fault table whose changes wake the tasks that wait for a link to be unblocked."""
 
     def __init__(self) -> None:
         self._table = FaultTable()
         self._changed = asyncio.Condition()
 
     async def apply(self, command: Command) -> LinkPattern | None:
-        """Apply `command` and wake the waiting streams; the links to be reset now, if any."""
-        reset = self._table.apply(command)
+        """Apply a command. Return the links whose connections have to be reset, or None."""
+        links_to_reset = self._table.apply(command)
         async with self._changed:
             self._changed.notify_all()
-        return reset
+        return links_to_reset
 
     def conditions(self, source: str, destination: str) -> LinkConditions:
-        """Return the conditions from `source` to `destination` at this moment."""
+        """Return the current conditions from `source` to `destination`."""
         return self._table.conditions(source, destination)
 
     async def wait_until_unblocked(self, source: str, destination: str) -> None:
-        """Return once no fault blocks the bytes from `source` to `destination`."""
+        """Wait until no fault blocks the bytes from `source` to `destination`."""
         async with self._changed:
             await self._changed.wait_for(lambda: not self.conditions(source, destination).blocked)
--- a/wheatstile/fault_proxy/proxy.py
+++ b/wheatstile/fault_proxy/proxy.py
@@ -1,7 +1,7 @@
-"""The fault proxy: one listening port for each route, and commands from three sources.
+"""The fault proxy: a listening socket for each route, and commands from three sources.
 
-Commands come as lines on standard input, as lines on a control port, and from a script by the time since the
-start. Each line is answered, where it came from, by `ok` or `error: REASON`.
+Commands are read from standard input, from the control port, and from a script. Each line on standard input
+or the control port is answered with `ok` or `error: REASON`.
 """
 
 from __future__ import annotations
@@ -26,20 +26,18 @@
 log = structlog.get_logger()
 
 LISTEN_BACKLOG = 128
+EXIT_OK = 0
+EXIT_PORT_UNAVAILABLE = 1
 
 
 @dataclass(frozen=True, slots=True)
 class FaultProxyOptions:
-    """How a fault proxy is set up.
-
-    `frames`: the streams are frames behind a length, which may be lost or come twice. `seed` seeds the draws
-    of loss, duplication and jitter. `control_port` is a port on loopback (0: any free one; None: none).
-    """
+    """The options of a fault proxy."""
 
     routes: Sequence[Route]
-    frames: bool = False
-    seed: int = 0
-    control_port: int | None = None
+    frames: bool = False  # whether the streams consist of length-prefixed frames
+    seed: int = 0  # seeds the draws of loss, duplication and jitter
+    control_port: int | None = None  # on loopback; 0 for any free port, None for no control port
     script: Sequence[ScheduledCommand] = ()
 
 
@@ -52,9 +50,9 @@
         self._connections: set[ProxiedConnection] = set()
 
     async def serve(self) -> None:
-        """Print the ports and `ready`, then serve. Raises OSError where a port cannot be had.
+        """Print the ports and `ready`, then serve. Raises OSError if a port cannot be bound.
 
-        Ends by CancelledError once standard input is closed, as its owner has gone then.
+        Raises CancelledError when standard input is closed, which is the normal end.
         """
         with contextlib.ExitStack() as resources:
             listeners = [(route, self._listen(route, resources)) for route in self._options.routes]
@@ -65,7 +63,7 @@
                 tasks.create_task(self._play_script())
                 print("ready", flush=True)
                 await self._serve_standard_input()
-                raise asyncio.CancelledError  # ends the group's other tasks as well
+                raise asyncio.CancelledError  # cancels the other tasks of the group
 
     def _listen(self, route: Route, resources: contextlib.ExitStack) -> socket.socket:
         listener = socket.create_server((LOOPBACK, route.listen_port), backlog=LISTEN_BACKLOG)
@@ -106,7 +104,7 @@
             print(await self._answer(line), flush=True)
 
     async def _serve_control(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        with contextlib.suppress(OSError, ValueError):  # the client left, or sent a line without an end
+        with contextlib.suppress(OSError, ValueError):  # the client disconnected, or its line is too long
             while line := await reader.readline():
                 writer.write(f"{await self._answer(line)}\n".encode())
                 await writer.drain()
@@ -120,7 +118,7 @@
             await self._apply(scheduled.command)
 
     async def _answer(self, line: bytes) -> str:
-        """Carry out one line; the answer to it."""
+        """Apply the command in this line, and return the answer."""
         try:
             command = parse_command(line.decode("utf-8", "replace"))
             if command.name in FRAME_COMMANDS and not self._options.frames:
@@ -131,10 +129,10 @@
         return "ok"
 
     async def _apply(self, command: Command) -> None:
-        reset = await self._faults.apply(command)
-        if reset:
+        links_to_reset = await self._faults.apply(command)
+        if links_to_reset:
             for connection in list(self._connections):
-                connection.reset_if_on(reset)
+                connection.reset_if_matching(links_to_reset)
         log.info(
             "fault_command_applied",
             command=command.name,
@@ -144,14 +142,17 @@
         )
 
 
-def main(options: FaultProxyOptions) -> int:
-    """Serve until standard input ends. Exit status 0, or 1 where a port cannot be had."""
-    logs.configure()  # to standard error: standard output carries the answers to commands
+def main(options: FaultProxyOptions, command_name: str) -> int:
+    """Serve until standard input ends, and return the exit status: 0, or 1 if a port cannot be bound.
+
+    `command_name` is the prefix of the error message.
+    """
+    logs.configure()  # logs to standard error, because standard output contains the answers to commands
     try:
         uvloop.run(FaultProxy(options).serve())
     except OSError as error:
-        print(f"link: {error}", file=sys.stderr)
-        return 1
+        print(f"{command_name}: {error}", file=sys.stderr)
+        return EXIT_PORT_UNAVAILABLE
     except (asyncio.CancelledError, KeyboardInterrupt):
         pass
-    return 0
+    return EXIT_OK
--- a/wheatstile/fault_proxy/routes.py
+++ b/wheatstile/fault_proxy/routes.py
@@ -1,4 +1,4 @@
-"""The routes of the fault proxy: which port stands for which connection between two processes."""
+"""The routes of the fault proxy: the listening port and the target port of a link between two processes."""
 
 from __future__ import annotations
 
@@ -24,10 +24,10 @@
     @classmethod
     def parse(cls, text: str) -> Route:
         """Parse `SRC:DST:LISTEN:TARGET`. Raises RouteError."""
-        parts = text.split(":")
-        if len(parts) != len(ROUTE_FORM.split(":")):
-            raise RouteError(text, f"{ROUTE_FORM} wanted")
-        source, destination, listen_text, target_text = parts
+        try:
+            source, destination, listen_text, target_text = text.split(":")
+        except ValueError:
+            raise RouteError(text, f"{ROUTE_FORM} wanted") from None
         if not source or not destination:
             raise RouteError(text, f"{ROUTE_FORM} wanted")
         try:
--- a/wheatstile/fault_proxy/stream_relay.py
+++ b/wheatstile/fault_proxy/stream_relay.py
@@ -1,4 +1,4 @@
-"""One direction of a proxied connection: bytes are read, scheduled, and written in their order."""
+"""One direction of a proxied connection: reads bytes, schedules them, and writes them in order."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 from wheatstile.fault_proxy.live_faults import LiveFaults
 
 READ_BYTES = 64 * 1024
-"""Bytes read at once."""
+"""Maximum number of bytes in one read."""
 MAX_QUEUED_PIECES = 16
-"""Pieces under way in one direction of a connection; what is more waits in the kernel."""
+"""Maximum number of scheduled pieces that are not written yet; further bytes stay in the kernel."""
 WRITES_PER_SECOND = 20
-"""Into how many writes a second's bytes are divided where a rate holds."""
+"""Number of writes per second if the rate is limited."""
 
 
 class StreamRelay:
     """Relays the bytes that `source` sends to `destination`, from one connected socket to another.
 
-    Neither socket is closed here.
+    The caller owns both sockets and closes them.
     """
 
     def __init__(
@@ -33,7 +33,7 @@
         self._loop = asyncio.get_running_loop()
 
     async def run(self, reading: socket.socket, writing: socket.socket) -> None:
-        """Relay until the end of the stream has been passed on.
+        """Relay until the end of the stream has been written.
 
         Raises an exception group of OSError (a socket failed) and FrameTooLongError.
         """
@@ -63,13 +63,13 @@
             await self._send(sock, scheduled.data)
 
     async def _send(self, sock: socket.socket, data: bytes) -> None:
-        """Send `data`, at the rate that holds as it begins."""
+        """Send `data` at the rate limit that is active when the call starts."""
         rate = self._faults.conditions(self._source, self._destination).rate_bytes_per_s
         if not rate:
             await self._loop.sock_sendall(sock, data)
             return
-        step = max(1, int(rate / WRITES_PER_SECOND))  # however low the rate, some bytes pass
-        for start in range(0, len(data), step):
-            part = data[start : start + step]
+        part_bytes = max(1, int(rate / WRITES_PER_SECOND))
+        for start in range(0, len(data), part_bytes):
+            part = data[start : start + part_bytes]
             await self._loop.sock_sendall(sock, part)
             await asyncio.sleep(len(part) / rate)
