--- a/wheatstile/net/__init__.py
+++ b/wheatstile/net/__init__.py
@@ -1,1 +1,1 @@
-"""The real balancer's sockets: a decision loop that knows no protocol, and modules for each peer."""
+"""The balancer's sockets: a decision loop that knows no protocol, and modules for each kind of peer."""
--- a/wheatstile/net/client_connection.py
+++ b/wheatstile/net/client_connection.py
@@ -11,37 +11,40 @@
 from wheatstile.net.errors import ClientDisconnectedError, ProtocolError
 from wheatstile.net.first_line_reader import FirstLineReader
 from wheatstile.net.open_request import OpenRequest
-from wheatstile.net.session import MigrationReason, Session
+from wheatstile.net.session import MigrationReason, Session, request_migration
 from wheatstile.net.session_relay import SessionRelay, relay_client
 from wheatstile.net.session_setup import SessionSetup, SetupContext
 
-RETRY_AFTER_MS = 1000  # told to a client when descriptors run out, or the balancer shuts down
+RETRY_AFTER_MS = 1000  # for a rejection during the shutdown, or without descriptors
 
 
 class ConnectionOwner(SetupContext, Protocol):
-    """What a connection needs of the listener that accepted it."""
+    """The listener, as the connections that it accepted use it."""
 
     decisions: DecisionLoop
     limits: ClientLimits
 
     def register_id(self, session_id: str) -> bool:
-        """Take note of a session's id; whether it is new."""
+        """Register a session's id. Return whether it is new."""
 
     def has_capacity(self) -> bool:
-        """Whether there are descriptors for another session."""
+        """Return whether there are enough descriptors for another session."""
 
     def admit(self, connection: "ClientConnection", session: Session) -> None:
-        """Take note that the connection has asked for this session."""
+        """Register the session that the connection has requested."""
 
     def release(self, connection: "ClientConnection", session: Session) -> None:
-        """Take note that the session is over."""
+        """Remove the session, which has ended."""
 
 
 class ClientConnection:
-    """One client's connection and its session. Owns both sides' sockets from accept to close."""
+    """One client's connection and its session. Owns both sides' sockets from accept to close.
+
+    `task`: runs the connection; set by the listener.
+    """
 
     def __init__(self, owner: ConnectionOwner, sock: socket.socket) -> None:
-        self.task: asyncio.Task[None]  # its whole life
+        self.task: asyncio.Task[None]
         self.session: Session | None = None
         self._owner = owner
         self._decisions = owner.decisions
@@ -50,20 +53,19 @@
         self._migration: asyncio.Future[MigrationReason] = asyncio.get_running_loop().create_future()
 
     def has_pending_input(self) -> bool:
-        """Whether the client has sent what nobody has read."""
+        """Return whether the client has sent input that has not been read."""
         return self._stream.has_pending_input()
 
     def migrate(self, reason: MigrationReason) -> None:
-        """Have the client told to connect again, now or as soon as it has an established session."""
-        if not self._migration.done():
-            self._migration.set_result(reason)
+        """Tell the client to connect again, at once or as soon as its session is established."""
+        request_migration(self._migration, reason)
 
     def reject(self) -> None:
-        """Reject a client that has asked for nothing yet: it is not waited for any longer."""
+        """Reject the client if it has not sent its first line yet."""
         self._first_line.stop()
 
     async def run(self) -> None:
-        """Serve the client; both sockets are given back here and nowhere else."""
+        """Serve the client. Both sides' sockets are closed here and nowhere else."""
         reset = False
         try:
             last_line = await self._serve()
@@ -86,22 +88,26 @@
             await self.session.stop_reading()
 
     async def _serve(self) -> bytes:
-        """Serve what the first line asks for; returns the last line that the client is owed, if any."""
+        """Read the request and serve it. Return the client's last line; empty if there is none to send.
+
+        Raises ProtocolError and ClientDisconnectedError.
+        """
         line = await self._first_line.read()
         if not line:
             self._decisions.counters["clients_rejected_at_shutdown"] += 1
             return self._owner.rejection_line(RETRY_AFTER_MS)
         request = OpenRequest.parse(line)
         if request.service_class not in self._owner.limits.deadlines_ms:
-            raise ProtocolError("an unknown class")
+            raise ProtocolError(f'unknown class "{request.service_class}"')
         if not self._owner.register_id(request.id):
-            raise ProtocolError("an id that has come before")
+            raise ProtocolError(f'session id "{request.id}" is in use or was used recently')
         if not self._owner.has_capacity():
             self._decisions.counters["clients_rejected_out_of_descriptors"] += 1
             return self._owner.rejection_line(RETRY_AFTER_MS)
         return await self._run_session(request)
 
     async def _run_session(self, request: OpenRequest) -> bytes:
+        """Set up and relay the session. Return the client's last line; empty if there is none to send."""
         session = Session(request, self._stream, self._decisions, self._migration)
         self.session = session
         self._owner.admit(self, session)
--- a/wheatstile/net/client_listener.py
+++ b/wheatstile/net/client_listener.py
@@ -1,4 +1,4 @@
-"""Accepts clients, and bounds them by the descriptors that the process may use."""
+"""Accepts clients, and bounds their number by the descriptors that the process may open."""
 
 import asyncio
 import errno
@@ -13,41 +13,46 @@
 from wheatstile.net.client_connection import RETRY_AFTER_MS, ClientConnection
 from wheatstile.net.client_replies import rejection_line
 from wheatstile.net.decision_loop import DecisionLoop
+from wheatstile.net.errors import is_out_of_descriptors
 from wheatstile.net.line_stream import LINE_LIMIT
 from wheatstile.net.open_request import OpenRequest
 from wheatstile.net.session import Session
-from wheatstile.net.upstream_attempt import OUT_OF_DESCRIPTORS
 from wheatstile.net.upstream_pool import UpstreamPool
 
 log = structlog.get_logger()
 
-MAX_RECENT_IDS = 1 << 12  # ids that a repeat is known by, beside those of all sessions that stand
-RESERVED_DESCRIPTORS = 20  # for output, loop, listener, discovery, the spare one
-PENDING_SHARE = 1 / 8  # of the descriptors are for connections without a session: silent, rejected, ending
-DESCRIPTORS_PER_SESSION = 2  # the client's and the server's
+MAX_RECENT_IDS = 1 << 12  # session ids that are kept to detect a repeat, besides those of open sessions
+RESERVED_DESCRIPTORS = 20  # standard streams, event loop, listener, discovery, the spare descriptor
+PENDING_SHARE = 1 / 8  # share of the descriptors for connections without a session
+DESCRIPTORS_PER_SESSION = 2  # the client's connection and the server's
 ACCEPT_RETRY_S = 0.01
 
 
 class ClientListener:
-    """Owns the clients' connections, each for its whole life.
+    """Accepts clients and owns their connections until they end.
 
-    A connection is pending while it has no session. Descriptors are kept for the pending ones, so that each
-    client can be answered at all; when these are out, the oldest pending connection is evicted.
+    A connection without a session is pending: it has not requested one yet, or it is being closed. Some
+    descriptors are kept for pending connections, so that each client can be answered. When these are in use,
+    the oldest pending connection is evicted.
+
+    Attributes:
+        limits: the limits in force; a reload replaces them.
+        connections: all connections by their tasks, the oldest first.
     """
 
     def __init__(self, decisions: DecisionLoop, upstreams: UpstreamPool, limits: ClientLimits) -> None:
         self.decisions = decisions
         self.upstreams = upstreams
-        self.limits = limits  # a reload replaces it
+        self.limits = limits
         self.connections: dict[asyncio.Task[None], ClientConnection] = {}
         self._pending: dict[ClientConnection, asyncio.Task[None]] = {}  # the oldest first
-        self._recent_ids: OrderedDict[str, None] = OrderedDict()
-        self._spare_descriptor = os.open(os.devnull, os.O_RDONLY)
+        self._recent_ids: OrderedDict[str, None] = OrderedDict()  # the oldest first
+        self._spare_descriptor = _open_spare_descriptor()
 
     def register_id(self, session_id: str) -> bool:
-        """Take note of a session's id; whether it is new. A repeat would put out a second copy of a session.
+        """Register a session's id. Return whether it is new; a repeat would duplicate the session.
 
-        A session may be older than all ids that are kept; it must not be lost to whoever repeats its id.
+        The ids of open sessions are checked too, since they may be older than all ids that are kept.
         """
         if session_id in self._recent_ids or session_id in self.decisions.sessions:
             return False
@@ -57,37 +62,38 @@
         return True
 
     def max_wait_ms(self, request: OpenRequest) -> int:
-        """Return the milliseconds that this request's client waits at most. Raises KeyError for its class."""
+        """Return how many milliseconds the request's client waits at most. Raises KeyError for its class."""
         return min(request.wait_ms, self.limits.deadlines_ms[request.service_class])
 
     def admit(self, connection: ClientConnection, session: Session) -> None:
-        """Take note that a connection has asked for this session: from here on it is not evicted."""
+        """Register the session that a connection has requested. The connection is no longer pending."""
         self._pending.pop(connection, None)
         self.decisions.sessions[session.id] = session
 
     def release(self, connection: ClientConnection, session: Session) -> None:
-        """Take note that the session is over; what is left is to take the last line."""
+        """Remove a session that has ended. Its connection is pending until its client has the last line."""
         if self.decisions.sessions.pop(session.id, None):
             self._pending[connection] = connection.task
 
     def _free_descriptors(self) -> int:
-        """Return the descriptors that sessions leave to others."""
-        used = DESCRIPTORS_PER_SESSION * len(self.decisions.sessions)
-        others = RESERVED_DESCRIPTORS + self.upstreams.max_health_check_connections
-        return self.limits.descriptors - others - used
+        """Return the number of descriptors that are not needed by sessions or by the balancer itself."""
+        used_by_sessions = DESCRIPTORS_PER_SESSION * len(self.decisions.sessions)
+        reserved = RESERVED_DESCRIPTORS + self.upstreams.max_health_check_connections
+        return self.limits.descriptors - reserved - used_by_sessions
 
     def _min_pending(self) -> int:
+        """Return the number of descriptors that are kept for pending connections."""
         return int(self.limits.descriptors * PENDING_SHARE)
 
     def has_capacity(self) -> bool:
-        """Whether another session leaves the descriptors that pending connections need."""
+        """Return whether another session leaves enough descriptors for pending connections."""
         return self._free_descriptors() - DESCRIPTORS_PER_SESSION >= self._min_pending()
 
     def _evict_oldest_pending(self) -> None:
-        """End the oldest pending connection when there are too many, however they fell silent.
+        """Close the oldest pending connection if there are too many.
 
-        A usual client writes its first line at once and is soon served; the many may not take its place. Nor
-        may one that has written in this very turn be closed over what it wrote, unless all have.
+        A client normally sends its first line at once, so the oldest pending connections are idle ones. A
+        connection with unread input is skipped, unless all have some: its request may have just arrived.
         """
         max_pending = max(self._free_descriptors(), self._min_pending())
         if self._pending and len(self._pending) >= max_pending:
@@ -97,11 +103,11 @@
             self.decisions.counters["client_connections_evicted"] += 1
 
     def rejection_line(self, retry_after_ms: int) -> bytes:
-        """Return the line that rejects a client, with the time to retry after if the settings allow it."""
+        """Return the line that rejects a client; the time to retry after is bounded by the settings."""
         return rejection_line(min(retry_after_ms, self.limits.max_retry_after_ms))
 
     async def serve(self, listener: socket.socket) -> None:
-        """Accept for ever, also while descriptors are out: whoever cannot be kept is rejected."""
+        """Accept clients until cancelled. After an accept that failed, wait ACCEPT_RETRY_S and go on."""
         loop = asyncio.get_running_loop()
         while True:
             failed: asyncio.Future[None] = loop.create_future()
@@ -113,9 +119,9 @@
             await asyncio.sleep(ACCEPT_RETRY_S)
 
     def accept(self, listener: socket.socket, failed: asyncio.Future[None] | None = None) -> bool:
-        """Accept one client, which has its owner in the same turn: no wait is there to lose it.
+        """Accept one client and start its connection, in one turn of the event loop.
 
-        False: nobody stands in the backlog, or it failed, which `failed` is told of.
+        Returns False if the backlog is empty or the accept failed. A failure completes `failed`.
         """
         try:
             sock, _ = listener.accept()
@@ -136,13 +142,13 @@
 
     def _on_accept_error(self, listener: socket.socket, error: OSError) -> None:
         self.decisions.counters[f"accepts_failed_{errno.errorcode.get(error.errno or 0, '?')}"] += 1
-        if error.errno in OUT_OF_DESCRIPTORS:
+        if is_out_of_descriptors(error):
             self._reject_on_spare_descriptor(listener)
 
     def _reject_on_spare_descriptor(self, listener: socket.socket) -> None:
-        """With no descriptor left, give up a spare one for as long as it takes to reject one client.
+        """Close the spare descriptor while one client is accepted and rejected.
 
-        Without it a client in the backlog would neither be served nor told, and accept would spin.
+        Without it, the clients in the backlog would get no answer, and `serve` would retry in vain.
         """
         os.close(self._spare_descriptor)
         try:
@@ -150,14 +156,15 @@
                 sock, _ = listener.accept()
                 self._reject(sock)
         finally:
-            self._spare_descriptor = os.open(os.devnull, os.O_RDONLY)
+            self._spare_descriptor = _open_spare_descriptor()
 
     def _reject(self, sock: socket.socket) -> None:
+        """Send the rejection, and close the socket."""
         self.decisions.counters["clients_rejected_out_of_descriptors"] += 1
         with sock, suppress(OSError):
             sock.setblocking(False)
             sock.send(self.rejection_line(RETRY_AFTER_MS))
-            sock.recv(LINE_LIMIT)  # a close over an unread request would reset the connection
+            sock.recv(LINE_LIMIT)  # closing over an unread request would reset the connection
 
     def _on_connection_done(self, task: asyncio.Task[None]) -> None:
         connection = self.connections.pop(task)
@@ -166,3 +173,8 @@
             self.decisions.counters["client_connections_failed"] += 1
             session_id = connection.session.id if connection.session else ""
             log.error("client_connection_failed", session_id=session_id, exc_info=error)
+
+
+def _open_spare_descriptor() -> int:
+    """Return a descriptor that can be closed to make room for another one."""
+    return os.open(os.devnull, os.O_RDONLY)
--- a/wheatstile/net/client_replies.py
+++ b/wheatstile/net/client_replies.py
@@ -5,5 +5,5 @@
 
 
 def rejection_line(retry_after_ms: int) -> bytes:
-    """Return the rejection, with the milliseconds to retry after; 0 or less: without any."""
+    """Return the line that rejects a client. With 0 or less it names no time to retry after."""
     return b"BUSY %d\r\n" % retry_after_ms if retry_after_ms > 0 else b"BUSY\r\n"
--- a/wheatstile/net/client_stream.py
+++ b/wheatstile/net/client_stream.py
@@ -1,19 +1,21 @@
-"""A client's connection as lines."""
+"""The line stream of a client's connection."""
 
 from wheatstile.net.errors import ClientDisconnectedError, ProtocolError
 from wheatstile.net.line_stream import LineStream
 
 
 class ClientStream(LineStream):
-    """A client's connection. After its first line a client sends nothing until it has its answer."""
+    """A client's connection. After its first line, a client must send nothing until it has its answer."""
 
     __slots__ = ()
 
     def check_waiting(self) -> None:
-        """Raise if the client waits no more: ClientDisconnectedError, or ProtocolError if it has sent more.
+        """Check that the client is still connected and waits for its answer.
 
-        Its end may have come in this very turn, unread: nothing may be done for it then, and least of all be
-        sent on. So the socket itself is asked.
+        The check asks the socket itself, because the client's end may have arrived in this turn of the event
+        loop and no task has read it yet. Call it in the turn in which something is done for the client.
+
+        Raises ClientDisconnectedError, or ProtocolError if the client has sent another line.
         """
         try:
             next_byte = self.peek()
--- a/wheatstile/net/errors.py
+++ b/wheatstile/net/errors.py
@@ -1,25 +1,34 @@
-"""The errors that this package's modules raise for each other."""
+"""Errors that this package's modules raise for each other."""
+
+import errno
+
+OUT_OF_DESCRIPTORS = (errno.EMFILE, errno.ENFILE)
+
+
+def is_out_of_descriptors(error: OSError) -> bool:
+    """Return whether a call failed because this process, or the system, may open no further descriptor."""
+    return error.errno in OUT_OF_DESCRIPTORS
 
 
 class NetError(Exception):
-    """The base of this package's errors."""
+    """Base class of this package's errors."""
 
 
 class LineTooLongError(NetError):
-    """A peer's line passes the limit.
+    """A peer sent a line that exceeds the limit.
 
-    `limit`: the most bytes that a line may have, with its end.
+    `limit`: the maximum number of bytes in a line, including its end.
     """
 
     def __init__(self, limit: int) -> None:
-        super().__init__(f"a line of more than {limit} bytes")
+        super().__init__(f"line is longer than {limit} bytes")
         self.limit = limit
 
 
 class ProtocolError(NetError):
-    """A client has sent what no client sends.
+    """A client violated the line protocol.
 
-    `reason`: what is wrong with it.
+    `reason`: what is wrong with its input.
     """
 
     def __init__(self, reason: str) -> None:
@@ -28,11 +37,11 @@
 
 
 class ClientDisconnectedError(NetError):
-    """The client's side of the connection has ended.
+    """The client closed or reset its connection.
 
-    `reset`: it ended by a reset.
+    `reset`: whether the connection ended with a TCP reset.
     """
 
     def __init__(self, reset: bool = False) -> None:
-        super().__init__("the client's side was reset" if reset else "the client's side has ended")
+        super().__init__("client reset the connection" if reset else "client closed the connection")
         self.reset = reset
--- a/wheatstile/net/first_line_reader.py
+++ b/wheatstile/net/first_line_reader.py
@@ -1,4 +1,4 @@
-"""The first line of a client's connection; `PING`s before it are answered."""
+"""Reads the first line of a client's connection, and answers `PING`s before it."""
 
 import asyncio
 from collections import Counter
@@ -6,38 +6,38 @@
 from wheatstile.net.client_stream import ClientStream
 from wheatstile.net.errors import ClientDisconnectedError, LineTooLongError, ProtocolError
 
-FIRST_LINE_TIMEOUT_S = 2.0  # clients send it at once, and have to be answered within 3 s
+FIRST_LINE_TIMEOUT_S = 2.0  # clients send their first line at once, and must be answered within 3 s
 PING_LINE = b"PING\r\n"
 PONG_LINE = b"PONG\r\n"
 
 
 class FirstLineReader:
-    """Reads the line with which a client asks for a session, and waits no longer once it is stopped."""
+    """Reads the line with which a client requests a session. `stop` ends the wait for it."""
 
     def __init__(self, stream: ClientStream, counters: Counter[str]) -> None:
         self._stream = stream
         self._counters = counters
-        self._timeout: asyncio.Timeout | None = None  # of the wait that is under way
+        self._timeout: asyncio.Timeout | None = None  # the time-out of the current wait
         self._stopped = False
 
     def stop(self) -> None:
-        """Wait no longer: the balancer shuts down. A line that has come is still returned."""
+        """Stop waiting, since the balancer shuts down. A line that has already arrived is still returned."""
         if self._timeout and not self._timeout.expired():
             self._timeout.reschedule(asyncio.get_running_loop().time())
         self._stopped = True
 
     async def read(self) -> bytes:
-        """Return the first line that is no `PING`; empty if the reader was stopped before one came.
+        """Return the first line that is not `PING`; empty if the reader was stopped before it arrived.
 
-        Raises ProtocolError if none comes in time, if it is too long, or if more follows it, and
-        ClientDisconnectedError if the client leaves.
+        Raises ProtocolError if no line arrives in time, if it is too long, or if more input follows it.
+        Raises ClientDisconnectedError at the client's end.
         """
         try:
             line = await self._read_request()
         except TimeoutError:
             if self._stopped:
                 return b""
-            raise ProtocolError("no first line in time") from None
+            raise ProtocolError(f"no first line within {FIRST_LINE_TIMEOUT_S} s") from None
         except LineTooLongError as error:
             raise ProtocolError(str(error)) from None
         except OSError:
@@ -46,13 +46,13 @@
             if self._stopped:
                 return b""
             raise ClientDisconnectedError
-        if self._stream.pending:  # a client waits after its first line
+        if self._stream.pending:
             raise ProtocolError("more than one line before the answer")
         self._stream.check_waiting()
         return line
 
     async def _read_request(self) -> bytes:
-        """Answer `PING`s until another line comes; empty if the client ends, or the reader is stopped."""
+        """Answer `PING`s and return the next other line; empty at the client's end, or if stopped."""
         line = b""
         while not self._stopped:
             try:
@@ -69,9 +69,12 @@
         return line
 
     async def _wait_after_pong(self) -> None:
-        """Wait for a client that has been told PONG and may ask for something, or may not.
+        """Wait until a client that has been sent `PONG` sends something else, which it need not do.
 
-        What it asks in the very moment in which its time is up stays unread: it is answered, not closed over.
+        The input is not read here. If it arrives in the turn in which the time-out expires, the client is
+        still served.
+
+        Raises ClientDisconnectedError at the time-out.
         """
         try:
             async with asyncio.timeout(FIRST_LINE_TIMEOUT_S) as self._timeout:
--- a/wheatstile/net/health_checker.py
+++ b/wheatstile/net/health_checker.py
@@ -1,7 +1,6 @@
-"""Health checks: one server is asked for its load, on a connection that is kept until it falls idle."""
+"""Health checks: requests for a server's load, on a connection that is kept between checks."""
 
 import asyncio
-import socket
 
 import structlog
 
@@ -11,75 +10,95 @@
 from wheatstile.net.errors import LineTooLongError
 from wheatstile.net.line_stream import LineStream
 from wheatstile.net.upstream import Upstream
-from wheatstile.net.upstream_attempt import OUT_OF_DESCRIPTORS
+from wheatstile.net.upstream_attempt import connect_failure_outcome
 from wheatstile.net.upstream_reply import Reply, parse_health_check_reply
 
 log = structlog.get_logger()
 
 REQUEST_LINE = b"STATS\r\n"
-DESCRIPTOR_SHARE = 1 / 10  # of the descriptors, and no more, are for connections of health checks
-MIN_CONNECTIONS = 4
+DESCRIPTOR_SHARE = 1 / 10  # upper bound for health checks, as a share of the process's descriptors
+MIN_CONNECTIONS = 4  # allowed even where DESCRIPTOR_SHARE comes to less
 
 
 class HealthCheckConnections:
-    """The bound on the connections of all health checkers, and which of them are idle."""
+    """Bounds the connections of all health checkers together, and knows which of them are idle."""
 
     def __init__(self, limits: UpstreamLimits) -> None:
         self.limits = limits
-        self.open_count = 0
-        self.idle: dict[HealthChecker, None] = {}  # the longest idle first
+        self._open_count = 0
+        self._idle: dict[HealthChecker, None] = {}  # in the order in which they became idle
 
     @property
     def max_open(self) -> int:
-        """The most connections that health checks may have open."""
+        """The maximum number of connections that health checks may have open."""
         return max(MIN_CONNECTIONS, int(self.limits.descriptors * DESCRIPTOR_SHARE))
 
     def close_longest_idle(self) -> None:
-        """Where servers are many, the connection that has been idle longest makes way for another."""
-        if self.open_count >= self.max_open and self.idle:
-            longest_idle = next(iter(self.idle))
-            del self.idle[longest_idle]
-            longest_idle.check_requested.set()  # it wakes with nothing to check, and closes
+        """Have the connection that has been idle longest closed if the maximum number is open."""
+        if self._open_count >= self.max_open and self._idle:
+            longest_idle = next(iter(self._idle))
+            self.on_in_use(longest_idle)
+            longest_idle.close_idle_connection()
+
+    def on_opened(self) -> None:
+        """Count a connection that has been opened."""
+        self._open_count += 1
+
+    def on_closed(self) -> None:
+        """Count a connection that has been closed."""
+        self._open_count -= 1
+
+    def on_idle(self, checker: "HealthChecker") -> None:
+        """Record that this checker's connection is idle from now on."""
+        self._idle[checker] = None
+
+    def on_in_use(self, checker: "HealthChecker") -> None:
+        """Record that this checker's connection, if it has one, is not idle any longer."""
+        self._idle.pop(checker, None)
 
 
 class HealthChecker:
-    """Checks one server whenever the decision module asks: exactly one HealthCheckResult for each request."""
+    """Checks one server when the decision module asks for it: one HealthCheckResult for each request."""
 
     def __init__(
         self, upstream: Upstream, decisions: DecisionLoop, connections: HealthCheckConnections
     ) -> None:
         self.upstream = upstream
-        self.pending_checks = 0  # asked for, and no result dispatched yet
-        self.check_requested = asyncio.Event()
+        self._pending_checks = 0  # requested checks without a result
+        self._wake_up = asyncio.Event()  # a check is requested, or the idle connection is to be closed
         self._decisions = decisions
         self._connections = connections
         self._stream: LineStream | None = None
         self._task: asyncio.Task[None] | None = None
 
     def request_check(self) -> None:
-        """Check the server once more; its task is started with the first request."""
-        self.pending_checks += 1
-        self.check_requested.set()
+        """Request one check. The first request starts the checker's task."""
+        self._pending_checks += 1
+        self._wake_up.set()
         if self._task is None:
             self._task = asyncio.create_task(self._run())
             self._task.add_done_callback(self._on_task_done)
 
+    def close_idle_connection(self) -> None:
+        """Have the checker's task close its connection, unless a check is pending."""
+        self._wake_up.set()
+
     def stop(self) -> None:
-        """Stop checking: what is pending fails."""
+        """Stop the checker's task. Pending checks fail."""
         if self._task:
             self._task.cancel()
 
     def _on_task_done(self, task: asyncio.Task[None]) -> None:
-        """Fail the pending checks, be it that the server left the list.
+        """Dispatch a failure for each pending check.
 
-        The module keeps a server's place in a deferred request until its check is over; one that never ends
-        would stop all later checks of that server.
+        A deferred request waits for the results of its health checks, and the decision module has at most one
+        check of a server in progress. A check without a result would block all later checks of that server.
         """
         self._task = None
         if not task.cancelled() and (error := task.exception()):
             log.error("health_checker_failed", server=self.upstream.name, exc_info=error)
-        while self.pending_checks:
-            self.pending_checks -= 1
+        while self._pending_checks:
+            self._pending_checks -= 1
             self._decisions.dispatch(
                 api.HealthCheckResult(self.upstream.name, api.AttemptOutcome.CONNECT_FAILED)
             )
@@ -87,7 +106,7 @@
     async def _run(self) -> None:
         try:
             while True:
-                if not self.pending_checks:
+                if not self._pending_checks:
                     await self._wait_for_request()
                 else:
                     await self._check()
@@ -95,54 +114,53 @@
             self._close()
 
     async def _wait_for_request(self) -> None:
-        """Wait until a check is pending; without one, an idle connection is closed in time or for another."""
-        self.check_requested.clear()
+        """Wait until a check is requested.
+
+        The idle connection is closed at its time-out, or when another health checker needs the descriptor.
+        """
+        self._wake_up.clear()
         if self._stream:
-            self._connections.idle[self] = None
+            self._connections.on_idle(self)
         try:
             async with asyncio.timeout(self._connections.limits.idle_timeout_s if self._stream else None):
-                await self.check_requested.wait()
+                await self._wake_up.wait()
         except TimeoutError:
             self._close()
         finally:
-            self._connections.idle.pop(self, None)
-        if not self.pending_checks:  # it was idle too long, or another needs its connection
+            self._connections.on_in_use(self)
+        if not self._pending_checks:
             self._close()
 
     async def _check(self) -> None:
-        """Check the server once, and dispatch the result."""
-        if self._stream and self._stream.ended():  # a server may close what is idle; that is no failed check
+        """Check the server once and dispatch the result.
+
+        A server may close an idle connection just as the check is sent on it. A check that ends by a reset on
+        a reused connection is therefore no failure: it stays pending and is repeated on a new connection.
+        """
+        if self._stream and self._stream.ended():
             self._close()
         reused = self._stream is not None
         start_us = self._decisions.now()
         reply = await self._exchange()
-        if (
-            reply.outcome is not api.AttemptOutcome.OK
-        ):  # what it still owes would be taken for the next answer
-            self._close()
-        if (
-            reused and reply.outcome is api.AttemptOutcome.RESET
-        ):  # it was closed as idle while the check went out
+        if reply.outcome is not api.AttemptOutcome.OK:
+            self._close()  # else a late answer would be taken for the next check's
+        if reused and reply.outcome is api.AttemptOutcome.RESET:
             self._decisions.counters["health_checks_repeated"] += 1
             return
         self._decisions.counters[f"health_checks_{reply.outcome}"] += 1
-        self.pending_checks -= 1
+        self._pending_checks -= 1
         elapsed_us = self._decisions.now() - start_us
         self._decisions.dispatch(
             api.HealthCheckResult(self.upstream.name, reply.outcome, elapsed_us, reply.report)
         )
 
     async def _exchange(self) -> Reply:
-        """Connect if need be, ask, and read the answer."""
+        """Connect if there is no connection, send the request, and read the answer."""
         try:
             if self._stream is None:
                 await self._connect()
-        except TimeoutError:
-            return Reply(api.AttemptOutcome.CONNECT_FAILED)
         except OSError as error:
-            if error.errno in OUT_OF_DESCRIPTORS:
-                return Reply(api.AttemptOutcome.NOT_SENT)
-            return Reply(api.AttemptOutcome.CONNECT_FAILED)
+            return Reply(connect_failure_outcome(error))
         assert self._stream
         try:
             async with asyncio.timeout(self._connections.limits.health_check_timeout_s):
@@ -154,14 +172,14 @@
             return Reply(api.AttemptOutcome.RESET)
 
     async def _connect(self) -> None:
+        """Open a connection to the server. Raises OSError; the caller then closes the stream."""
         self._connections.close_longest_idle()
-        self._stream = LineStream(socket.socket(socket.AF_INET, socket.SOCK_STREAM))
-        self._connections.open_count += 1
-        async with asyncio.timeout(self._connections.limits.connect_timeout_s):
-            await asyncio.get_running_loop().sock_connect(self._stream.sock, self.upstream.address)
+        self._stream = LineStream.unconnected()
+        self._connections.on_opened()
+        await self._stream.connect(self.upstream.address, self._connections.limits.connect_timeout_s)
 
     def _close(self) -> None:
         if self._stream:
             self._stream.close()
             self._stream = None
-            self._connections.open_count -= 1
+            self._connections.on_closed()
--- a/wheatstile/net/latency_monitor.py
+++ b/wheatstile/net/latency_monitor.py
@@ -1,4 +1,4 @@
-"""Message latency: at which servers the answers to clients' lines take long."""
+"""Monitors message latency: how long servers take to answer the lines of established sessions."""
 
 import asyncio
 from statistics import median
@@ -8,33 +8,30 @@
 from wheatstile.net.upstream import Upstream
 from wheatstile.net.upstream_pool import UpstreamPool
 
-INTERVAL_S = 1.0  # the simulator's pace
-OBJECTIVE_DIVISOR = 3  # an answer that takes longer than this part of the shortest latency objective is slow
+REPORT_INTERVAL_S = 1.0  # the same as the simulator's
+OBJECTIVE_DIVISOR = 3  # a latency above 1/3 of the shortest latency objective counts as slow
 
 
 class LatencyMonitor:
-    """Tells the decision module at which servers messages take long, and once more when they no longer do."""
+    """Reports the message latency of slow servers to the decision module, and once more when one recovers."""
 
     def __init__(self, upstreams: UpstreamPool, decisions: DecisionLoop) -> None:
         self._upstreams = upstreams
         self._decisions = decisions
 
     async def run(self) -> None:
-        """Read the samples of all servers at each interval, for ever."""
+        """Read the latency samples of all servers every REPORT_INTERVAL_S. Never returns."""
         while True:
-            await asyncio.sleep(INTERVAL_S)
+            await asyncio.sleep(REPORT_INTERVAL_S)
             now_us = self._decisions.now()
             for upstream in list(self._upstreams.by_name.values()):
                 if self._upstreams.limits.reports_message_latency:
                     self._report(upstream, now_us)
 
     def _report(self, upstream: Upstream, now_us: int) -> None:
-        """Dispatch the median latency, for one session of the server, if it is slow or was before."""
+        """Dispatch the server's median latency, for one of its sessions, if it is slow or was slow before."""
         threshold_ms = self._upstreams.limits.message_latency_objective_ms / OBJECTIVE_DIVISOR
-        waiting_ms = [
-            (now_us - since_us) / 1000 for since_us in upstream.waiting_since_us.values() if since_us
-        ]
-        samples_ms = upstream.latency_samples_ms + [wait for wait in waiting_ms if wait > threshold_ms]
+        samples_ms = upstream.latency_samples_ms + _waiting_ms(upstream, now_us, threshold_ms)
         upstream.latency_samples_ms = []
         if not upstream.waiting_since_us or not samples_ms:
             return
@@ -43,3 +40,9 @@
             upstream.is_slow = latency_ms > threshold_ms
             session_id = next(iter(upstream.waiting_since_us))
             self._decisions.dispatch(api.MessageLatencyChanged(session_id, upstream.name, latency_ms))
+
+
+def _waiting_ms(upstream: Upstream, now_us: int, threshold_ms: float) -> list[float]:
+    """Return the waiting times, in milliseconds, of unanswered lines that exceed the threshold."""
+    waits_ms = [(now_us - since_us) / 1000 for since_us in upstream.waiting_since_us.values() if since_us]
+    return [wait_ms for wait_ms in waits_ms if wait_ms > threshold_ms]
--- a/wheatstile/net/line_stream.py
+++ b/wheatstile/net/line_stream.py
@@ -1,4 +1,4 @@
-"""Connections that carry lines of text, each ending in CRLF and no longer than 4 KiB."""
+"""TCP connections that carry lines of text. A line ends in CRLF and has at most 4 KiB."""
 
 import asyncio
 import socket
@@ -6,16 +6,19 @@
 
 from wheatstile.net.errors import LineTooLongError
 
-LINE_LIMIT = 4096
-LINGER_S = 0.5  # for which a peer is given time to take the last line and close
-MAX_DISCARDED_BYTES = 1 << 16  # read and dropped meanwhile: more than any line that was under way
+LINE_END = b"\r\n"
+LINE_END_BYTES = len(LINE_END)
+LINE_LIMIT = 4096  # bytes, including the end of the line
+LINGER_S = 0.5  # time for a peer to take the last line and close its side
+MAX_DISCARDED_BYTES = 1 << 16  # input that is read and dropped before the close, more than the longest line
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER switched on with 0 seconds
 
 
 class LineStream:
-    """One TCP connection and the lines that have come on it. Whoever makes it closes it.
+    """One TCP connection and the lines that arrive on it. The owner of the stream closes it.
 
-    The buffer holds one line of full length, so that a peer that sends faster than its lines are passed on is
-    held back by TCP.
+    The buffer holds one line of maximum length, so TCP flow control slows down a peer that sends faster than
+    its lines are passed on.
     """
 
     __slots__ = ("_buffer", "_filled", "_loop", "sock")
@@ -28,8 +31,21 @@
         self._buffer = memoryview(bytearray(LINE_LIMIT))
         self._filled = 0
 
+    @classmethod
+    def unconnected(cls) -> "LineStream":
+        """Return a stream on a new socket, which is not connected yet. Raises OSError."""
+        return cls(socket.socket(socket.AF_INET, socket.SOCK_STREAM))
+
+    async def connect(self, address: tuple[str, int], timeout_s: float) -> None:
+        """Connect to the peer. Raises OSError, and TimeoutError (a subclass) after `timeout_s` seconds."""
+        async with asyncio.timeout(timeout_s):
+            await self._loop.sock_connect(self.sock, address)
+
     async def _fill(self, cancel_safe: bool = False) -> bool:
-        """Read what has come, up to a full buffer; False at the peer's end. Raises LineTooLongError."""
+        """Read available bytes into the buffer. Return False at the peer's end.
+
+        Raises LineTooLongError if the buffer is full, and OSError.
+        """
         if self._filled == LINE_LIMIT:
             raise LineTooLongError(LINE_LIMIT)
         if cancel_safe and self.peek() is None:
@@ -48,47 +64,47 @@
 
     @property
     def pending(self) -> bool:
-        """Whether bytes have been read that no caller has taken."""
+        """Whether the buffer holds bytes that no caller has taken."""
         return self._filled > 0
 
     async def read_line(self, cancel_safe: bool = False) -> bytes:
         """Return one line with its end; empty when the peer has ended the connection.
 
-        Where it is safe to cancel, bytes that have come stay unread in the kernel until this task takes them.
-        Raises OSError, and LineTooLongError for a line that passes LINE_LIMIT.
+        With `cancel_safe`, cancelling the call loses no input: bytes stay in the kernel until they are read
+        and handled in one turn of the event loop.
+
+        Raises OSError, and LineTooLongError for a line that exceeds LINE_LIMIT.
         """
-        while (end := bytes(self._buffer[: self._filled]).find(b"\r\n")) < 0:
+        while (end := bytes(self._buffer[: self._filled]).find(LINE_END)) < 0:
             if not await self._fill(cancel_safe):
                 return b""
-        return self._take(end + 2)
+        return self._take(end + LINE_END_BYTES)
 
     async def read_lines(self) -> bytes:
-        """Return all whole lines that have come, at least one; empty when the peer has ended the connection.
+        """Return all complete lines that have arrived, at least one; empty at the peer's end.
+
+        A partial line before the peer's end is dropped: no part of a line is ever passed on.
 
-        What the peer leaves of a line at its end is dropped: no part of a line is ever passed on. Raises
-        OSError, and LineTooLongError for a line that passes LINE_LIMIT.
+        Raises OSError, and LineTooLongError for a line that exceeds LINE_LIMIT.
         """
-        while (end := bytes(self._buffer[: self._filled]).rfind(b"\r\n")) < 0:
+        while (end := bytes(self._buffer[: self._filled]).rfind(LINE_END)) < 0:
             if not await self._fill():
                 return b""
-        return self._take(end + 2)
+        return self._take(end + LINE_END_BYTES)
 
     async def send(self, data: bytes) -> None:
-        """Send all of the data, waiting for the peer as long as it takes. Raises OSError."""
+        """Send all of the data, without a time-out. Raises OSError."""
         await self._loop.sock_sendall(self.sock, data)
 
     def send_now(self, data: bytes) -> bytes:
-        """Send what the kernel takes in this very turn, and return the rest: nothing can come in between.
-
-        Raises OSError.
-        """
+        """Send what the kernel accepts in this turn of the event loop. Return the rest. Raises OSError."""
         try:
             return data[self.sock.send(data) :]
         except BlockingIOError:
             return data
 
     async def readable(self) -> None:
-        """Wait until something has come, or the peer's end. Whoever gives up waiting loses nothing."""
+        """Wait until input has arrived or the peer has ended. Cancelling loses no input."""
         ready = asyncio.Event()
         self._loop.add_reader(self.sock, ready.set)
         try:
@@ -97,7 +113,7 @@
             self._loop.remove_reader(self.sock)
 
     def peek(self) -> bytes | None:
-        """Return the next byte that has come and was not read; empty at the peer's end, None: none came.
+        """Return the next byte of the input without taking it; empty at the peer's end, None without input.
 
         Raises OSError if the peer has reset the connection.
         """
@@ -107,29 +123,29 @@
             return None
 
     def has_pending_input(self) -> bool:
-        """Whether bytes have come that nobody has read."""
+        """Return whether the kernel holds input that has not been read."""
         try:
             return bool(self.peek())
         except OSError:
             return False
 
     def ended(self) -> bool:
-        """Whether an idle connection has been ended by its peer, or has said what nobody asked for."""
+        """Return whether the peer of an idle connection has ended it or has sent unexpected input."""
         try:
             return self.pending or self.peek() is not None
         except OSError:
             return True
 
-    async def finish(self, last: bytes) -> None:
-        """Send a last line and let the peer take it.
+    async def finish(self, last_line: bytes) -> None:
+        """Send a last line and give the peer LINGER_S to take it and close its side.
 
-        Closing while bytes of the peer's are unread would reset the connection, and the reset may overtake
-        the line: so this side is shut, and what still comes is read and dropped until the peer closes. A peer
-        that goes on and on is held back by TCP instead, which costs nothing, until LINGER_S is up.
+        Closing the socket over unread input would reset the connection, and the reset may overtake the line.
+        So this method shuts down the sending side, then reads and drops input until the peer closes. After
+        MAX_DISCARDED_BYTES it stops reading, and TCP flow control holds the peer back until LINGER_S is over.
         """
         try:
             async with asyncio.timeout(LINGER_S):
-                await self.send(last)
+                await self.send(last_line)
                 self.sock.shutdown(socket.SHUT_WR)
                 remaining_bytes = MAX_DISCARDED_BYTES
                 while count := await self._loop.sock_recv_into(self.sock, self._buffer):
@@ -140,7 +156,7 @@
             pass
 
     def close(self, reset: bool = False) -> None:
-        """Give the socket back, as a reset if its other end was one. No read or write may be under way."""
+        """Close the socket, with a TCP reset if `reset` is true. No read or write may be in progress."""
         if reset and self.sock.fileno() >= 0:
-            self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+            self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
         self.sock.close()
--- a/wheatstile/net/session_relay.py
+++ b/wheatstile/net/session_relay.py
@@ -1,4 +1,4 @@
-"""The relay of an established session: lines both ways, and how it ends."""
+"""The relay of an established session: lines in both directions, and how it ends."""
 
 import asyncio
 from collections.abc import Callable
@@ -19,28 +19,40 @@
 
 @dataclass(frozen=True, slots=True)
 class RelayEnd:
-    """How a relay ended, as the decision module is told."""
+    """How a relay ended, as reported to the decision module.
+
+    `reset`: whether the server reset its connection; the client's connection is then reset too.
+    """
 
     outcome: api.AttemptOutcome
     report: api.LoadReport | None = None
-    reset: bool = False  # the server ended by a reset, which the client gets too
+    reset: bool = False
+
+    @classmethod
+    def from_final_line(cls, line: bytes) -> "RelayEnd":
+        """Return the end that the server's last line describes."""
+        reply = parse_final_reply(line)
+        return cls(reply.outcome, reply.report)
 
 
 class SessionRelay:
-    """Passes the server's lines on, until either side ends or the client is to connect again."""
+    """Relays the server's lines until either side ends, or until the client has to connect again.
+
+    `release` is called once the relay has ended and the connection to the server is closed.
+    """
 
     def __init__(self, session: Session, release: Callable[[], None]) -> None:
         self._session = session
         self._decisions = session.decisions
-        self._release = release  # the session no longer stands
-        self._client_writes = asyncio.Lock()  # held while lines go out, so that MOVE goes between two
-        self._final_line = b""  # the server's last line, if it has gone to the client as its last
+        self._release = release
+        self._client_writes = asyncio.Lock()  # held during a write, so that MOVE is sent between two lines
+        self._final_line = b""  # the server's final line, once it has been sent to the client
         self._end = RelayEnd(api.AttemptOutcome.CANCELLED)
 
     async def run(self) -> bytes:
-        """Relay until the end; returns the client's last line, empty if it is owed none.
+        """Relay until the end. Return the client's last line; empty if there is none to send.
 
-        Raises ClientDisconnectedError if the client's side has ended, or is to end by a reset.
+        Raises ClientDisconnectedError if the client's side has ended or must be reset.
         """
         assert self._session.attempt
         server = self._session.attempt.upstream.name
@@ -60,6 +72,7 @@
             self._dispatch_end(server, self._decisions.now() - start_us)
 
     async def _run_until_end(self, upstream_relay: asyncio.Task[RelayEnd]) -> bytes:
+        """Wait for either side's end or a migration. Return the client's last line."""
         session = self._session
         try:
             await session.unless_client_ends(wait_for_either(upstream_relay, session.migration))
@@ -70,7 +83,10 @@
             if self._end.reset:
                 raise ClientDisconnectedError(reset=True)
             return b""
-        reason = session.migration.result()
+        return await self._migrate(session.migration.result())
+
+    async def _migrate(self, reason: MigrationReason) -> bytes:
+        """End the relay for a migration. Return the client's last line; empty if the server's was sent."""
         if reason is MigrationReason.UPSTREAM_UNRESPONSIVE:
             self._end = RelayEnd(api.AttemptOutcome.RESET)
         line = await self._end_client_lines(MIGRATE_LINE)
@@ -79,19 +95,24 @@
         return line
 
     async def _end_client_lines(self, last_line: bytes) -> bytes:
-        """Let no further line of the server's go out; returns the client's last line, empty if it has it."""
+        """Stop relaying lines to the client. Return `last_line`; empty if the server's final line was sent.
+
+        The lock is acquired and never released, so that no line of the server can follow the last one.
+
+        Raises ClientDisconnectedError if the client has not taken the line being sent within LINGER_S.
+        """
         try:
             async with asyncio.timeout(LINGER_S):
-                await self._client_writes.acquire()  # and keep it: no further line may follow the last
-        except TimeoutError:  # a client that takes nothing stands in the middle of a line
+                await self._client_writes.acquire()
+        except TimeoutError:
             raise ClientDisconnectedError(reset=True) from None
-        if self._final_line:  # the server's last line was on its way
-            reply = parse_final_reply(self._final_line)
-            self._end = RelayEnd(reply.outcome, reply.report)
+        if self._final_line:
+            self._end = RelayEnd.from_final_line(self._final_line)
             return b""
         return last_line
 
     def _dispatch_end(self, server: str, elapsed_us: int) -> None:
+        """Report the end of the session to the decision module."""
         end = self._end
         self._decisions.counters[f"sessions_ended_{end.outcome}"] += 1
         self._decisions.dispatch(
@@ -107,11 +128,13 @@
         )
 
     async def relay_upstream(self) -> RelayEnd:
-        """Pass the server's lines to the client, whole ones only; returns how the server ended it."""
+        """Relay the server's lines to the client, only complete ones, and return how the server ended.
+
+        Raises ClientDisconnectedError if a write to the client fails.
+        """
         session = self._session
         assert session.attempt
         assert session.attempt.stream
-        upstream = session.attempt.upstream
         stream = session.attempt.stream
         lines = session.unsent_answer
         while True:
@@ -123,28 +146,36 @@
                 return RelayEnd(api.AttemptOutcome.ERROR)
             if not lines:
                 return self._upstream_end(reset=False)
-            for line in lines.splitlines():
-                keyword, _, rest = line.partition(b" ")
-                if keyword == LOAD_KEYWORD:
-                    self._dispatch_load(rest)
-                elif keyword not in FINAL_KEYWORDS:
-                    upstream.on_upstream_line(session.id, self._decisions.now())
+            last_line = self._inspect(lines)
             try:
                 async with self._client_writes:
                     await session.client.send(lines)
-                    self._final_line = line if line.startswith(FINAL_KEYWORDS) else b""
+                    self._final_line = last_line if last_line.startswith(FINAL_KEYWORDS) else b""
             except OSError:
                 raise ClientDisconnectedError(reset=True) from None
             lines = b""
 
+    def _inspect(self, lines: bytes) -> bytes:
+        """Dispatch loads and record answers in the server's lines. Return the last line without its end."""
+        assert self._session.attempt
+        upstream = self._session.attempt.upstream
+        line = b""
+        for line in lines.splitlines():
+            keyword, _, rest = line.partition(b" ")
+            if keyword == LOAD_KEYWORD:
+                self._dispatch_load(rest)
+            elif keyword not in FINAL_KEYWORDS:
+                upstream.on_upstream_line(self._session.id, self._decisions.now())
+        return line
+
     def _upstream_end(self, reset: bool) -> RelayEnd:
-        if not self._final_line:
-            return RelayEnd(api.AttemptOutcome.RESET, reset=reset)
-        reply = parse_final_reply(self._final_line)
-        return RelayEnd(reply.outcome, reply.report)
+        """Return how the server ended its connection; without a final line, that counts as a reset."""
+        if self._final_line:
+            return RelayEnd.from_final_line(self._final_line)
+        return RelayEnd(api.AttemptOutcome.RESET, reset=reset)
 
     def _dispatch_load(self, text: bytes) -> None:
-        """Tell the module a load that the server gives for this session; what is no number is passed over."""
+        """Dispatch this session's load as the server reports it. Ignore an invalid number."""
         assert self._session.attempt
         try:
             load = float(text)
@@ -156,9 +187,10 @@
 
 
 async def relay_client(session: Session) -> None:
-    """Pass the client's lines to the server once the session stands; ends only with the client's side.
+    """Relay the client's lines to the server once the session is established, until the client's side ends.
 
-    Raises ClientDisconnectedError, or ProtocolError for a line before the answer or one that is too long.
+    Never returns. Raises ClientDisconnectedError at the client's end, and ProtocolError for a line that
+    arrives before the answer or is too long.
     """
     try:
         while lines := await session.client.read_lines():
@@ -166,7 +198,7 @@
                 raise ProtocolError("more than one line before the answer")
             if session.attempt and session.attempt.stream:
                 session.attempt.upstream.on_client_line(session.id, session.decisions.now())
-                with suppress(OSError):  # the server's end is for relay_upstream to see
+                with suppress(OSError):  # relay_upstream handles the server's end
                     await session.attempt.stream.send(lines)
     except LineTooLongError as error:
         raise ProtocolError(str(error)) from None
--- a/wheatstile/net/unresponsive_upstream_detector.py
+++ b/wheatstile/net/unresponsive_upstream_detector.py
@@ -1,14 +1,14 @@
-"""Servers that leave a client's lines without answer: TCP tells nothing of one that is cut off."""
+"""Detects servers that do not answer their clients' lines. TCP does not report a server that is cut off."""
 
 import asyncio
 
 from wheatstile.net.client_listener import ClientListener
 from wheatstile.net.session import MigrationReason
 
-INTERVAL_S = 0.5
-# Without an answer to a client's line. Lines come every 2 s, and a connection that returns nothing must be
-# ended within 7 s: the next line, this, and an interval come to 6.5.
-UNRESPONSIVE_AFTER_US = 4_000_000
+CHECK_INTERVAL_S = 0.5
+# A client sends a line every 2 s, and its connection must end within 7 s after a server falls silent.
+# 2 s + UNRESPONSIVE_AFTER_US + CHECK_INTERVAL_S is 6.5 s.
+UNRESPONSIVE_AFTER_US = 4_000_000  # time without an answer to a client's line
 
 
 class UnresponsiveUpstreamDetector:
@@ -18,9 +18,9 @@
         self._clients = clients
 
     async def run(self) -> None:
-        """Look at all sessions at each interval, for ever."""
+        """Check all sessions every CHECK_INTERVAL_S. Never returns."""
         while True:
-            await asyncio.sleep(INTERVAL_S)
+            await asyncio.sleep(CHECK_INTERVAL_S)
             now_us = self._clients.decisions.now()
             for connection in list(self._clients.connections.values()):
                 session = connection.session
--- a/wheatstile/net/upstream_attempt.py
+++ b/wheatstile/net/upstream_attempt.py
@@ -1,42 +1,50 @@
 """One attempt to open a session at a server, and the connection that it becomes."""
 
 import asyncio
-import errno
-import socket
 from collections.abc import Callable
 from dataclasses import dataclass
 
 from wheatstile import interface as api
 from wheatstile.config.platform import UpstreamLimits
-from wheatstile.net.errors import LineTooLongError
+from wheatstile.net.errors import LineTooLongError, is_out_of_descriptors
 from wheatstile.net.line_stream import LineStream
 from wheatstile.net.upstream import Upstream
 from wheatstile.net.upstream_reply import parse_final_reply
 
-OUT_OF_DESCRIPTORS = (errno.EMFILE, errno.ENFILE)
 ESTABLISHED_PREFIX = b"UP "
+MIN_WAIT_MS = 1  # shortest wait that an open line can name
 
 OpenLineProvider = Callable[[int], bytes | None]
-"""Called with the milliseconds left, in the turn in which the line goes out: the line; None: send nothing."""
+"""Returns the open line for the remaining milliseconds, or None if nothing may be sent.
+
+It is called in the turn of the event loop in which the line is sent.
+"""
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptResult:
-    """How an attempt ended; OK if it is established, and also if the server ended it politely at once."""
+    """How an attempt ended.
+
+    Attributes:
+        outcome: OK if the session is established, and also if the server ended it at once with a final line.
+        line: the server's answer; empty if there is none.
+        report: the load report in the answer, if there is one.
+        established: whether the session is established.
+    """
 
     outcome: api.AttemptOutcome
-    line: bytes = b""  # the server's answer, if there is one
+    line: bytes = b""
     report: api.LoadReport | None = None
     established: bool = False
 
     @property
     def label(self) -> str:
-        """The result's name in a counter."""
+        """The result's part of a counter name."""
         return "established" if self.established else self.outcome.value
 
 
 class UpstreamAttempt:
-    """One attempt to open a session, and the connection that it becomes. Its session closes it."""
+    """One attempt to open a session, and the connection that it becomes. The session closes it."""
 
     __slots__ = ("_limits", "stream", "upstream")
 
@@ -50,14 +58,18 @@
     ) -> AttemptResult:
         """Connect, send the open line, and wait for the server's answer.
 
-        Whether the attempt may have run turns on the line's last byte: until it is written, whatever fails is
-        a failed connect. `reopening` is for a session that was established before this process started: it
-        has no other server to go to, so connecting may take all its time, and may go to a server that drains.
+        An attempt may have run on the server once the last byte of its line has been sent. Any failure before
+        that is reported as CONNECT_FAILED or NOT_SENT.
+
+        Args:
+            open_line: provides the line to send.
+            timeout_s: time for the whole attempt.
+            reopening: whether the session was established before this process started. Only its old server
+                can serve it, so connecting may take all of `timeout_s`, and the server may be draining.
         """
         deadline_s = asyncio.get_running_loop().time() + timeout_s
-        failure = await self._connect(
-            timeout_s if reopening else min(self._limits.connect_timeout_s, timeout_s)
-        )
+        connect_timeout_s = timeout_s if reopening else min(self._limits.connect_timeout_s, timeout_s)
+        failure = await self._connect(connect_timeout_s)
         if failure is None:
             failure = await self._send_open_line(open_line, deadline_s, reopening)
         if failure is not None:
@@ -65,44 +77,44 @@
         return await self._read_answer(deadline_s)
 
     async def _connect(self, timeout_s: float) -> api.AttemptOutcome | None:
-        """Connect; returns why not."""
+        """Connect to the server. Return None on success, else the outcome of the attempt."""
         try:
-            self.stream = LineStream(socket.socket(socket.AF_INET, socket.SOCK_STREAM))
-            async with asyncio.timeout(timeout_s):
-                await asyncio.get_running_loop().sock_connect(self.stream.sock, self.upstream.address)
-        except OSError as error:  # a TimeoutError is one
-            # Without a descriptor of our own nothing was sent, and the server has not failed.
-            if error.errno in OUT_OF_DESCRIPTORS:
-                return api.AttemptOutcome.NOT_SENT
-            return api.AttemptOutcome.CONNECT_FAILED
+            self.stream = LineStream.unconnected()
+            await self.stream.connect(self.upstream.address, timeout_s)
+        except OSError as error:
+            return connect_failure_outcome(error)
         return None
 
     async def _send_open_line(
         self, open_line: OpenLineProvider, deadline_s: float, reopening: bool
     ) -> api.AttemptOutcome | None:
-        """Send the open line; returns why not.
+        """Send the open line. Return None on success, else the outcome of the attempt.
 
-        Whether it is sent at all is decided in the turn in which it goes out: while the connection came up,
-        the client may have left, the server may have begun to drain, and the time may have run out.
+        Whether to send it is decided in the turn in which it is sent: during the connect the client may have
+        left, the server may have begun to drain, and the time may have run out.
         """
         assert self.stream
         remaining_s = deadline_s - asyncio.get_running_loop().time()
-        if remaining_s <= 0 or (self.upstream.leaving and not reopening):
-            return api.AttemptOutcome.NOT_SENT  # a server that drains gets nothing new
-        line = open_line(max(1, int(remaining_s * 1000)))
+        if remaining_s <= 0:
+            return api.AttemptOutcome.NOT_SENT
+        if self.upstream.leaving and not reopening:
+            return api.AttemptOutcome.NOT_SENT
+        line = open_line(max(MIN_WAIT_MS, int(remaining_s * 1000)))
         if line is None:
             return api.AttemptOutcome.NOT_SENT
         try:
-            if unsent := self.stream.send_now(line):  # a new connection takes 4 KiB at once
+            unsent = self.stream.send_now(line)  # the send buffer of a new connection takes a whole line
+            if unsent:
                 async with asyncio.timeout_at(deadline_s):
                     await self.stream.send(unsent)
         except TimeoutError:
-            return api.AttemptOutcome.TIMEOUT  # its last byte may have gone out in the same turn
+            return api.AttemptOutcome.TIMEOUT  # the last byte may have been sent in the same turn
         except OSError:
             return api.AttemptOutcome.CONNECT_FAILED
         return None
 
     async def _read_answer(self, deadline_s: float) -> AttemptResult:
+        """Wait for the server's first line and return what it means for the attempt."""
         assert self.stream
         try:
             async with asyncio.timeout_at(deadline_s):
@@ -121,7 +133,17 @@
         return AttemptResult(reply.outcome, line, reply.report)
 
     def close(self, reset: bool = False) -> None:
-        """Close the connection, as a reset if the client's side ended in one."""
+        """Close the connection, with a TCP reset if `reset` is true."""
         if self.stream:
             self.stream.close(reset)
             self.stream = None
+
+
+def connect_failure_outcome(error: OSError) -> api.AttemptOutcome:
+    """Return the outcome of an attempt or a health check whose connect failed with `error`.
+
+    The server has not failed if this process ran out of descriptors.
+    """
+    if is_out_of_descriptors(error):
+        return api.AttemptOutcome.NOT_SENT
+    return api.AttemptOutcome.CONNECT_FAILED
--- a/wheatstile/net/upstream_pool.py
+++ b/wheatstile/net/upstream_pool.py
@@ -1,4 +1,4 @@
-"""The servers that the endpoint updates have named, with their health checkers."""
+"""The servers of the endpoint list, with their health checkers."""
 
 from collections.abc import Collection
 
@@ -12,7 +12,7 @@
 
 
 class UpstreamPool:
-    """All servers by name. Attempts and health checks start here."""
+    """All servers by name. Creates attempts and starts health checks."""
 
     def __init__(self, decisions: DecisionLoop, limits: UpstreamLimits) -> None:
         self.by_name: dict[str, Upstream] = {}
@@ -22,36 +22,39 @@
 
     @property
     def limits(self) -> UpstreamLimits:
-        """What the settings say of dealing with servers; a reload replaces it."""
+        """The limits for connections to servers. A reload replaces them; open connections are kept."""
         return self._health_check_connections.limits
 
     @limits.setter
     def limits(self, limits: UpstreamLimits) -> None:
-        """Follow a reload: what is opened next keeps to the new limits."""
         self._health_check_connections.limits = limits
 
     @property
     def max_health_check_connections(self) -> int:
-        """The most connections that health checks may have open."""
+        """The maximum number of connections that health checks may have open."""
         return self._health_check_connections.max_open
 
     def update(self, members: Collection[ResolvedEndpoint], complete: bool) -> None:
-        """Follow the endpoint list: a changed address holds for what is opened next.
+        """Apply an endpoint list. A new address is used for connections that are opened from now on.
 
-        A server without an address is gone, as is one that a complete list does not name.
+        Servers without an address are removed, and those that a complete list does not contain.
         """
-        latest = {member.endpoint.name: member.address for member in members}
-        for endpoint, address in members:
-            if address is not None:
-                if endpoint.name not in self.by_name:
-                    self.by_name[endpoint.name] = Upstream(endpoint.name, address)
-                upstream = self.by_name[endpoint.name]
-                upstream.address = address
-                upstream.leaving = endpoint.state != api.EndpointState.READY
-        for name in list(self.by_name) if complete else latest:
-            if latest.get(name) is None and name in self.by_name:
+        addresses = {member.endpoint.name: member.address for member in members}
+        for member in members:
+            if member.address is not None:
+                self._set(member.endpoint, member.address)
+        for name in list(self.by_name) if complete else addresses:
+            if addresses.get(name) is None and name in self.by_name:
                 self._remove(name)
 
+    def _set(self, endpoint: api.Endpoint, address: tuple[str, int]) -> None:
+        """Add a server, or update the one of this name."""
+        if endpoint.name not in self.by_name:
+            self.by_name[endpoint.name] = Upstream(endpoint.name, address)
+        upstream = self.by_name[endpoint.name]
+        upstream.address = address
+        upstream.leaving = endpoint.state != api.EndpointState.READY
+
     def _remove(self, name: str) -> None:
         upstream = self.by_name.pop(name)
         upstream.leaving = True
@@ -59,12 +62,12 @@
             checker.stop()
 
     def new_attempt(self, server: str) -> UpstreamAttempt | None:
-        """Return an attempt to open a session at this server; None if the list names it no more."""
+        """Return an attempt to open a session at this server, or None if the server is not in the list."""
         upstream = self.by_name.get(server)
         return UpstreamAttempt(upstream, self.limits) if upstream else None
 
     def check_health(self, server: str) -> None:
-        """Check this server's health; exactly one HealthCheckResult follows."""
+        """Start a health check of this server. Exactly one HealthCheckResult is dispatched for it."""
         upstream = self.by_name.get(server)
         if upstream is None:
             result = api.HealthCheckResult(server, api.AttemptOutcome.CONNECT_FAILED)
--- a/wheatstile/net/upstream_reply.py
+++ b/wheatstile/net/upstream_reply.py
@@ -1,12 +1,11 @@
-"""What a server's lines mean for the decision module; no input or output."""
+"""Parser for the lines of servers: outcomes and load reports. It does no input or output."""
 
 from dataclasses import dataclass
 
 from wheatstile import interface as api
 from wheatstile.config import reports
 
-# A load metric's name on the wire -> the interface's.
-LOAD_METRICS: dict[str, str] = {
+LOAD_METRICS: dict[str, str] = {  # by the metric's name in a load report
     "inflight": api.LoadMetric.IN_FLIGHT.value,
     "queue": api.LoadMetric.QUEUE_LENGTH.value,
     "util": api.LoadMetric.BUSY_SHARE.value,
@@ -16,7 +15,7 @@
     "x0": api.LoadMetric.LOAD.value,
     "x1": api.LoadMetric.BACKLOG_S.value,
 }
-FINAL_OUTCOMES = {
+FINAL_OUTCOMES = {  # by the keyword of a line that ends an attempt or a session
     b"BYE": api.AttemptOutcome.OK,
     b"MOVE": api.AttemptOutcome.CANCELLED,
     b"ERR": api.AttemptOutcome.ERROR,
@@ -27,14 +26,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """What a server's line says: an outcome, and the load report that closes the line, if there is one."""
+    """The meaning of a server's line: an outcome, and the load report in the line, if there is one."""
 
     outcome: api.AttemptOutcome
     report: api.LoadReport | None = None
 
 
 def parse_load_report(text: bytes) -> api.LoadReport | None:
-    """Parse a load report as it closes a line; None if it holds no usable figure."""
+    """Parse the load report at the end of a line. Return None if it holds no usable metric."""
     return reports.parse_load_report(text.decode("latin-1"), "=", LOAD_METRICS) or None
 
 
@@ -45,7 +44,7 @@
 
 
 def parse_health_check_reply(line: bytes) -> Reply:
-    """Parse the answer to a health check; an empty line is the end of the connection."""
+    """Parse the answer to a health check. An empty line stands for the end of the connection."""
     if not line:
         return Reply(api.AttemptOutcome.RESET)
     keyword, _, rest = line.strip().partition(b" ")
