--- a/wheatstile/net/discovery_client.py
+++ b/wheatstile/net/discovery_client.py
@@ -8,9 +8,9 @@
 from wheatstile.net.endpoint_stream import DiscoveryError, EndpointStreamDecoder, Keepalive, ResponseStarted
 
 HOSTS_PATH = "/discovery/hosts"
-RESPONSE_TIMEOUT_S = 5.0  # from a call to the head of its answer: calls wait for their turn, some for 3 s
-# Without a complete list or a keepalive, which is due every 2 s. What an idle watch misses counts as notified
-# after 6 s: of these, 3 are left for the back-off (1.5 s at most) and the next call.
+RESPONSE_TIMEOUT_S = 5.0  # from the start of a call to the headers of its answer
+# Time without a complete list or a keepalive, which discovery sends every 2 s. Discovery counts changes as
+# notified after 6 s: the other 3 s are left for the back-off (at most 1.5 s) and the next call.
 IDLE_TIMEOUT_S = 3.0
 RECEIVE_BUFFER_BYTES = 16384
 
@@ -18,17 +18,20 @@
 
 
 def fetch_endpoints(address: Address) -> AsyncGenerator[EndpointSnapshot | Keepalive, None]:
-    """Call for the complete list: one message, then the end. Errors as in `watch_endpoints`."""
+    """Call discovery for the complete list. Yield one message.
+
+    Raises the same errors as `watch_endpoints`.
+    """
     return _call(address, HOSTS_PATH, is_stream=False)
 
 
 def watch_endpoints(
     address: Address, after_revision: int
 ) -> AsyncGenerator[EndpointSnapshot | Keepalive, None]:
-    """Call for the changes after a revision: messages without an end.
+    """Call discovery for the changes after a revision. Yield messages until the call fails.
 
-    Raises DiscoveryError, OSError or TimeoutError when the call fails. Bytes alone do not keep a call alive:
-    a list that never ends is as good as none.
+    Raises DiscoveryError, OSError or TimeoutError when the call fails. A call is idle until a message is
+    complete: bytes of a list that never ends do not prolong it.
     """
     return _call(address, f"{HOSTS_PATH}?watch=1&after={after_revision}", is_stream=True)
 
@@ -41,22 +44,22 @@
     buffer = memoryview(bytearray(RECEIVE_BUFFER_BYTES))
     with socket.socket(socket.AF_INET, socket.SOCK_STREAM) as sock:
         sock.setblocking(False)
-        deadline = loop.time() + RESPONSE_TIMEOUT_S
-        async with asyncio.timeout_at(deadline):
+        deadline_s = loop.time() + RESPONSE_TIMEOUT_S
+        async with asyncio.timeout_at(deadline_s):
             await loop.sock_connect(sock, address)
             await loop.sock_sendall(sock, _request(address, path))
         while not decoder.is_complete:
-            async with asyncio.timeout_at(deadline):
+            async with asyncio.timeout_at(deadline_s):
                 count = await loop.sock_recv_into(sock, buffer)
             if not count:
-                raise DiscoveryError("discovery closed the call")
+                raise DiscoveryError("discovery closed the connection before the end of its answer")
             has_message = False
             for message in decoder.receive(buffer[:count]):
                 has_message = True
                 if not isinstance(message, ResponseStarted):
                     yield message
             if has_message:
-                deadline = loop.time() + IDLE_TIMEOUT_S
+                deadline_s = loop.time() + IDLE_TIMEOUT_S
 
 
 def _request(address: Address, path: str) -> bytes:
--- a/wheatstile/net/discovery_watcher.py
+++ b/wheatstile/net/discovery_watcher.py
@@ -1,4 +1,4 @@
-"""The watch on discovery's endpoint list, and whom it notifies."""
+"""The watch on discovery's endpoint list, and the interface of its observers."""
 
 import asyncio
 from collections.abc import AsyncGenerator
@@ -18,66 +18,69 @@
 
 
 class EndpointObserver(Protocol):
-    """Whom discovery notifies: alone, or merged with other sources, it makes the list to decide by."""
+    """Turns discovery's messages into the endpoint list in force, alone or merged with other sources."""
 
     def on_update(self, result: EndpointSnapshot, kind: api.EndpointUpdateKind) -> None:
-        """Handle a list, or changes to one."""
+        """Handle a complete list, or changes to the list."""
 
     def on_keepalive(self) -> None:
-        """Nothing has changed."""
+        """Handle a message without a change."""
 
     def on_failure(self) -> None:
-        """Handle the end of a call; the decisions are notified apart from this."""
+        """Handle the end of a call. The watcher itself reports it to the decision module."""
 
 
 class DiscoveryOnlyObserver:
-    """The observer without other sources: discovery's list is the list."""
+    """Observer for a balancer without other sources: discovery's list is in force as it is."""
 
     def __init__(self, decisions: DecisionLoop, upstreams: UpstreamPool) -> None:
         self.decisions = decisions
         self.upstreams = upstreams
 
     def on_update(self, result: EndpointSnapshot, kind: api.EndpointUpdateKind) -> None:
-        """Apply it to the upstreams, then to the decisions."""
+        """Update the upstreams, then the decision module."""
         self.upstreams.update(result.members, kind is not api.EndpointUpdateKind.DELTA)
         self.decisions.dispatch(api.EndpointUpdate(kind, result.endpoints))
 
     def on_keepalive(self) -> None:
-        """Nothing to do."""
+        """Do nothing."""
 
     def on_failure(self) -> None:
-        """Nothing to do."""
+        """Do nothing."""
 
 
 class DiscoveryWatcher:
-    """Owns the watch. Each list goes to the observer, each failure to the decisions as one event."""
+    """Owns the watch. Passes each list to the observer, and reports each failure to the decision module."""
 
     def __init__(self, decisions: DecisionLoop, observer: EndpointObserver, address: Address) -> None:
         self.decisions = decisions
         self.observer = observer
         self.address = address
         self.revision = 0
-        self._is_revision_foreign = False  # it is another discovery's
-        self._is_failure_logged = False  # calls fail, and it has been logged
-        self._is_first_message = True  # nothing has come on this watch yet
+        self._is_revision_foreign = False  # whether the revision is of a discovery at another address
+        self._is_failure_logged = False  # whether a failure was logged since the last message
+        self._is_first_message = True  # whether the current watch has not received a message yet
         self._watch: asyncio.Task[None] | None = None
 
     def on_update(self, result: EndpointSnapshot, kind: api.EndpointUpdateKind) -> None:
-        """Pass a list on, and remember its revision."""
-        # A complete list replaces all that stood, and so does its revision: a discovery may count anew.
+        """Pass a list to the observer, and store its revision.
+
+        A complete list may lower the revision, since a restarted discovery may count from the start.
+        """
         self.revision = result.revision if result.complete else max(self.revision, result.revision)
         self.observer.on_update(result, kind)
 
     def watch(self) -> None:
-        """Watch for changes from now on. A watch that stands does so already, and no second one is opened."""
+        """Start a watch, unless one is running."""
         if self._watch is None or self._watch.done():
             self._watch = asyncio.create_task(self._run())
 
     def follow(self, address: Address) -> None:
-        """Discovery is at another address from now on. The end of the old watch is no failure.
+        """Watch discovery at another address from now on. The end of the old watch is not a failure.
 
-        The list stands meanwhile. Its revision says nothing there, and changes since any other may leave out
-        what the old discovery never sent: so the complete list is fetched before its changes.
+        The current list stays in force meanwhile. Its revision is not valid at the new address, and changes
+        since any revision may lack what the old discovery never sent. So the watcher fetches the complete
+        list before it watches for changes.
         """
         if address == self.address:
             return
@@ -88,16 +91,16 @@
         self.decisions.dispatch(api.EndpointUpdate(api.EndpointUpdateKind.MOVED))
 
     def close(self) -> None:
-        """End the watch."""
+        """Cancel the watch."""
         if self._watch:
             self._watch.cancel()
 
     async def _run(self) -> None:
-        """One watch to its end, which is one failure; when to watch again is decided elsewhere."""
+        """Run one watch to its end and report the failure. The decision module requests the next watch."""
         try:
             await self._fetch_and_watch()
         except (DiscoveryError, OSError, TimeoutError) as error:
-            if not self._is_failure_logged:  # discovery may be out of reach for long, and balancers are many
+            if not self._is_failure_logged:  # one log line for each outage
                 log.warning("endpoint_watch_ended", reason=str(error) or type(error).__name__)
             self._is_failure_logged = True
         except Exception:
@@ -119,21 +122,18 @@
                 self._on_message(message)
 
     def _on_message(self, message: EndpointSnapshot | Keepalive) -> None:
-        snapshot = message if isinstance(message, EndpointSnapshot) and self._is_news(message) else None
+        is_first_message = self._is_first_message
+        self._is_first_message = False
         self._is_failure_logged = False
-        if (
-            self._is_first_message
-        ):  # the watch stands, also where nothing has changed: its back-off starts anew
-            self._is_first_message = False
-            if snapshot is None:
-                self.decisions.dispatch(api.EndpointUpdate(api.EndpointUpdateKind.DELTA))
-        if snapshot is None:
-            self.observer.on_keepalive()
-        elif snapshot.complete:
-            self.on_update(snapshot, api.EndpointUpdateKind.FULL)
-        else:
-            self.on_update(snapshot, api.EndpointUpdateKind.DELTA)
-
-    def _is_news(self, snapshot: EndpointSnapshot) -> bool:
-        """Tell news from changes before the list that stands, which would undo what is known by now."""
+        if isinstance(message, EndpointSnapshot) and self._is_current(message):
+            kind = api.EndpointUpdateKind.FULL if message.complete else api.EndpointUpdateKind.DELTA
+            self.on_update(message, kind)
+            return
+        if is_first_message:
+            # An update without endpoints reports that the watch works, which resets the back-off.
+            self.decisions.dispatch(api.EndpointUpdate(api.EndpointUpdateKind.DELTA))
+        self.observer.on_keepalive()
+
+    def _is_current(self, snapshot: EndpointSnapshot) -> bool:
+        """Return whether to apply a list. Changes before the current revision would undo later ones."""
         return snapshot.complete or snapshot.revision > self.revision
