--- a/tests/net/test_client_connection.py
+++ b/tests/net/test_client_connection.py
@@ -1,4 +1,4 @@
-"""A client's connection: what comes before its session, and how it ends."""
+"""A client's connection: its first line, and how it ends."""
 
 import re
 import select
@@ -9,6 +9,9 @@
 from support.balancer import SETTINGS, SLOW_CONNECT, WITHOUT_HEALTH_CHECKS, Balancer
 from support.peer import TIMEOUT_S
 
+from wheatstile.net.first_line_reader import FIRST_LINE_TIMEOUT_S
+
+MAX_BUFFERED_BYTES = 32 << 20  # more than the kernel's buffers hold
 SHORT_DEADLINE = WITHOUT_HEALTH_CHECKS | {"classes": [SETTINGS["classes"][0] | {"deadlineUs": 1500000}]}
 
 
@@ -20,17 +23,17 @@
 @pytest.mark.parametrize("settings", [SHORT_DEADLINE])
 def test_client_without_a_complete_first_line_is_closed_in_time(balancer: Balancer) -> None:
     balancer.start()
-    begun = time.monotonic()
+    started_s = time.monotonic()
     silent = balancer.client()
-    half = balancer.client()
-    half.sock.sendall(b"OPEN 00000000000")
-    for client in (silent, half):
+    partial = balancer.client()
+    partial.sock.sendall(b"OPEN 00000000000")
+    for client in (silent, partial):
         assert client.line() in ("ERR", "")
-    assert time.monotonic() - begun < 4.0  # 3 s are owed
+    assert time.monotonic() - started_s < 4.0  # the protocol allows 3 s; 1 s for a busy machine
 
 
 @pytest.mark.parametrize("settings", [SHORT_DEADLINE])
-def test_endless_line_is_answered_while_it_comes_and_is_not_read_on(balancer: Balancer) -> None:
+def test_endless_line_gets_an_error_and_is_not_read_further(balancer: Balancer) -> None:
     balancer.start()
     client = balancer.client()
     client.sock.setblocking(False)
@@ -48,14 +51,14 @@
         except BlockingIOError:
             pass
     assert answer == b"ERR\r\n"
-    assert sent < 32 << 20  # what the kernel's buffers hold; to read on would cost CPU
+    assert sent < MAX_BUFFERED_BYTES  # the balancer has not read all of it
 
 
 @pytest.mark.parametrize("settings", [SHORT_DEADLINE])
 def test_huge_wait_is_bounded_by_the_deadline_of_the_class(balancer: Balancer) -> None:
     balancer.start()
     client = balancer.open(1, 999999999)
-    server = balancer.server.accept_session()[0]  # and no answer
+    server = balancer.server.accept_session()[0]  # sends no answer
     assert server.line() == ""
     assert client.line().split()[0] in ("BUSY", "ERR")
     client = balancer.client()
@@ -81,7 +84,7 @@
 
 
 @pytest.mark.parametrize("reset", [False, True])
-def test_client_that_disconnects_as_its_last_line_goes_out(balancer: Balancer, reset: bool) -> None:
+def test_client_that_disconnects_as_its_last_line_is_sent(balancer: Balancer, reset: bool) -> None:
     balancer.start([])
     client = balancer.open(1, wait=200)
     assert re.search("^BUSY", client.line())
@@ -90,16 +93,15 @@
 
 
 def test_request_after_pong_is_served_as_the_timeout_expires(balancer: Balancer) -> None:
-    """Before, a balancer that ended it closed over the unread request: a reset, and no answer."""
     balancer.start()
-    resting = balancer.pinged_client()
+    requesting = balancer.pinged_client()
     silent = balancer.pinged_client()
     with balancer.paused():
-        time.sleep(2.1)  # more than FIRST_LINE_TIMEOUT_S, which is up before it goes on
-        balancer.open(1, client=resting)
+        time.sleep(FIRST_LINE_TIMEOUT_S + 0.1)
+        balancer.open(1, client=requesting)
     server, line = balancer.server.accept_session()
     assert "0000000000000001" in line
     server.send("UP r")
-    assert resting.line() == "UP r"
+    assert requesting.line() == "UP r"
     assert silent.line() == ""
     balancer.check_serving(2)
--- a/tests/net/test_client_floods.py
+++ b/tests/net/test_client_floods.py
@@ -1,11 +1,11 @@
-"""Clients that send much at once."""
+"""Clients that send many lines at once."""
 
 from typing import Any
 
 import pytest
 from support.balancer import SLOW_CONNECT, Balancer
 
-FLOOD = 1000  # lines that a client sends at once
+FLOOD_LINES = 1000
 
 
 @pytest.fixture
@@ -18,22 +18,22 @@
 def test_flood_of_commands_in_one_turn_gets_one_answer_and_is_not_forwarded(
     balancer: Balancer, first: str, command: str
 ) -> None:
-    """A client waits after its first line; whoever sends more has broken the protocol."""
+    """The protocol allows no further line before the answer to the first one."""
     balancer.start()
     client = balancer.client()
     with balancer.paused():
-        client.send(*filter(None, [first]), *[command] * FLOOD)
+        client.send(*filter(None, [first]), *[command] * FLOOD_LINES)
     assert client.lines_to_the_end() == ["ERR"]
     assert balancer.check_serving(2)["attempts_established"] == 1
 
 
 def test_flood_of_commands_during_an_attempt_ends_it(balancer: Balancer) -> None:
-    """The attempt's answer comes in the same turn: one final answer all the same."""
+    """The server's answer arrives in the same turn; the client gets one final answer only."""
     balancer.start()
     client = balancer.open(1)
     server, _ = balancer.server.accept_session()
     with balancer.paused():
-        client.send(*["PING"] * FLOOD)
+        client.send(*["PING"] * FLOOD_LINES)
         server.send("UP r")
     assert client.lines_to_the_end() == ["ERR"]
     assert server.ends()
@@ -41,10 +41,10 @@
 
 
 def test_flood_of_lines_on_an_established_session_is_relayed_in_order(balancer: Balancer) -> None:
-    """Every line once, whole and unchanged, and the answers back, beside another client that is served."""
+    """Every line and every answer arrives once and unchanged, and another client is served meanwhile."""
     balancer.start()
     client, server = balancer.establish(1)
-    lines = [f"PING {number}" for number in range(FLOOD)]
+    lines = [f"PING {number}" for number in range(FLOOD_LINES)]
     with balancer.paused():
         client.send(*lines)
     assert [server.line() for _ in lines] == lines
--- a/tests/net/test_client_listener.py
+++ b/tests/net/test_client_listener.py
@@ -1,4 +1,4 @@
-"""Accepting clients within the bound on descriptors."""
+"""Accepting clients within the limit on descriptors."""
 
 import re
 import resource
@@ -9,15 +9,17 @@
 from support.balancer import SETTINGS, WITHOUT_HEALTH_CHECKS, Balancer
 from support.peer import TIMEOUT_S, Peer
 
+from wheatstile.net.client_listener import MAX_RECENT_IDS
+
 SHORT_DEADLINE = WITHOUT_HEALTH_CHECKS | {"classes": [SETTINGS["classes"][0] | {"deadlineUs": 1500000}]}
 
 
 def try_to_establish(balancer: Balancer, number: int) -> tuple[Peer, Peer] | None:
-    """Establish a session: returns the client's end and the server's; None if the client was rejected."""
+    """Establish a session. Return the client's end and the server's, or None if the client was rejected."""
     client = balancer.open(number)
     while True:
-        ready = [balancer.server.sock, client.sock, *(probe.sock for probe in balancer.server.probes)]
-        if client.sock in select.select(ready, [], [], TIMEOUT_S)[0]:
+        watched = [balancer.server.sock, client.sock, *(peer.sock for peer in balancer.server.probes)]
+        if client.sock in select.select(watched, [], [], TIMEOUT_S)[0]:
             assert re.search("^BUSY [1-9]", client.line())
             return None
         server = balancer.server.accept_session()[0]
@@ -28,10 +30,10 @@
 
 def test_oldest_pending_connections_are_evicted(balancer: Balancer) -> None:
     balancer.start(files=64)
-    crowd = [balancer.client() for _ in range(100)]  # they say nothing, and so hold a descriptor each
+    idle = [balancer.client() for _ in range(100)]  # each holds a descriptor
     balancer.establish(1)
-    assert crowd[0].line() == ""
-    assert select.select([crowd[-1].sock], [], [], 0)[0] == []
+    assert idle[0].line() == ""
+    assert select.select([idle[-1].sock], [], [], 0)[0] == []
 
 
 def test_out_of_descriptors_clients_are_rejected_and_later_served(balancer: Balancer) -> None:
@@ -46,7 +48,7 @@
         pass
 
 
-def test_want_of_descriptors_is_no_failure_of_a_server(balancer: Balancer) -> None:
+def test_running_out_of_descriptors_is_not_reported_as_a_server_failure(balancer: Balancer) -> None:
     balancer.start()
     client = balancer.pinged_client()
     resource.prlimit(balancer.process.pid, resource.RLIMIT_NOFILE, (3, 1024))
@@ -64,17 +66,17 @@
     balancer.start([balancer.member(f"s{number}") for number in range(60)], files=100)
     established = [balancer.establish(number, f"g{number}") for number in range(1, 25)]
     assert len(established) == 24
-    assert len(balancer.server.probes) <= 12  # a tenth, and what is closing
+    assert len(balancer.server.probes) <= 12  # 10, and connections that are being closed
 
 
 @pytest.mark.parametrize("settings", [SHORT_DEADLINE])
-def test_old_session_is_not_lost_to_whoever_repeats_its_id(balancer: Balancer) -> None:
+def test_request_with_an_open_sessions_id_is_rejected_however_old_the_session_is(balancer: Balancer) -> None:
     balancer.start([balancer.member("s1"), balancer.member("s2", phase="draining")])
     client, server = balancer.establish(0)
-    for number in range(1, 4200):  # more than are kept of ids that are over
+    for number in range(1, MAX_RECENT_IDS + 104):
         balancer.open(number, 0).line()
-    thief = balancer.open(0)
-    assert (thief.line(), thief.line()) == ("ERR", "")
+    repeat = balancer.open(0)
+    assert (repeat.line(), repeat.line()) == ("ERR", "")
     balancer.terminate()
     assert (client.line(), client.line()) == ("MOVE", "")
     server.close()
--- a/tests/net/test_discovery_watcher.py
+++ b/tests/net/test_discovery_watcher.py
@@ -1,4 +1,4 @@
-"""Discovery: its watch, its failures, and what its lists change."""
+"""The watch on discovery: its messages, its time-outs, and its failures."""
 
 import json
 import re
@@ -20,14 +20,14 @@
 
 
 @pytest.mark.parametrize("settings", [{}])
-def test_changes_are_followed_and_a_failed_watch_is_requested_anew(balancer: Balancer) -> None:
+def test_changes_are_applied_and_a_failed_watch_is_reopened(balancer: Balancer) -> None:
     balancer.start([balancer.member("s1", host_port="127.0.0.1:1")])
     watch, request = balancer.discovery.watch()
     assert request == "GET /discovery/hosts?watch=1&after=1 HTTP/1.1"
     watch.send("HTTP/1.1 503 Busy", "Content-Length: 0", "")
     watch, _ = balancer.discovery.watch()
     watch.begin_watch()
-    watch.chunk(2, balancer.member("s1"))  # another address
+    watch.chunk(2, balancer.member("s1"))  # at the address of the test's server
     watch.chunk(3, balancer.member("s2", host_port="127.0.0.1:1", phase="draining"))
     watch.send("1", "\n")
     watch.chunk(4, balancer.member("s3", phase="odd"))
@@ -40,7 +40,7 @@
 
 
 @pytest.mark.parametrize("settings", [{}])
-def test_failing_discovery_is_logged_once_until_it_has_answered(balancer: Balancer) -> None:
+def test_failing_discovery_is_logged_once_until_it_answers(balancer: Balancer) -> None:
     balancer.start()
     for _ in range(2):
         watch, _request = balancer.discovery.watch()
@@ -49,18 +49,18 @@
     watch.begin_watch()
     watch.chunk(2, balancer.member("s2"))
     watch.close()
-    balancer.discovery.watch()  # so the third failure is over
+    balancer.discovery.watch()  # the balancer has handled the third failure by now
     assert balancer.stop().count("endpoint_watch_ended") == 2
 
 
 def send_indented(watch: Peer, revision: int, *members: dict[str, Any]) -> None:
-    """Send one list over many lines, each in a chunk of its own, with an empty line in it."""
+    """Send one list over several lines, each in a chunk of its own, with an empty line at the end."""
     document = {"revision": revision, "complete": False, "members": members, "note": 'a "}" in { text'}
     for line in [*json.dumps(document, indent=2).splitlines(), ""]:
         watch.send(f"{len(line) + 1:x}", line + "\n")
 
 
-def test_list_may_be_indented_over_several_lines(balancer: Balancer) -> None:
+def test_list_may_extend_over_several_lines(balancer: Balancer) -> None:
     balancer.start([balancer.member(host_port="127.0.0.1:1")])
     watch, _ = balancer.discovery.watch()
     watch.begin_watch()
@@ -84,26 +84,27 @@
     assert select.select([balancer.server.sock], [], [], 0)[0] == []
 
 
-def test_list_that_never_ends_is_silence(balancer: Balancer) -> None:
+def test_list_without_an_end_does_not_keep_its_watch_open(balancer: Balancer) -> None:
     balancer.start()
     watch, _ = balancer.discovery.watch()
     watch.begin_watch()
-    for _ in range(20):  # a byte each half second keeps no watch alive
-        with suppress(OSError):  # it has been closed, and the next call is on its way
+    for _ in range(20):  # for 10 s, one byte each half second
+        with suppress(OSError):  # the balancer may have closed the watch
             watch.send("1", "{")
         if select.select([balancer.discovery.sock], [], [], 0.5)[0]:
             return
-    pytest.fail("the watch was not opened anew")
+    pytest.fail("the watch was not reopened within 10 s")
 
 
-def test_silent_watch_is_opened_anew_in_time(balancer: Balancer) -> None:
+def test_idle_watch_is_reopened_in_time(balancer: Balancer) -> None:
     balancer.start()
     watch, _ = balancer.discovery.watch()
     watch.begin_watch()
     watch.chunk(2, balancer.member("s2"))
-    fell_silent = time.monotonic()
+    last_message_s = time.monotonic()
     balancer.discovery.watch()
-    assert time.monotonic() - fell_silent < 5.2  # it counts after 6; 4.5 at the latest is built
+    # Discovery counts changes as notified after 6 s. IDLE_TIMEOUT_S and the back-off come to 4.5 s at most.
+    assert time.monotonic() - last_message_s < 5.2
 
 
 def test_watch_without_a_change_resets_the_backoff(balancer: Balancer) -> None:
@@ -115,13 +116,14 @@
     watch.send("1", "\n")
     balancer.wait_for_counter("events_endpoint_update", 5)
     watch.close()
-    broke = time.monotonic()
+    closed_s = time.monotonic()
     balancer.discovery.watch()
-    assert time.monotonic() - broke < 3.0  # 1.5 s at most; the fourth failure's is 4 to 12
+    # The first back-off is 1.5 s at most; that of a fourth failure in a row is 4 to 12 s.
+    assert time.monotonic() - closed_s < 3.0
 
 
 @pytest.mark.parametrize("settings", [PUSHED])
-def test_watch_is_opened_at_once_where_lists_are_pushed(balancer: Balancer) -> None:
+def test_watch_is_opened_at_the_start_where_lists_are_pushed(balancer: Balancer) -> None:
     balancer.start()
     watch, request = balancer.discovery.watch()
     assert "watch=1" in request
--- a/tests/net/test_graceful_shutdown.py
+++ b/tests/net/test_graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""SIGTERM: clients are still served, then migrated, and everybody gets an answer."""
+"""SIGTERM: clients are still served, then migrated, and every client gets an answer."""
 
 import re
 import time
@@ -30,35 +30,35 @@
 @pytest.mark.parametrize("settings", [{}])
 def test_unanswered_clients_are_answered_in_time(balancer: Balancer) -> None:
     balancer.start()
-    standing, _server = balancer.establish(1)
+    established, _server = balancer.establish(1)
     waiting = balancer.open(2)
     attempt = balancer.server.accept_session()[0]
     _silent = balancer.client()
-    terminated_at = time.monotonic()
+    terminated_s = time.monotonic()
     balancer.terminate()
-    assert (standing.line(), standing.line()) == ("MOVE", "")
+    assert (established.line(), established.line()) == ("MOVE", "")
     assert re.search("^BUSY [1-9]", waiting.line())
     assert attempt.line() == ""
-    for client in (standing, waiting):
+    for client in (established, waiting):
         client.close()
     assert balancer.wait() == 0
-    # 3.7 s are promised; neither the longest deadline, of 9 s, nor the silent channel may count.
-    assert time.monotonic() - terminated_at < 7.0
+    # The shutdown may take 3.7 s. Neither the deadline of 9 s nor the silent client may prolong it.
+    assert time.monotonic() - terminated_s < 7.0
 
 
-def test_migration_beside_the_clients_end(balancer: Balancer) -> None:
+def test_client_that_disconnects_as_it_is_migrated_closes_the_upstream_side(balancer: Balancer) -> None:
     balancer.start()
     client, server = balancer.establish()
     balancer.terminate()
     balancer.logged("shutdown_started")
     with balancer.paused():
         client.close()
-        time.sleep(3.2)  # until all are to be moved
+        time.sleep(3.2)  # until the end of the migrations
     assert server.line() == ""
     assert balancer.wait() == 0
 
 
-def test_established_beside_the_shutdown_is_one_answer_and_a_migration(balancer: Balancer) -> None:
+def test_session_established_as_the_shutdown_ends_is_answered_once_and_migrated(balancer: Balancer) -> None:
     balancer.start()
     client = balancer.open()
     server, _ = balancer.server.accept_session()
@@ -66,7 +66,7 @@
     balancer.logged("shutdown_started")
     with balancer.paused():
         server.send("UP r")
-        time.sleep(3.2)  # until whoever is not up is answered
+        time.sleep(3.2)  # until all clients without a session are rejected
     lines = [client.line(), client.line(), client.line()]
     assert lines[0].split()[0] in ("UP", "BUSY")
     assert lines[1:] == (["MOVE", ""] if lines[0] == "UP r" else ["", ""])
@@ -75,15 +75,15 @@
 def test_client_that_has_sent_nothing_is_rejected(balancer: Balancer) -> None:
     balancer.start()
     silent = balancer.client()
-    half = balancer.client()
-    half.sock.sendall(b"OPEN 00000000000")
+    partial = balancer.client()
+    partial.sock.sendall(b"OPEN 00000000000")
     pinging = balancer.pinged_client()
     balancer.terminate()
     balancer.logged("shutdown_started")
-    time.sleep(1.5)  # FIRST_LINE_WITHIN would have ended the first ones
+    time.sleep(1.5)  # the first clients may reach FIRST_LINE_TIMEOUT_S by now
     late = balancer.client()
     assert (late.line(), late.line()) == ("BUSY 1000", "")
-    for client in (silent, half):
+    for client in (silent, partial):
         assert client.line() in ("ERR", "BUSY 1000")
     assert pinging.line() == ""
 
@@ -92,12 +92,12 @@
     balancer.start()
     balancer.terminate()
     balancer.logged("shutdown_started")
-    resting = [balancer.pinged_client() for _ in range(3)]
+    clients = [balancer.pinged_client() for _ in range(3)]
     with balancer.paused():
-        time.sleep(1.9)  # with nobody to move it closes 1.7 s after the signal
-        for number, client in enumerate(resting, 1):
+        time.sleep(1.9)  # without a session to migrate, the listener is closed 1.7 s after the signal
+        for number, client in enumerate(clients, 1):
             balancer.open(number, client=client)
-    for client in resting:
+    for client in clients:
         assert re.search("^BUSY [1-9]", client.line())
     assert balancer.wait() == 0
 
@@ -109,7 +109,7 @@
     with balancer.paused():
         clients = [balancer.open(number) for number in range(1, 21)]
         silent = balancer.client()
-        time.sleep(3.8)  # it stands still through all of its end
+        time.sleep(3.8)  # longer than the whole shutdown
     for client in clients:
         assert re.search("^BUSY [1-9]", client.line())
     assert silent.line() == "BUSY 1000"
--- a/tests/net/test_health_checker.py
+++ b/tests/net/test_health_checker.py
@@ -1,4 +1,4 @@
-"""Health checks: idle connections, repeated checks, answers that nobody asked for."""
+"""Health checks: idle connections, repeated checks, unexpected answers, the time-out."""
 
 from typing import Any
 
@@ -15,7 +15,10 @@
 
 
 def start_with_pending_check(balancer: Balancer) -> tuple[Peer, Peer]:
-    """Return the idle connection on which a health check has come again, and the client that waits for it."""
+    """Start the balancer, and let a second request cause a health check on the idle connection.
+
+    Returns the connection, on which the check waits for its answer, and the client of the second request.
+    """
     balancer.start()
     balancer.establish(1)
     client = balancer.open(2)
@@ -25,7 +28,7 @@
 
 
 def serve_waiting_client(balancer: Balancer, client: Peer) -> dict[str, int]:
-    """Answer the health check anew, and establish the waiting client's session; returns the counters."""
+    """Answer the repeated health check, and establish the waiting client's session. Return the counters."""
     server, line = balancer.server.accept_session()
     assert "0000000000000002" in line
     server.send("UP r")
@@ -34,9 +37,9 @@
 
 
 @pytest.mark.parametrize("reset", [False, True])
-def test_idle_connection_that_ends_as_a_check_goes_out_is_no_failure(balancer: Balancer, reset: bool) -> None:
+def test_idle_connection_that_ends_as_a_check_is_sent_is_no_failure(balancer: Balancer, reset: bool) -> None:
     health_check, client = start_with_pending_check(balancer)
-    health_check.close(reset)  # as if it had been closed before the check came
+    health_check.close(reset)  # the balancer cannot tell whether the server had received the check
     counters = serve_waiting_client(balancer, client)
     assert counters.get("health_checks_repeated") == 1
     assert "health_checks_reset" not in counters
@@ -47,7 +50,7 @@
     assert UpstreamLimits(0.25, 15.0, True, objective_ms, 100).health_check_timeout_s == timeout_s
 
 
-def test_new_connection_that_ends_as_a_check_goes_out_is_a_failure(balancer: Balancer) -> None:
+def test_new_connection_that_ends_as_a_check_is_sent_is_a_failure(balancer: Balancer) -> None:
     health_check, _client = start_with_pending_check(balancer)
     health_check.close()
     new_connection = balancer.server.accept()
@@ -56,7 +59,7 @@
     balancer.wait_for_counter("health_checks_reset", 1)
 
 
-def test_second_answer_is_not_taken_for_the_next(balancer: Balancer) -> None:
+def test_unexpected_second_answer_is_not_taken_for_that_of_the_next_check(balancer: Balancer) -> None:
     health_check, client = start_with_pending_check(balancer)
     health_check.send("PONG x0=0.3", "PONG x0=0.99")
     serve_waiting_client(balancer, client)
--- a/tests/net/test_open_request.py
+++ b/tests/net/test_open_request.py
@@ -1,4 +1,4 @@
-"""The first line of a client, as the running balancer takes it and passes it on."""
+"""The first line of a client: its syntax, and what a server gets of it."""
 
 import pytest
 from support.balancer import Balancer
@@ -18,7 +18,7 @@
     assert 0 < int(wait) <= 8765 // 2, line
 
 
-def test_malformed_open_line_gets_one_error_and_reaches_no_server(balancer: Balancer) -> None:
+def test_malformed_open_line_gets_one_error_and_is_not_forwarded(balancer: Balancer) -> None:
     balancer.start()
     good = "OPEN 0000000000000001 k c=web,d=900,g=a"
     bad = [
@@ -52,7 +52,7 @@
         (b"c=web,g=a,add=7,d=900", b"c=web,g=a,add=7,d=1"),
     ],
 )
-def test_wait_is_replaced_wherever_it_stands(fields: bytes, forwarded: bytes) -> None:
+def test_wait_is_replaced_at_any_position(fields: bytes, forwarded: bytes) -> None:
     request = OpenRequest.parse(b"OPEN 0000000000000001 k " + fields + b"\r\n")
     assert request.wait_ms == 900
     assert request.line_with_wait(1) == b"OPEN 0000000000000001 k " + forwarded + b"\r\n"
--- a/tests/net/test_repeat_window.py
+++ b/tests/net/test_repeat_window.py
@@ -1,4 +1,4 @@
-"""Repeats of requests with an idempotency key, within its window and after it."""
+"""Retries of requests with an idempotency key, within the deduplication window and after it."""
 
 import time
 from typing import Any
@@ -6,8 +6,8 @@
 import pytest
 from support.balancer import SLOW_CONNECT, Balancer, with_class
 
-WINDOW = 3_000_000  # microseconds: longer than the kernel takes to repeat a connection's first packet
-AFTER_THE_WINDOW = 3.2  # seconds
+WINDOW_US = 3_000_000  # longer than the kernel takes to retransmit a connection's first packet
+AFTER_THE_WINDOW_S = 3.2
 
 
 @pytest.fixture
@@ -16,10 +16,10 @@
 
 
 @pytest.mark.parametrize(("scope", "answer"), [("all", "BUSY"), ("zone", "ERR")])
-def test_keyed_request_that_fails_after_its_window_is_not_repeated(
+def test_keyed_request_that_fails_after_its_window_is_not_retried(
     balancer: Balancer, scope: str, answer: str
 ) -> None:
-    """The failure is read once the servers have forgotten the key."""
+    """The balancer reads the failure after the end of the window."""
     balancer.settings = balancer.settings | with_class("dedup", scope, 300_000)
     balancer.start()
     client = balancer.open(1)
@@ -32,28 +32,28 @@
 
 
 @pytest.mark.parametrize(("scope", "answer"), [("all", "BUSY"), ("zone", "ERR")])
-def test_keyed_repeat_that_connects_after_the_window_is_not_sent(
+def test_keyed_retry_that_connects_after_the_window_is_not_sent(
     balancer: Balancer, scope: str, answer: str
 ) -> None:
-    """It was decided on in time; what counts is when its first line would go out."""
-    balancer.settings = balancer.settings | with_class("dedup", scope, WINDOW)
+    """The retry is decided within the window, but its open line would be sent after it."""
+    balancer.settings = balancer.settings | with_class("dedup", scope, WINDOW_US)
     balancer.start()
     client = balancer.open(1)
     first, _ = balancer.server.accept_session()
-    sent = time.monotonic()
+    sent_s = time.monotonic()
     ahead = balancer.server.fill_backlog()
     first.send("ERR")
     balancer.server.wait_for_connect()
     with balancer.paused():
         second = balancer.server.accept_waiting(ahead)
-        time.sleep(max(0.0, sent + AFTER_THE_WINDOW - time.monotonic()))
+        time.sleep(max(0.0, sent_s + AFTER_THE_WINDOW_S - time.monotonic()))
     assert second.line() == ""
     assert [line.split()[0] for line in client.lines_to_the_end()] == [answer]
     assert not balancer.server.has_waiting()
 
 
-def test_keyed_repeat_that_connects_within_the_window_is_sent(balancer: Balancer) -> None:
-    """The same order of events in a window that is not over."""
+def test_keyed_retry_that_connects_within_the_window_is_sent(balancer: Balancer) -> None:
+    """The order of events is the same as above, in a longer window."""
     balancer.settings = balancer.settings | with_class("dedup", "zone", 60_000_000)
     balancer.start()
     client = balancer.open(1)
--- a/tests/net/test_session_relay.py
+++ b/tests/net/test_session_relay.py
@@ -5,6 +5,8 @@
 import pytest
 from support.balancer import SLOW_CONNECT, WITHOUT_HEALTH_CHECKS, Balancer
 
+MAX_BUFFERED_BYTES = 64 << 20  # more than the kernel's buffers hold
+
 
 @pytest.fixture
 def settings() -> dict[str, Any]:
@@ -37,21 +39,21 @@
     assert server.line() == ""
 
 
-def test_client_that_reads_nothing_holds_the_upstream_back_and_loses_no_line(balancer: Balancer) -> None:
+def test_client_that_reads_nothing_slows_its_server_down_and_loses_no_line(balancer: Balancer) -> None:
     balancer.start()
     client, server = balancer.establish()
-    sent = 0
+    sent_bytes = 0
     line = b"x" * 4094 + b"\r\n"
     server.sock.settimeout(1)
     with pytest.raises(TimeoutError):
         while True:
-            sent += server.sock.send(line)
-    assert sent < 64 << 20  # what the kernel's buffers hold, and not the program's memory
-    for _ in range(sent // len(line)):
+            sent_bytes += server.sock.send(line)
+    assert sent_bytes < MAX_BUFFERED_BYTES
+    for _ in range(sent_bytes // len(line)):
         assert client.line() == "x" * 4094
 
 
-def test_no_part_of_a_line_precedes_a_migration(balancer: Balancer) -> None:
+def test_partial_line_does_not_precede_a_migration(balancer: Balancer) -> None:
     balancer.start()
     client, server = balancer.establish()
     server.sock.sendall(b"whole\r\nhalf")
@@ -76,7 +78,7 @@
 def test_no_migration_follows_the_upstreams_final_line(balancer: Balancer, final_line: str) -> None:
     balancer.start()
     client, server = balancer.establish()
-    server.send(final_line)  # and its end does not come
+    server.send(final_line)  # without ending the connection
     assert client.line() == final_line
     balancer.terminate()
     assert client.line() == ""
--- a/tests/net/test_session_reopen.py
+++ b/tests/net/test_session_reopen.py
@@ -1,7 +1,6 @@
 """Sessions that were established before this process started."""
 
 import select
-import socket
 
 import pytest
 from support.balancer import WITHOUT_HEALTH_CHECKS, Balancer
@@ -21,17 +20,9 @@
 @pytest.mark.parametrize("settings", [SHORT_CONNECT])
 def test_session_is_reopened_though_its_server_is_slow_to_accept(balancer: Balancer) -> None:
     balancer.start()
-    balancer.server.sock.listen(0)
-    ahead = []
-    while True:  # until the server's queue is full, and what comes next is dropped without a word
-        ahead.append(socket.socket())
-        ahead[-1].settimeout(0.3)
-        try:
-            ahead[-1].connect(balancer.server.sock.getsockname())
-        except TimeoutError:
-            break
+    ahead = balancer.server.fill_backlog()
     client = balancer.open(3, 4294967, ",at=s1")
-    assert select.select([client.sock], [], [], 0.5)[0] == []  # not given up
+    assert select.select([client.sock], [], [], 0.5)[0] == []  # the balancer has not given up
     for sock in ahead:
         sock.close()
     while not (line := balancer.server.accept().line()):
--- a/tests/net/test_session_setup.py
+++ b/tests/net/test_session_setup.py
@@ -1,4 +1,4 @@
-"""The setup of a session: attempts, their ends, and who leaves or drains meanwhile."""
+"""The setup of a session: its attempts, and clients and servers that leave meanwhile."""
 
 from typing import Any
 
@@ -46,7 +46,7 @@
     balancer.start()
     client = balancer.open(wait=1200)
     first = balancer.server.accept_session()[0]
-    assert first.line() == ""  # given up on, and closed, before its client's time is out
+    assert first.line() == ""  # closed before its client's time is over
     assert client.line().split()[0] in ("BUSY", "ERR")
 
 
@@ -57,7 +57,7 @@
     client = balancer.open(1)
     balancer.server.wait_for_connect()
     with balancer.paused():
-        server = balancer.server.accept_waiting(ahead)  # first it comes up, then the client leaves
+        server = balancer.server.accept_waiting(ahead)  # the connect succeeds before the client leaves
         client.close(reset)
     assert server.line() == ""
     balancer.server.sock.listen(100)
@@ -65,9 +65,9 @@
 
 
 def assert_upstream_ended(server: Peer, reset: bool) -> None:
-    """Expect the server's side to end without a line; by a reset only where the client has reset its own.
+    """Expect the server's side to end without a line, by a reset only if the client has reset its side.
 
-    The balancer may read that reset before what the server has sent, and ends the server's side alike.
+    The balancer may read the client's reset before the server's line, and then resets the server's side.
     """
     try:
         assert server.line() == ""
@@ -90,7 +90,9 @@
 
 
 @pytest.mark.parametrize("reset", [False, True])
-def test_established_beside_the_clients_end_closes_the_upstream_side(balancer: Balancer, reset: bool) -> None:
+def test_session_established_as_its_client_disconnects_closes_the_upstream_side(
+    balancer: Balancer, reset: bool
+) -> None:
     balancer.start()
     client = balancer.open(1)
     server, _ = balancer.server.accept_session()
@@ -104,12 +106,12 @@
 @pytest.mark.parametrize("settings", [SLOW_HEALTH_CHECKS])
 def test_client_that_disconnects_during_a_health_check_is_not_forwarded(balancer: Balancer) -> None:
     balancer.start()
-    balancer.establish(1)  # and so a health_check's connection is there
+    balancer.establish(1)  # opens a connection for health checks
     client = balancer.open(2)
     health_check = balancer.server.probes[0]
     assert health_check.line() == "STATS"
     with balancer.paused():
-        health_check.send("PONG x0=0.3")  # first the answer that sends it on, then its end
+        health_check.send("PONG x0=0.3")  # arrives before the client's end
         client.close()
     assert balancer.check_serving(3)["attempts_established"] == 2
 
@@ -130,13 +132,13 @@
 
 
 @pytest.mark.parametrize("settings", [SLOW_HEALTH_CHECKS])
-def test_server_removed_during_its_health_check_defers_nobody(balancer: Balancer) -> None:
+def test_server_removed_during_its_health_check_does_not_block_requests(balancer: Balancer) -> None:
     balancer.start()
     watch, _ = balancer.discovery.watch()
     watch.begin_watch()
     balancer.establish(1)
     client = balancer.open(2)
-    assert balancer.server.probes[0].line() == "STATS"  # and no answer
+    assert balancer.server.probes[0].line() == "STATS"  # gets no answer
     other = Listener()
     watch.chunk(2, balancer.member("s2", host_port=other.address), complete=True)
     server, line = other.accept_session()
@@ -147,7 +149,7 @@
 
 @pytest.mark.parametrize("drain_grace_us", [250_000, 2_500_000])
 def test_drain_while_connecting_sends_no_open_line(balancer: Balancer, drain_grace_us: int) -> None:
-    """Whatever grace the settings give: what is not begun when the drain comes is not begun at all."""
+    """No request is sent to a draining server, whatever drain grace the settings allow."""
     rules = SETTINGS["rules"] | {"drainGraceUs": drain_grace_us}
     balancer.settings = SLOW_CONNECT | {"rules": rules}
     other = Listener()
--- a/tests/net/test_unresponsive_upstream_detector.py
+++ b/tests/net/test_unresponsive_upstream_detector.py
@@ -1,4 +1,4 @@
-"""Servers that leave a client's lines without answer."""
+"""Servers that do not answer a client's lines."""
 
 from typing import Any
 
@@ -14,5 +14,5 @@
 def test_unresponsive_upstream_migrates_its_client(balancer: Balancer) -> None:
     balancer.start()
     client, _server = balancer.establish()
-    client.send("anyone there?")
+    client.send("a line without an answer")
     assert (client.line(), client.line()) == ("MOVE", "")
--- a/tests/net/test_upstream_attempt.py
+++ b/tests/net/test_upstream_attempt.py
@@ -1,4 +1,4 @@
-"""Attempts whose connect is slow, or whose answer is broken."""
+"""Attempts with a slow connect, or with an incomplete answer."""
 
 import time
 from contextlib import suppress
@@ -16,10 +16,10 @@
 
 @pytest.mark.parametrize("reset", [False, True])
 @pytest.mark.parametrize("part", ["", "U", "UP r", "BUSY", "ERR\r"])
-def test_answer_that_breaks_off_is_a_failed_attempt_and_is_not_relayed(
+def test_incomplete_answer_is_a_failed_attempt_and_is_not_relayed(
     balancer: Balancer, part: str, reset: bool
 ) -> None:
-    """Without its line's end it is no answer; what may be repeated is, on a new connection."""
+    """A line without its end is not an answer. An idempotent request is retried on a new connection."""
     balancer.start()
     client = balancer.open(1)
     first, _ = balancer.server.accept_session()
@@ -34,8 +34,10 @@
 
 
 @pytest.mark.parametrize("part", ["UP r", "BUSY"])
-def test_answer_that_breaks_off_is_not_repeated_where_it_may_have_run(balancer: Balancer, part: str) -> None:
-    """A class that may not be repeated fails: neither a second attempt nor `BUSY`, which invites one."""
+def test_incomplete_answer_is_not_retried_where_the_request_may_have_run(
+    balancer: Balancer, part: str
+) -> None:
+    """A request that is not idempotent fails: no second attempt, and no `BUSY`, which permits a retry."""
     balancer.settings = balancer.settings | with_class("fragile")
     balancer.start()
     client = balancer.open(1)
@@ -46,13 +48,13 @@
     assert not balancer.server.has_waiting()
 
 
-@pytest.mark.parametrize("answer", [b"UP " + b"r" * 100_000, b"UP r"], ids=["a flood", "half a line"])
-def test_answer_without_end_gives_way_to_the_next_attempt(balancer: Balancer, answer: bytes) -> None:
-    """Too long a line fails at once, half a line at the attempt's time; its connection is closed first."""
+@pytest.mark.parametrize("answer", [b"UP " + b"r" * 100_000, b"UP r"], ids=["flood", "partial line"])
+def test_answer_without_an_end_is_closed_before_the_next_attempt(balancer: Balancer, answer: bytes) -> None:
+    """A line that is too long fails at once, a partial line at the attempt's time-out."""
     balancer.start()
     client = balancer.open(1, wait=6000)
     first, _ = balancer.server.accept_session()
-    with suppress(ConnectionError):  # closed while the flood still comes
+    with suppress(ConnectionError):  # the balancer may close the connection during the flood
         first.sock.sendall(answer)
     second, line = balancer.server.accept_session()
     assert line.startswith("OPEN 0000000000000001 ")
@@ -62,7 +64,7 @@
 
 
 def test_endless_line_of_a_server_ends_the_session(balancer: Balancer) -> None:
-    """The line before it is passed on, and no part of the one that never ends."""
+    """The line before it is relayed, and no part of the endless line."""
     balancer.start()
     client, server = balancer.establish(1)
     with suppress(ConnectionError):
@@ -72,30 +74,26 @@
     balancer.check_serving(2)
 
 
-def test_slow_connect_is_used_with_the_remaining_time(
-    balancer: Balancer,
-) -> None:
-    """Where the settings allow so long to connect; the server is told no more than the client's rest."""
+def test_slow_connect_is_used_with_the_remaining_time(balancer: Balancer) -> None:
+    """The open line names no more than the rest of the client's time to wait."""
     balancer.start()
     ahead = balancer.server.fill_backlog()
-    begun = time.monotonic()
+    started_s = time.monotonic()
     client = balancer.open(1, wait=9000)
     balancer.server.wait_for_connect()
     with balancer.paused():
         server = balancer.server.accept_waiting(ahead)
-        time.sleep(max(0.0, begun + 1.5 - time.monotonic()))
+        time.sleep(max(0.0, started_s + 1.5 - time.monotonic()))
     line = server.line()
     assert line.startswith("OPEN 0000000000000001 ")
-    wait = int(line.partition("d=")[2].partition(",")[0])
-    assert 0 < wait <= 9000 - 1500
+    wait_ms = int(line.partition("d=")[2].partition(",")[0])
+    assert 0 < wait_ms <= 9000 - 1500
     server.send("UP r")
     assert client.line() == "UP r"
 
 
-def test_connect_timeout_closes_the_attempt_before_the_next(
-    balancer: Balancer,
-) -> None:
-    """The settings allow 1 s to connect: never two attempts at once, and nothing comes up later."""
+def test_connect_timeout_closes_the_attempt_before_the_next(balancer: Balancer) -> None:
+    """The settings allow 1 s to connect. There are never two attempts at once."""
     balancer.settings = balancer.settings | {"limits": SLOW_CONNECT["limits"] | {"dialTimeoutUs": 1_000_000}}
     balancer.start()
     watch, _ = balancer.discovery.watch()
@@ -110,4 +108,4 @@
     assert not balancer.server.is_connecting()
     server.send("UP r")
     assert client.line() == "UP r"
-    assert len(ahead) > 0  # they filled the queue until here
+    assert len(ahead) > 0  # the connections have kept the backlog full until now
--- a/tests/net/test_upstream_reply.py
+++ b/tests/net/test_upstream_reply.py
@@ -1,4 +1,4 @@
-"""What a server's lines mean."""
+"""The parser for the lines of servers."""
 
 import pytest
 
@@ -17,7 +17,7 @@
         (b"BYE x0=nan,x0=-1,other=1\r\n", Reply(api.AttemptOutcome.OK)),
     ],
 )
-def test_final_reply_is_an_outcome_and_a_report(line: bytes, reply: Reply) -> None:
+def test_final_reply_has_an_outcome_and_a_load_report(line: bytes, reply: Reply) -> None:
     assert parse_final_reply(line) == reply
 
 
@@ -30,5 +30,5 @@
         (b"", Reply(api.AttemptOutcome.RESET)),
     ],
 )
-def test_health_check_reply_is_an_outcome_and_a_load(line: bytes, reply: Reply) -> None:
+def test_health_check_reply_has_an_outcome_and_a_load_report(line: bytes, reply: Reply) -> None:
     assert parse_health_check_reply(line) == reply
