--- a/tests/resolvers/test_worker_thread.py
+++ b/tests/resolvers/test_worker_thread.py
@@ -37,13 +37,13 @@
 
 def test_last_call_runs_after_the_block_and_no_call_is_possible_then() -> None:
     worker = WorkerThread("reader")
-    last_call_ran = threading.Event()
+    last_call_done = threading.Event()
 
     async def check() -> None:
-        with worker.running(last_call=last_call_ran.set):
+        with worker.running(last_call=last_call_done.set):
             await worker.call(lambda: None)
-            assert not last_call_ran.is_set()
-        assert last_call_ran.wait(TIMEOUT_S)
+            assert not last_call_done.is_set()
+        assert last_call_done.wait(TIMEOUT_S)
         with pytest.raises(RuntimeError, match='"reader" is not running'):
             await worker.call(lambda: None)
 
--- a/wheatstile/resolvers/endpoint_file.py
+++ b/wheatstile/resolvers/endpoint_file.py
@@ -64,7 +64,7 @@
 class EndpointFile:
     """A complete endpoint file that keeps to the rules."""
 
-    servers: Mapping[str, ResolvedEndpoint]  # by name
+    servers: Mapping[str, ResolvedEndpoint]  # keyed by name
     sites: tuple[str, ...] | None  # sites that must keep ready servers; None: the file names none
     generation: int | None
     digest: str  # digest that a seal of this file states
--- a/wheatstile/resolvers/endpoint_rows.py
+++ b/wheatstile/resolvers/endpoint_rows.py
@@ -58,7 +58,7 @@
 class ParsedRows:
     """All rows of a file. The endpoints are complete only if there are no violations."""
 
-    endpoints: dict[str, ResolvedEndpoint]  # by name
+    endpoints: dict[str, ResolvedEndpoint]  # keyed by name
     violations: list[Violation]
 
 
--- a/wheatstile/resolvers/last_known_good.py
+++ b/wheatstile/resolvers/last_known_good.py
@@ -23,7 +23,7 @@
 # A stored server has all its keys, so it may be longer than in the endpoint file.
 MAX_SERVER_GROWTH_FACTOR = 2
 
-STATE_WORDS = {state: word for word, state in ENDPOINT_STATES.items()}
+STATE_VALUES = {state: word for word, state in ENDPOINT_STATES.items()}
 
 
 class StoredServer(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
@@ -47,7 +47,7 @@
             address=f"{host}:{port}",
             site=resolved.endpoint.zone,
             weight=resolved.endpoint.weight,
-            state=STATE_WORDS[resolved.endpoint.state],
+            state=STATE_VALUES[resolved.endpoint.state],
             started=resolved.endpoint.started_at_us // MICROSECONDS_PER_MILLISECOND,
         )
 
--- a/wheatstile/resolvers/merge.py
+++ b/wheatstile/resolvers/merge.py
@@ -41,7 +41,7 @@
     """A merged list, and its differences from the previous one."""
 
     selection: SourceSelection
-    endpoints: dict[str, MergedEndpoint]  # by name
+    endpoints: dict[str, MergedEndpoint]  # keyed by name
     changes: list[ResolvedEndpoint]
 
 
