--- a/benchmarks/servers_file.py
+++ b/benchmarks/servers_file.py
@@ -1,8 +1,12 @@
-"""What the watched file of servers costs, on the real program: `python benchmarks/servers_file.py [--quick]`.
+"""Measures a balancer with a watched endpoint file: `python benchmarks/servers_file.py [--quick]`.
 
-Prints the tables of docs/resolvers.md: the time from a rename to the module's being told, the longest stall
-of the loop meanwhile (as PING shows it), memory, what a client's set-up takes while the file is rewritten 50
-times a second, and what becomes of a file that is rewritten in place. Everything runs on loopback.
+Prints the tables of docs/resolvers.md:
+
+- renames: time until the decision module has a new file, how long the event loop is blocked, and memory;
+- set-ups: duration of a client's set-up while the file is replaced 50 times a second;
+- in-place: which contents are accepted of a file that is changed in place.
+
+The program runs as a process, and all connections are on loopback.
 """
 
 import argparse
@@ -13,6 +17,8 @@
 import sys
 import threading
 import time
+from collections.abc import Iterator
+from contextlib import contextmanager, nullcontext
 from dataclasses import dataclass, field
 from multiprocessing.synchronize import Event
 from pathlib import Path
@@ -34,26 +40,29 @@
 from wheatstile.resolvers.atomic_write import write_atomic  # noqa: E402
 from wheatstile.resolvers.canonical_json import digest_of  # noqa: E402
 
-FORK = multiprocessing.get_context("fork")  # a writer that takes no time of this process's
+FORK = multiprocessing.get_context("fork")  # the writer must not use processor time of this process
 FILE_ACCEPTED = "endpoint_file_accepted"
 SECTION = {"file": "servers.json", "mode": "override", "most_removed": 1.0, "most_bytes": 1 << 24}
 
 RENAME_SIZES = (10, 1_000, 20_000)
-LARGE_SIZE = 20_000
+LARGE_SIZE = 20_000  # number of servers with fewer renames
 SET_UP_SIZES = (10, 1_000)
 SET_UP_PHASES = 8
+MIN_RENAME_PAUSE_S = 0.02  # with RENAME_PAUSE_PER_SERVER_S: time for the reader's pause after a poll
+RENAME_PAUSE_PER_SERVER_S = 1e-4
 REWRITE_INTERVAL_S = 0.02
-GENERATION_GAP = 1_000_000
-"""Added after each phase: the writer has counted on its own meanwhile."""
+FLEET_SIZE = 10  # servers that answer the clients
+CLIENT_PAUSE_S = 0.002
+GENERATION_GAP = 1_000_000  # more than the generations that a writer publishes in one phase
 IN_PLACE_SERVERS = 20
 FIRST_GENERATION = 999
 LAST_GENERATION = 99_999
-CARELESS_PAUSE_S = 0.3
-CARELESS_REWRITES = 40
+IN_PLACE_PAUSE_S = 0.3  # longer than the settle time
+PAUSING_REWRITES = 40
 
 
 class TableName(enum.StrEnum):
-    """The tables, as `--only` names them."""
+    """The tables. The values are those of the option `--only`."""
 
     RENAMES = "renames"
     SET_UPS = "set-ups"
@@ -61,12 +70,12 @@
 
 
 def running_balancer(servers_file: bytes) -> MeasuredBalancer:
-    """Return a balancer whose servers come from a watched file with this content; `with` starts it."""
+    """Return a balancer with an endpoint file of this content. `with` starts and ends it."""
     return MeasuredBalancer({"servers": SECTION}, servers_file)
 
 
 def servers_document(servers: int, generation: int, *, sealed: bool = True) -> bytes:
-    """Return a file of so many servers; each generation gives every one of them another weight."""
+    """Return an endpoint file of this many servers. Every weight differs from that in the last generation."""
     rows = [
         {
             "id": f"link-{number}",
@@ -86,18 +95,18 @@
 
 
 def yes_or_no(value: bool) -> str:
-    """Return the word that stands in a table."""
+    """Return the text of a table's cell."""
     return "yes" if value else "no"
 
 
 def print_memory() -> None:
-    """Print what a balancer takes whose operator's file switches nothing on."""
+    """Print the resident memory of a balancer whose operator's file switches nothing on."""
     with MeasuredBalancer({"servers": {}}) as balancer:
         print(f"\nResident with the operator's file and nothing on: {balancer.resident_kb()} kB")
 
 
 def print_renames(rounds: int) -> None:
-    """Print what renames of new files into place cost; every weight changes each time."""
+    """Print a table of renames of new files into place. Each file changes every weight."""
     rows = []
     for servers in RENAME_SIZES:
         for sealed in (True, False):
@@ -105,12 +114,12 @@
             rows.append(measure_renames(servers, count, sealed=sealed))
     headers = ["servers", "sealed", "renames", "p50 ms", "p99 ms", "max ms"]
     headers += ["PING idle max ms", "PING p99 ms", "PING max ms", "resident kB"]
-    print("\nFrom the write before a rename to the module's being told of every server; PING meanwhile\n")
+    print("\nFrom the write before a rename until the module has every server; PING during the renames\n")
     print(tabulate(rows, headers, tablefmt="github", disable_numparse=True))
 
 
 def measure_renames(servers: int, count: int, *, sealed: bool) -> list[object]:
-    """One row: renames, PING while nothing happens, PING meanwhile, and memory."""
+    """Return one row: renames, PING when idle, PING during the renames, and memory."""
     with running_balancer(servers_document(servers, 1, sealed=sealed)) as balancer:
         balancer.logged(UPDATE_DISPATCHED)
         resident_kb = balancer.resident_kb()
@@ -125,7 +134,7 @@
             write_atomic(balancer.servers_file, data)
             balancer.logged(UPDATE_DISPATCHED)
             renames.record_since(started_ns)
-            time.sleep(0.02 + servers * 1e-4)  # the reader rests for three times what a poll has cost it
+            time.sleep(MIN_RENAME_PAUSE_S + servers * RENAME_PAUSE_PER_SERVER_S)
         busy = pings.stop()
     return [
         servers,
@@ -140,65 +149,82 @@
 
 
 def rewrite_until(file: Path, value: JsonObject, ended: Event) -> None:
-    """Rename a new, sealed generation into place 50 times a second."""
+    """Rename a new, sealed generation into place 50 times a second, until the event is set."""
     while not ended.wait(REWRITE_INTERVAL_S):
         value["generation"] += 1
         write_atomic(file, sealed_document(value))
 
 
+@contextmanager
+def rewritten(file: Path, value: JsonObject) -> Iterator[None]:
+    """Let another process rewrite the file until the end of the block."""
+    ended = FORK.Event()
+    writer = FORK.Process(target=rewrite_until, args=(file, value, ended))
+    writer.start()
+    try:
+        yield
+    finally:
+        ended.set()
+        writer.join()
+        value["generation"] += GENERATION_GAP
+
+
 @dataclass
 class SetUpCosts:
-    """Clients' set-ups, and the share of a core that the balancer has used meanwhile."""
+    """The durations of clients' set-ups, and the share of a core that the balancer used during them."""
 
     durations: Durations = field(default_factory=Durations)
     core_share: float = 0.0
 
+    def row(self, servers: int, title: str) -> list[object]:
+        """Return the row of the table for this many servers."""
+        return [servers, title, self.durations.count, *self.durations.summary_ms(), f"{self.core_share:.2f}"]
+
+
+@dataclass
+class SetUpComparison:
+    """The costs without and with a process that rewrites the file."""
+
+    unchanged: SetUpCosts = field(default_factory=SetUpCosts)
+    rewritten: SetUpCosts = field(default_factory=SetUpCosts)
+
 
 def print_set_ups(phase_s: float) -> None:
-    """Print what set-ups cost; phases with and without rewriting take turns in one run."""
-    fleet = Fleet([f"link-{number}" for number in range(10)])
+    """Print a table of set-ups. Phases with and without rewriting alternate in one run."""
+    fleet = Fleet([f"link-{number}" for number in range(FLEET_SIZE)])
     rows = []
     for servers in SET_UP_SIZES:
-        costs = measure_set_ups(fleet, servers, phase_s)
-        for rewriting in (False, True):
-            one = costs[rewriting]
-            title = "50 a second" if rewriting else "none"
-            durations = one.durations
-            rows.append([servers, title, durations.count, *durations.summary_ms(), f"{one.core_share:.2f}"])
+        comparison = measure_set_ups(fleet, servers, phase_s)
+        rows.append(comparison.unchanged.row(servers, "none"))
+        rows.append(comparison.rewritten.row(servers, "50 a second"))
     fleet.close()
     headers = ["servers", "rewriting", "set-ups", "p50 ms", "p99 ms", "max ms", "core used"]
-    print("\nA client's set-up, phases with and without rewriting in turn\n")
+    print("\nA client's set-up; phases with and without rewriting alternate\n")
     print(tabulate(rows, headers, tablefmt="github", disable_numparse=True))
 
 
-def measure_set_ups(fleet: Fleet, servers: int, phase_s: float) -> dict[bool, SetUpCosts]:
-    """Return the costs while nobody rewrites the file (False), and while somebody does (True)."""
+def measure_set_ups(fleet: Fleet, servers: int, phase_s: float) -> SetUpComparison:
+    """Return the costs of set-ups in phases that alternate: the file is unchanged, or rewritten."""
     value = fleet_document(fleet, servers)
-    costs = {False: SetUpCosts(), True: SetUpCosts()}
+    comparison = SetUpComparison()
     with running_balancer(sealed_document(value)) as balancer:
         balancer.logged(UPDATE_DISPATCHED)
         assert balancer.process.stderr
-        # A log that nobody reads stops its writer once the pipe is full.
+        # The balancer would block on its log once the pipe is full.
         threading.Thread(target=balancer.process.stderr.read, daemon=True).start()
         for phase in range(SET_UP_PHASES):
-            rewriting = phase % 2 == 1
-            ended = FORK.Event()
-            writer = FORK.Process(target=rewrite_until, args=(balancer.servers_file, value, ended))
+            is_rewritten = phase % 2 == 1
+            costs = comparison.rewritten if is_rewritten else comparison.unchanged
             used_before_s = balancer.processor_s()
-            if rewriting:
-                writer.start()
-            set_up_clients(balancer, phase, phase_s, costs[rewriting].durations)
-            ended.set()
-            if rewriting:
-                writer.join()
-                value["generation"] += GENERATION_GAP
+            with rewritten(balancer.servers_file, value) if is_rewritten else nullcontext():
+                set_up_clients(balancer, phase, phase_s, costs.durations)
             used_s = balancer.processor_s() - used_before_s
-            costs[rewriting].core_share += used_s / (SET_UP_PHASES / 2 * phase_s)
-    return costs
+            costs.core_share += used_s / (SET_UP_PHASES / 2 * phase_s)
+    return comparison
 
 
 def fleet_document(fleet: Fleet, servers: int) -> JsonObject:
-    """Return a document whose first servers are the fleet's and ready; all others are draining."""
+    """Return a document in which the servers of the fleet are ready, and all others draining."""
     rows = json.loads(servers_document(servers, 1))["servers"]
     for row in rows:
         if row["id"] in fleet.addresses:
@@ -209,7 +235,7 @@
 
 
 def set_up_clients(balancer: MeasuredBalancer, phase: int, duration_s: float, durations: Durations) -> None:
-    """Have one client after another set up a connection and leave, for so long."""
+    """Let one client after another set up a connection and close it, for this time."""
     end_s = time.monotonic() + duration_s
     number = 0
     while time.monotonic() < end_s:
@@ -219,23 +245,23 @@
         assert client.line().startswith("UP")
         durations.record_since(started_ns)
         client.close()
-        time.sleep(0.002)
+        time.sleep(CLIENT_PAUSE_S)
 
 
 def print_in_place(rewrites: int) -> None:
-    """Print what becomes of a file that one writer rewrites in pieces, in place; a careless one rests."""
+    """Print a table of files that a writer changes in place, with and without a pause in the middle."""
     rows = []
     for sealed in (True, False):
         rows.append(measure_in_place(rewrites, 0.0, sealed=sealed))
-        rows.append(measure_in_place(CARELESS_REWRITES, CARELESS_PAUSE_S, sealed=sealed))
-    headers = ["sealed", "rest in the middle s", "rewritings", "lists taken", "of them mixtures"]
-    print("\nA writer in place (settle time 0.2 s); a mixture of two files is a wrong one\n")
+        rows.append(measure_in_place(PAUSING_REWRITES, IN_PLACE_PAUSE_S, sealed=sealed))
+    headers = ["sealed", "pause in the middle s", "rewrites", "files accepted", "mixtures"]
+    print("\nA writer that changes the file in place (settle time 0.2 s); a mixture is an error\n")
     print(tabulate(rows, headers, "github"))
 
 
 def measure_in_place(rewrites: int, pause_s: float, *, sealed: bool) -> list[object]:
-    """One row: so many rewrites with a pause in the middle of each."""
-    # All of one length, so that where two are mixed the mixture parses.
+    """Return one row: this many rewrites, with a pause in the middle of each."""
+    # All documents have the same length, so that a mixture of two is valid JSON.
     documents = [
         servers_document(IN_PLACE_SERVERS, 1000 + number, sealed=sealed) for number in range(rewrites)
     ]
@@ -256,17 +282,17 @@
 
 
 def document_digest(data: bytes) -> str:
-    """Return the digest of a document, which its seal is no part of."""
+    """Return the digest of a document without its seal."""
     return digest_of({key: value for key, value in json.loads(data).items() if key != "seal"})
 
 
 def rewrite_in_pieces(path: Path, documents: list[bytes], pause_s: float) -> None:
-    """Write each document over the last in two pieces, with a pause between them."""
-    chance = random.Random(3)
+    """Overwrite the file with each document, in two pieces with a pause between them."""
+    generator = random.Random(3)
     with open(path, "r+b", buffering=0) as file:
         for data in documents:
             file.seek(0)
-            cut = chance.randint(1, len(data) - 1)
+            cut = generator.randint(1, len(data) - 1)
             file.write(data[:cut])
             if pause_s:
                 time.sleep(pause_s)
@@ -277,7 +303,7 @@
 def main() -> None:
     """Print the tables."""
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--quick", action="store_true", help="fewer rounds, for a look")
+    parser.add_argument("--quick", action="store_true", help="fewer rounds")
     parser.add_argument("--only", choices=tuple(TableName), help="one of the tables")
     options = parser.parse_args()
     wanted = {TableName(options.only)} if options.only else set(TableName)
