--- a/tests/resolvers/test_endpoint_file_reader.py
+++ b/tests/resolvers/test_endpoint_file_reader.py
@@ -46,11 +46,12 @@
 
 @pytest.fixture
 def reader(tmp_path: Path, make_reader: MakeReader) -> EndpointFileReader:
-    """A reader of s.json, which does not exist yet."""
+    """Return a reader of s.json, which does not exist yet."""
     return make_reader(tmp_path / "s.json")
 
 
 def unsealed_text(*names: str) -> str:
+    """Return an endpoint file of these servers without a seal."""
     return json.dumps({"servers": endpoint_rows(*names)})
 
 
--- a/tests/resolvers/test_endpoint_merger.py
+++ b/tests/resolvers/test_endpoint_merger.py
@@ -23,12 +23,13 @@
 
 
 def snapshot(revision: int, complete: bool, *members: dict[str, Any]) -> EndpointSnapshot:
+    """Return a complete list of these servers, or a change of them."""
     return EndpointSnapshot.read({"revision": revision, "complete": complete, "members": members})
 
 
 @pytest.fixture
 def endpoint_folder(tmp_path: Path) -> Path:
-    """A folder with an endpoint file that lists the server s1."""
+    """Return a folder with an endpoint file that lists the server s1."""
     (tmp_path / "s.json").write_bytes(sealed_document({"servers": endpoint_rows("s1")}))
     return tmp_path
 
--- a/tests/support/servers_section.py
+++ b/tests/support/servers_section.py
@@ -32,14 +32,25 @@
         self.discovery_watcher = DiscoveryWatcher(self.decisions, observer, UNUSED_ADDRESS)
         self.decisions.start(self.upstreams, self.discovery_watcher)
         self.section = ServersSection(self.decisions, self.upstreams, self.discovery_watcher)
-        section = {"file": "s.json", "mode": "merge", "recheck_s": 0.1, "most_removed": 1.0}
-        operator = parse("op", json.dumps({"servers": section}).encode())
-        self.section.follow(OperatorFile(folder / "op", operator))
+        self._operator_path = folder / "op"
+        self.follow()
+
+    def follow(self, **changes: object) -> None:
+        """Apply the operator's file with these changes to its `servers` section, as a reload does."""
+        defaults = {"file": "s.json", "mode": "merge", "recheck_s": 0.1, "most_removed": 1.0}
+        operator = parse("op", json.dumps({"servers": defaults | changes}).encode())
+        self.section.follow(OperatorFile(self._operator_path, operator))
 
     def ready(self) -> set[str]:
         """Return the servers that the decision module may pick."""
         return {server.endpoint.name for server in self.decisions.balancer.state.ready}
 
+    async def wait_for_counter(self, name: str) -> None:
+        """Wait until this counter is over 0. Raises TimeoutError after TIMEOUT_S."""
+        async with asyncio.timeout(TIMEOUT_S):
+            while not self.decisions.counters[name]:
+                await asyncio.sleep(POLL_INTERVAL_S)
+
     async def wait_until_ready(self, *names: str) -> None:
         """Wait until exactly these servers are ready. Raises TimeoutError after TIMEOUT_S."""
         async with asyncio.timeout(TIMEOUT_S):
--- a/wheatstile/resolvers/endpoint_publisher.py
+++ b/wheatstile/resolvers/endpoint_publisher.py
@@ -48,7 +48,7 @@
             self._decisions.dispatch(api.EndpointUpdate(api.EndpointUpdateKind.DELTA, endpoints))
         gone = [resolved for resolved in changes if resolved.address is None]
         if gone:
-            self._upstreams.update(gone, False)
+            self._upstreams.update(gone, complete=False)
         log.debug("endpoint_update_dispatched", changed=len(changes), gone=len(gone))
 
     def discard_prepared(self, changes: list[ResolvedEndpoint]) -> None:
@@ -63,9 +63,9 @@
         self._discarded_names.clear()
 
     def _set_addresses(self, changes: Iterable[ResolvedEndpoint]) -> None:
-        self._upstreams.update([resolved for resolved in changes if resolved.address], False)
+        self._upstreams.update([resolved for resolved in changes if resolved.address], complete=False)
 
     def _remove_addresses(self, names: Iterable[str]) -> None:
         """Remove servers that the decision module does not list."""
         gone = [ResolvedEndpoint(api.Endpoint(name, api.EndpointState.GONE), None) for name in names]
-        self._upstreams.update(gone, False)
+        self._upstreams.update(gone, complete=False)
