--- a/benchmarks/descriptions.py
+++ b/benchmarks/descriptions.py
@@ -1,7 +1,8 @@
-"""What descriptions cost: `python benchmarks/descriptions.py [--quick]` prints docs/descriptions.md's tables.
+"""Measures the cost of descriptions: `python benchmarks/descriptions.py [--quick]`.
 
-Loading (read, checked, compiled, in a process of its own), matching against a linear scan and against
-Werkzeug's router, and the longest stall of a running balancer's loop while operations are compiled anew.
+Prints the tables of docs/descriptions.md: the time and memory to read and compile descriptions in a process
+of its own; the time to match one path, compared with a linear scan and with Werkzeug's router; the response
+time of a running balancer while descriptions are compiled.
 """
 
 import argparse
@@ -30,9 +31,11 @@
     "import sys; from wheatstile.descriptions import reader; reader.compile_paths([sys.argv[1]])"
 )
 DESCRIPTIONS_APPLIED = "descriptions_applied"
-MAX_PROCESSOR_S = 1800
-MATCHED_PATHS = 97
-"""About how many paths of a size are matched, spread over its routes."""
+MAX_CPU_TIME_S = 1800
+MATCHED_PATHS = 97  # approximate number of paths that are matched, spread over the routes
+MICROSECONDS_PER_SECOND = 1e6
+BYTES_PER_KB = 1024
+KB_PER_MB = 1024
 ANSWER = "{'200': {description: ok, content: {application/json: {schema: {$ref: '#/components/schemas/t'}}}}}"
 PARAMETERS = "parameters: [{name: id, in: path, required: true, schema: {type: string}}]"
 
@@ -55,7 +58,7 @@
 
 
 def write_description(path: Path, operations: int) -> None:
-    """Write a description with so many operations, each of which refers to a schema."""
+    """Write a description with this number of operations, each of which refers to a schema."""
     lines = ["openapi: 3.1.0", "info: {title: big, version: '1'}", "paths:"]
     for number in range(operations):
         lines.append(f"  {path_template(number)}:")
@@ -67,35 +70,40 @@
 
 
 def print_loading(folder: Path, sizes: Iterable[int]) -> None:
-    """Print what loading costs, in time and in memory."""
+    """Print the time and the memory to load descriptions of these sizes."""
     rows = [measure_loading(folder / f"{size}.yaml", size) for size in sizes]
-    print("\nLoading, the interpreter's start with it\n")
+    print("\nLoading, including the start of the interpreter\n")
     print(tabulate(rows, ["operations", "kB", "s", "peak MB"], "github"))
 
 
 def measure_loading(path: Path, operations: int) -> list[object]:
-    """One row: a description of so many operations, compiled by a process of its own."""
+    """Return one row: the cost to compile a description in a process of its own."""
     write_description(path, operations)
     started_s = time.monotonic()
     process = subprocess.Popen([sys.executable, "-c", COMPILE_PROGRAM, str(path)], cwd=ROOT)
     _, status, usage = os.wait4(process.pid, 0)
     duration_s = time.monotonic() - started_s
     assert status == 0
-    return [operations, path.stat().st_size // 1024, f"{duration_s:.2f}", usage.ru_maxrss // 1024]
+    return [
+        operations,
+        path.stat().st_size // BYTES_PER_KB,
+        f"{duration_s:.2f}",
+        usage.ru_maxrss // KB_PER_MB,
+    ]
 
 
 def mean_us(work: Callable[[], object], duration_s: float) -> float:
-    """Return the mean time of one call in microseconds, over about this duration."""
+    """Return the mean time of one call in microseconds, measured for about this duration."""
     calls = 0
     started_s = time.perf_counter()
     while (elapsed_s := time.perf_counter() - started_s) < duration_s:
         work()
         calls += 1
-    return elapsed_s / calls * 1e6
+    return elapsed_s / calls * MICROSECONDS_PER_SECOND
 
 
 class Routers:
-    """The same routes in our matcher, as a list of regular expressions, and in Werkzeug's router."""
+    """The same routes in our matcher, in a list of regular expressions, and in Werkzeug's router."""
 
     def __init__(self, size: int) -> None:
         numbers = range(size)
@@ -111,10 +119,10 @@
         self._werkzeug: MapAdapter = Map(rules).bind("host")
 
     def costs_us(self, duration_s: float) -> list[float]:
-        """Microseconds of one match: matcher, linear scan, Werkzeug; each measured for so long."""
-        self._match_by_werkzeug()  # it sorts its rules the first time
-        works = (self._match, self._scan, self._match_by_werkzeug)
-        return [mean_us(work, duration_s) / len(self._paths) for work in works]
+        """Return the microseconds of one match by matcher, linear scan and Werkzeug."""
+        self._match_by_werkzeug()  # Werkzeug sorts its rules at the first match
+        candidates = (self._match, self._scan, self._match_by_werkzeug)
+        return [mean_us(candidate, duration_s) / len(self._paths) for candidate in candidates]
 
     def _match(self) -> None:
         for path in self._paths:
@@ -130,7 +138,7 @@
 
 
 def print_matching(duration_s: float) -> None:
-    """Print what one match costs, by the number of routes."""
+    """Print the time of one match, by the number of routes."""
     rows = []
     for size in MATCHING_SIZES:
         matcher_us, scan_us, werkzeug_us = Routers(size).costs_us(duration_s)
@@ -141,7 +149,7 @@
 
 
 def print_reload(operations: int, rounds: int) -> None:
-    """Print what PING takes while the running balancer has its descriptions compiled anew."""
+    """Print the response time of PING while a running balancer has its descriptions compiled."""
     rows = []
     with tempfile.TemporaryDirectory() as folder:
         description = Path(folder) / "api.yaml"
@@ -157,16 +165,16 @@
                 write_description(description, operations + number + 1)
                 balancer.logged(DESCRIPTIONS_APPLIED)
             rows.append(["compiling", *pings.stop().summary_ms()])
-    print(f"\nPING of a running balancer, {operations} operations compiled anew {rounds} times\n")
+    print(f"\nPING of a running balancer, {operations} operations compiled {rounds} times\n")
     print(tabulate(rows, ["", "p50 ms", "p99 ms", "max ms"], "github", disable_numparse=True))
 
 
 def main() -> None:
     """Print the tables."""
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--quick", action="store_true", help="smaller, for a look")
+    parser.add_argument("--quick", action="store_true", help="fewer operations and shorter measurements")
     quick = parser.parse_args().quick
-    resource.setrlimit(resource.RLIMIT_CPU, (MAX_PROCESSOR_S, MAX_PROCESSOR_S))
+    resource.setrlimit(resource.RLIMIT_CPU, (MAX_CPU_TIME_S, MAX_CPU_TIME_S))
     with tempfile.TemporaryDirectory() as folder:
         print_loading(Path(folder), QUICK_LOADING_SIZES if quick else LOADING_SIZES)
     print_matching(0.5 if quick else 2.0)
