--- a/tests/descriptions/test_compile.py
+++ b/tests/descriptions/test_compile.py
@@ -16,8 +16,8 @@
     Operation,
     OperationKind,
     RetrySafety,
-    is_stricter,
 )
+from wheatstile.descriptions.strictness import is_stricter
 from wheatstile.interface import DeduplicationScope, Idempotency
 
 
--- a/tests/descriptions/test_corpus.py
+++ b/tests/descriptions/test_corpus.py
@@ -31,7 +31,7 @@
 
 @pytest.fixture
 def working_folder(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Path:
-    """An empty folder, which is the current folder during the test."""
+    """Return an empty folder, which is the current folder during the test."""
     monkeypatch.chdir(tmp_path)
     return tmp_path
 
--- a/tests/descriptions/test_descriptions_section.py
+++ b/tests/descriptions/test_descriptions_section.py
@@ -30,7 +30,7 @@
 
 @pytest.fixture
 def balancer() -> Iterator[DescribedBalancer]:
-    """A balancer with descriptions, not started yet. It is ended with the test."""
+    """Provide a balancer with descriptions, not started yet. It is ended with the test."""
     balancer = DescribedBalancer()
     try:
         yield balancer
@@ -40,7 +40,7 @@
 
 @pytest.fixture
 def started(balancer: DescribedBalancer) -> DescribedBalancer:
-    """A balancer that was started on the description of one operation, in the class `reads`."""
+    """Return a balancer that was started on the description of one operation, in the class `reads`."""
     balancer.write_description(operation("s", "get", "reads"))
     balancer.start_with_two_zones()
     balancer.logged("descriptions_applied")
@@ -49,7 +49,7 @@
 
 @pytest.fixture
 def changed(started: DescribedBalancer) -> DescribedBalancer:
-    """A balancer whose description was changed to THREE_OPERATIONS after its start."""
+    """Return a balancer whose description was changed to THREE_OPERATIONS after its start."""
     started.write_description(THREE_OPERATIONS)
     started.logged("descriptions_applied")
     return started
--- a/tests/descriptions/test_file_states.py
+++ b/tests/descriptions/test_file_states.py
@@ -16,7 +16,7 @@
 
 @pytest.fixture
 def folder(tmp_path: Path) -> Path:
-    """A folder with a file in it and one in a subfolder."""
+    """Return a folder with a file in it and one in a subfolder."""
     (tmp_path / "parts").mkdir()
     (tmp_path / "a.yaml").write_text("a")
     (tmp_path / "parts" / "b.yaml").write_text("b")
--- a/tests/descriptions/test_keywords.py
+++ b/tests/descriptions/test_keywords.py
@@ -77,7 +77,7 @@
 
 @pytest.fixture
 def folder(tmp_path: Path) -> Path:
-    """A folder with a description, and a second one with a looser and a stricter operation."""
+    """Return a folder with a description and a changed copy of it."""
     (tmp_path / "a.yaml").write_text(DESCRIPTION)
     changed = DESCRIPTION.replace("scope: zone", "scope: cell").replace("get:", "patch:")
     (tmp_path / "b.yaml").write_text(changed)
--- a/wheatstile/cli/description_changes.py
+++ b/wheatstile/cli/description_changes.py
@@ -6,11 +6,14 @@
 
 from wheatstile.descriptions.compile_types import CompiledDescriptions, Route
 from wheatstile.descriptions.keywords import IDEMPOTENCY_KEYWORDS, SCOPE_KEYWORDS
-from wheatstile.descriptions.model import RetrySafety, is_narrower, is_stricter, seconds_text
+from wheatstile.descriptions.model import RetrySafety, seconds_text
+from wheatstile.descriptions.strictness import is_narrower, is_stricter
 from wheatstile.interface import Idempotency
 
 NO_CLASS = "none"
 
+_keyword = IDEMPOTENCY_KEYWORDS.keyword
+
 
 class DescriptionChange(msgspec.Struct):
     """One change as a sentence, and whether it allows retries that were not allowed before."""
@@ -71,7 +74,3 @@
 
 def _class_name(route: Route) -> str:
     return route.service_class or NO_CLASS
-
-
-def _keyword(idempotency: Idempotency) -> str:
-    return IDEMPOTENCY_KEYWORDS.keyword(idempotency)
--- a/wheatstile/cli/descriptions.py
+++ b/wheatstile/cli/descriptions.py
@@ -98,7 +98,7 @@
 def routes(
     paths: tuple[str, ...], operator_file: str | None, config: str | None, as_json: bool
 ) -> ExitStatus:
-    """List every route with its class and whether it may be repeated, and why."""
+    """List every route with its class, whether it may be retried, and why."""
     compiled = _compile(paths, operator_file, config).descriptions
     ordered = sorted(compiled.routes, key=lambda route: (route.template, route.operation.action))
     rows = [RouteRow.from_route(route) for route in ordered]
@@ -113,7 +113,7 @@
 @click.argument("arguments", nargs=-1, required=True, metavar="PATHS... ACTION TEXT")
 @_context_options
 def match(arguments: tuple[str, ...], operator_file: str | None, config: str | None) -> ExitStatus:
-    """Tell which route ACTION TEXT takes (GET /orders/17, receive orders.17), and those it beat."""
+    """Show the route of ACTION TEXT (GET /orders/17, receive orders.17), and less specific ones."""
     if len(arguments) < MIN_MATCH_ARGUMENTS:
         raise click.UsageError("paths, an action and a path or subject are needed")
     *paths, action, text = arguments
@@ -137,7 +137,7 @@
 @_context_options
 @json_option
 def diff(old: str, new: str, operator_file: str | None, config: str | None, as_json: bool) -> ExitStatus:
-    """Tell what NEW changes of OLD; exit status 3 if anything that could not be repeated may be now."""
+    """List the changes from OLD to NEW; exit status 3 if NEW allows more retries."""
     old_descriptions = _compile([old], operator_file, config).descriptions
     new_descriptions = _compile([new], operator_file, config).descriptions
     changes = list(description_changes(old_descriptions, new_descriptions))
@@ -156,7 +156,7 @@
 @_context_options
 @click.option("--out", required=True, metavar="FILE.svg")
 def graph(paths: tuple[str, ...], operator_file: str | None, config: str | None, out: str) -> ExitStatus:
-    """Draw services, routes and classes as a picture."""
+    """Draw a picture of services, routes and classes."""
     from wheatstile.descriptions.graph import draw
 
     compilation = _compile(paths, operator_file, config)
--- a/wheatstile/descriptions/class_compiler.py
+++ b/wheatstile/descriptions/class_compiler.py
@@ -6,9 +6,11 @@
 from wheatstile.descriptions.compile_types import ClassPolicies, ClassPolicy, CompileOptions, Route
 from wheatstile.descriptions.findings import FindingCollector, SourceLocation
 from wheatstile.descriptions.keywords import IDEMPOTENCY_KEYWORDS
-from wheatstile.descriptions.model import IDEMPOTENCY_STRICTNESS, is_stricter, narrower, stricter
+from wheatstile.descriptions.strictness import IDEMPOTENCY_STRICTNESS, is_stricter, narrower, stricter
 from wheatstile.interface import Idempotency
 
+_keyword = IDEMPOTENCY_KEYWORDS.keyword
+
 
 @dataclass(frozen=True, slots=True)
 class ClassCompiler:
@@ -78,11 +80,8 @@
         self.findings.warn(safety.location, reason)
 
 
-def _keyword(idempotency: Idempotency) -> str:
-    return IDEMPOTENCY_KEYWORDS.keyword(idempotency)
-
-
 def _strictness(route: Route) -> tuple[int, SourceLocation]:
+    """Return a key that is greater for stricter routes, and by location among equals."""
     return IDEMPOTENCY_STRICTNESS[route.retry_safety.idempotency], route.operation.location
 
 
--- a/wheatstile/descriptions/model.py
+++ b/wheatstile/descriptions/model.py
@@ -25,47 +25,11 @@
     TIMEOUT_MS = "x-wheatstile-timeout-ms"
 
 
-IDEMPOTENCY_STRICTNESS: Mapping[Idempotency, int] = {
-    Idempotency.IDEMPOTENT: 0,
-    Idempotency.IDEMPOTENCY_KEY: 1,
-    Idempotency.NON_IDEMPOTENT: 2,
-}
-"""Of two statements on one operation or class, the one with the higher number applies."""
-
-SCOPE_NARROWNESS: Mapping[DeduplicationScope, int] = {
-    DeduplicationScope.ALL: 0,
-    DeduplicationScope.ZONE: 1,
-    DeduplicationScope.CELL: 2,
-    DeduplicationScope.UNKNOWN: 3,
-}
-"""Of two deduplication scopes, the one with the higher number applies: fewer servers discard a repeat."""
-
-
 def seconds_text(duration_us: int) -> str:
     """Return a duration as findings and commands show it, such as `2.5 s`."""
     return f"{duration_us / MICROSECONDS_PER_SECOND:g} s"
 
 
-def stricter(first: Idempotency, second: Idempotency) -> Idempotency:
-    """Return the idempotency that allows fewer retries."""
-    return max(first, second, key=IDEMPOTENCY_STRICTNESS.__getitem__)
-
-
-def is_stricter(first: Idempotency, second: Idempotency) -> bool:
-    """Return whether the first idempotency allows fewer retries than the second."""
-    return IDEMPOTENCY_STRICTNESS[first] > IDEMPOTENCY_STRICTNESS[second]
-
-
-def is_narrower(first: DeduplicationScope, second: DeduplicationScope) -> bool:
-    """Return whether fewer servers discard a repeat in the first scope than in the second."""
-    return SCOPE_NARROWNESS[first] > SCOPE_NARROWNESS[second]
-
-
-def narrower(first: DeduplicationScope, second: DeduplicationScope) -> DeduplicationScope:
-    """Return the scope in which fewer servers discard a repeat."""
-    return max(first, second, key=SCOPE_NARROWNESS.__getitem__)
-
-
 @dataclass(frozen=True, slots=True)
 class RetrySafety:
     """Whether an operation may be retried, why, and where that was declared."""
--- a/wheatstile/descriptions/route_compiler.py
+++ b/wheatstile/descriptions/route_compiler.py
@@ -20,10 +20,10 @@
     Operation,
     OperationKind,
     RetrySafety,
-    is_stricter,
     seconds_text,
 )
 from wheatstile.descriptions.routes import RouteSyntaxError, Token, path_tokens, subject_tokens
+from wheatstile.descriptions.strictness import is_stricter
 from wheatstile.interface import Idempotency
 
 
--- a/wheatstile/descriptions/tightening.py
+++ b/wheatstile/descriptions/tightening.py
@@ -3,7 +3,7 @@
 from collections.abc import Mapping
 from dataclasses import replace
 
-from wheatstile.descriptions.model import narrower, stricter
+from wheatstile.descriptions.strictness import narrower, stricter
 from wheatstile.descriptions.worker_protocol import LearnedClass
 from wheatstile.interface import Idempotency, ServiceClass, Settings
 
