--- a/wheatstile/descriptions/document.py
+++ b/wheatstile/descriptions/document.py
@@ -31,7 +31,10 @@
 
 
 def version_of(document: JsonValue, key: str, versions: Iterable[str]) -> str | None:
-    """Return which of the versions (`3.1`) a document's key names (`3.1.0`, `3.1.0-rc1`); None if none."""
+    """Return the version in a document's key without its patch number: `3.1` for `3.1.0` or `3.1.0-rc1`.
+
+    None if it is not one of the versions.
+    """
     version = document.get(key) if isinstance(document, dict) else None
     if not isinstance(version, str):
         return None
--- a/wheatstile/descriptions/graph.py
+++ b/wheatstile/descriptions/graph.py
@@ -15,6 +15,7 @@
 FONT_SIZE = 12
 HEADING_FONT_SIZE = 14
 FIRST_BASELINE = 3 * MARGIN  # baseline of the first row
+VERTICAL_PADDING = 4 * MARGIN  # space above and below the rows, including the headings
 SERVICE_X = MARGIN
 ROUTE_X = 330
 CLASS_X = 980
@@ -61,7 +62,7 @@
 
 def _blank_picture(rows: int) -> drawsvg.Drawing:
     """Return a white picture with column headings and room for these rows."""
-    height = max(1, rows) * ROW_HEIGHT + 4 * MARGIN
+    height = max(1, rows) * ROW_HEIGHT + VERTICAL_PADDING
     picture = drawsvg.Drawing(WIDTH, height, id_prefix="w")
     picture.append(drawsvg.Rectangle(0, 0, WIDTH, height, fill="white"))
     for left, heading in ((SERVICE_X, "service"), (ROUTE_X, "route"), (CLASS_X, "class")):
