--- a/tests/descriptions/test_keywords.py
+++ b/tests/descriptions/test_keywords.py
@@ -33,7 +33,7 @@
 from pathlib import Path
 name = "wheatstile.interface.enumerations"
 source = Path("{root}/wheatstile/interface/enumerations.py").read_text()
-for word in ("safe", "keyed", "unsafe", "all", "zone", "cell", "unknown"):
+for word in ("idempotent", "idempotency_key", "non_idempotent", "all", "zone", "cell", "unknown"):
     assert source.count(f' = "{{word}}"') == 1, word
     source = source.replace(f' = "{{word}}"', f' = "renamed-{{word}}"')
 module = types.ModuleType(name)
@@ -42,7 +42,7 @@
 """
 CHECK_VALUES_ARE_RENAMED = """
 from wheatstile.interface import Idempotency
-assert Idempotency.IDEMPOTENT.value == "renamed-safe"
+assert Idempotency.IDEMPOTENT.value == "renamed-idempotent"
 """
 RUN_COMMANDS = """
 from wheatstile.cli.descriptions import command
--- a/wheatstile/interface/enumerations.py
+++ b/wheatstile/interface/enumerations.py
@@ -19,9 +19,9 @@
 class Idempotency(StrEnum):
     """Whether a request may be sent a second time."""
 
-    IDEMPOTENT = "safe"  # a repeat is harmless
-    IDEMPOTENCY_KEY = "keyed"  # servers of one deduplication scope discard a repeat within a time window
-    NON_IDEMPOTENT = "unsafe"  # a repeat may take effect twice
+    IDEMPOTENT = "idempotent"  # a repeat is harmless
+    IDEMPOTENCY_KEY = "idempotency_key"  # servers of one scope discard a repeat within a time window
+    NON_IDEMPOTENT = "non_idempotent"  # a repeat may take effect twice
 
 
 class DeduplicationScope(StrEnum):
