--- a/tests/store/raft_nodes.py
+++ b/tests/store/raft_nodes.py
@@ -19,6 +19,14 @@
     return RaftNode(name, voters, random.Random(1).randrange, hard_state=hard_state, entries=entries)
 
 
+def make_follower() -> RaftNode:
+    """Returns node `a` of `abc` as a follower of the leader `b` in term 1. Its reply to `b` is discarded."""
+    node = make_node()
+    node.step(Message(MessageKind.APPEND, "b", "a", 1))
+    node.ready()
+    return node
+
+
 def elect(node: RaftNode, voters: str) -> None:
     """Makes `node` the leader of the next term with the votes of `voters`, and discards its messages."""
     term = node.term + 1
--- a/tests/store/test_pending_reads.py
+++ b/tests/store/test_pending_reads.py
@@ -5,19 +5,25 @@
 import asyncio
 
 import pytest
-from raft_nodes import acknowledge_all, make_leader, make_node
+from raft_nodes import acknowledge_all, make_follower, make_leader
 
 from wheatstile.store.errors import NotLeaderError
 from wheatstile.store.pending_reads import PendingReads
 from wheatstile.store.raft.messages import Message, MessageKind
 
 
+async def start_read(reads: PendingReads) -> asyncio.Task[int]:
+    """Returns a task that has requested a read index and waits for it."""
+    read = asyncio.create_task(reads.read_index())
+    await asyncio.sleep(0)
+    return read
+
+
 def test_a_read_ends_with_the_index_that_a_quorum_has_confirmed() -> None:
     async def scenario() -> None:
         leader = make_leader()
         reads = PendingReads(leader, lambda: None)
-        read = asyncio.create_task(reads.read_index())
-        await asyncio.sleep(0)
+        read = await start_read(reads)
         reads.on_ready(leader.ready())
         assert not read.done()
         acknowledge_all(leader, "b")
@@ -29,11 +35,9 @@
 
 def test_a_read_fails_when_its_leader_is_replaced() -> None:
     async def scenario() -> None:
-        node = make_node()
-        node.step(Message(MessageKind.APPEND, "b", "a", 1))
+        node = make_follower()
         reads = PendingReads(node, lambda: None)
-        read = asyncio.create_task(reads.read_index())
-        await asyncio.sleep(0)
+        read = await start_read(reads)
         node.step(Message(MessageKind.APPEND, "c", "a", 2))
         reads.on_ready(node.ready())
         with pytest.raises(NotLeaderError) as caught:
@@ -45,11 +49,9 @@
 
 def test_a_cancelled_read_is_discarded() -> None:
     async def scenario() -> None:
-        node = make_node()
-        node.step(Message(MessageKind.APPEND, "b", "a", 1))
+        node = make_follower()
         reads = PendingReads(node, lambda: None)
-        read = asyncio.create_task(reads.read_index())
-        await asyncio.sleep(0)
+        read = await start_read(reads)
         read.cancel()
         with pytest.raises(asyncio.CancelledError):
             await read
--- a/tests/store/test_proposal_queue.py
+++ b/tests/store/test_proposal_queue.py
@@ -24,6 +24,13 @@
     return ProposalQueue(node, lambda: CLOCK_MS)
 
 
+def propose_command(queue: ProposalQueue) -> asyncio.Future[CommandResult]:
+    """Submits a command and proposes what is due, and returns the future of the command's result."""
+    result = queue.submit(Command())
+    queue.propose_due()
+    return result
+
+
 def test_commands_wait_for_the_previous_group_and_are_proposed_together(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
@@ -33,8 +40,7 @@
         leader = make_leader()
         queue = make_queue(leader)
         first_index = leader.log.last_index + 1
-        queue.submit(Command())
-        queue.propose_due()
+        propose_command(queue)
         for _ in range(3):
             queue.submit(Command())
         queue.propose_due()
@@ -51,8 +57,7 @@
         leader = make_leader()
         queue = make_queue(leader)
         first_index = leader.log.last_index + 1
-        queue.submit(Command())
-        queue.propose_due()
+        propose_command(queue)
         for _ in range(MAX_GROUP_COMMANDS):
             queue.submit(Command())
         queue.propose_due()
@@ -65,8 +70,7 @@
     async def scenario() -> None:
         leader = make_leader()
         queue = make_queue(leader)
-        result = queue.submit(Command())
-        queue.propose_due()
+        result = propose_command(queue)
         entry = leader.log.entries[-1]
         assert msgspec.msgpack.decode(entry.data, type=Command).clock_ms == CLOCK_MS
         queue.on_applied(entry, CommandResult(True, entry.index))
@@ -91,8 +95,7 @@
     async def scenario() -> None:
         leader = make_leader()
         queue = make_queue(leader)
-        result = queue.submit(Command())
-        queue.propose_due()
+        result = propose_command(queue)
         other = Entry(leader.term + 1, leader.log.last_index, EntryKind.NOOP)
         queue.on_applied(other, CommandResult(True, other.index))
         with pytest.raises(NotLeaderError):
@@ -105,8 +108,7 @@
     async def scenario() -> None:
         leader = make_leader()
         queue = make_queue(leader)
-        result = queue.submit(Command())
-        queue.propose_due()
+        result = propose_command(queue)
         queue.on_snapshot_installed(leader.log.last_index)
         with pytest.raises(OutcomeUnknownError, match="covered by a snapshot"):
             await result
--- a/tests/store/test_raft_election.py
+++ b/tests/store/test_raft_election.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import pytest
-from raft_nodes import make_leader, make_node
+from raft_nodes import make_follower, make_leader, make_node
 
 from wheatstile.store.raft.messages import Entry, EntryKind, HardState, Message, MessageKind, Role
 
@@ -41,8 +41,7 @@
 
 @pytest.mark.parametrize(("is_transfer", "term"), [(False, 1), (True, 2)])
 def test_an_active_leader_is_only_replaced_by_transfer(is_transfer: bool, term: int) -> None:
-    node = make_node()
-    node.step(Message(MessageKind.APPEND, "b", "a", 1))
+    node = make_follower()
     node.step(Message(MessageKind.VOTE, "c", "a", 2, is_transfer=is_transfer))
     assert node.term == term
 
--- a/tests/store/test_raft_read_index.py
+++ b/tests/store/test_raft_read_index.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import pytest
-from raft_nodes import acknowledge_all, make_leader, make_node
+from raft_nodes import acknowledge_all, make_follower, make_leader, make_node
 
 from wheatstile.store.errors import NotLeaderError
 from wheatstile.store.raft.messages import Message, MessageKind, ReadState
@@ -19,9 +19,7 @@
 
 
 def test_a_follower_forwards_a_read_to_its_leader() -> None:
-    node = make_node()
-    node.step(Message(MessageKind.APPEND, "b", "a", 1))
-    node.ready()
+    node = make_follower()
     node.read(7)
     (request,) = node.ready().messages
     assert (request.kind, request.recipient, request.context) == (MessageKind.READ, "b", 7)
@@ -30,8 +28,7 @@
 
 
 def test_forwarded_reads_are_rejected_when_the_leader_changes() -> None:
-    node = make_node()
-    node.step(Message(MessageKind.APPEND, "b", "a", 1))
+    node = make_follower()
     node.read(7)
     node.step(Message(MessageKind.APPEND, "c", "a", 2))
     assert node.ready().rejected_reads == [7]
--- a/tests/store/test_raft_transfer.py
+++ b/tests/store/test_raft_transfer.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import pytest
-from raft_nodes import acknowledge_all, make_leader, make_node
+from raft_nodes import acknowledge_all, make_follower, make_leader
 
 from wheatstile.store.errors import MembershipChangeRejectedError, NotLeaderError
 from wheatstile.store.raft.messages import Message, MessageKind, Role
@@ -38,8 +38,7 @@
 
 
 def test_a_timeout_now_message_starts_an_election_at_once() -> None:
-    node = make_node()
-    node.step(Message(MessageKind.APPEND, "b", "a", 1))
+    node = make_follower()
     node.step(Message(MessageKind.TIMEOUT_NOW, "b", "a", 1))
     assert node.role is Role.CANDIDATE
     requests = [message for message in node.ready().messages if message.kind is MessageKind.VOTE]
--- a/tests/store/test_store_server.py
+++ b/tests/store/test_store_server.py
@@ -36,7 +36,7 @@
 async def use_keys_under_faults(
     cluster: ProcessCluster, clients: Sequence[StoreClient], seed: int
 ) -> tuple[Histories, list[str]]:
-    """Returns the histories of concurrent clients, and the faults that were injected meanwhile."""
+    """Runs concurrent clients while faults are injected, and returns their histories and the faults."""
     stopped = asyncio.Event()
     histories: Histories = {key: [] for key in KEYS}
     async with asyncio.TaskGroup() as tasks:
--- a/wheatstile/store/raft/follower.py
+++ b/wheatstile/store/raft/follower.py
@@ -32,7 +32,14 @@
     matching_index = max(message.index + len(message.entries), uncommitted.previous_index)
     log.commit_index = max(log.commit_index, min(message.commit, matching_index))
     _update_confirmed_tick(state, message)
-    _reply_to_append(state, message, index=matching_index, granted=True)
+    _reply(
+        state,
+        message,
+        MessageKind.APPEND_REPLY,
+        index=matching_index,
+        granted=True,
+        sender_tick=state.ticks,
+    )
 
 
 def _skip_committed(log: RaftLog, message: Message) -> UncommittedEntries:
@@ -50,20 +57,35 @@
     # An entry of a later term than the leader's preceding entry cannot match.
     while resume_from > log.commit_index and (log.term_at(resume_from) or 0) > uncommitted.previous_term:
         resume_from -= 1
-    _reply_to_append(state, message, index=uncommitted.previous_index, resume_from=resume_from)
+    _reply(
+        state,
+        message,
+        MessageKind.APPEND_REPLY,
+        index=uncommitted.previous_index,
+        resume_from=resume_from,
+        sender_tick=state.ticks,
+    )
 
 
-def _reply_to_append(
-    state: RaftState, message: Message, *, index: int, granted: bool = False, resume_from: int = 0
+def _reply(
+    state: RaftState,
+    message: Message,
+    kind: MessageKind,
+    *,
+    index: int,
+    granted: bool = False,
+    resume_from: int = 0,
+    sender_tick: int = 0,
 ) -> None:
+    """Replies to the leader's message, with the heartbeat round of that message."""
     state.send(
-        MessageKind.APPEND_REPLY,
+        kind,
         message.sender,
         index=index,
         granted=granted,
         resume_from=resume_from,
         context=message.context,
-        sender_tick=state.ticks,
+        sender_tick=sender_tick,
     )
 
 
@@ -98,24 +120,11 @@
     if chunk.index > state.log.commit_index:
         data = _collect_chunk(state, chunk, message.snapshot_offset)
         if len(data) < message.snapshot_size:
-            _reply_to_snapshot(state, message, index=chunk.index, resume_from=len(data))
+            _reply(state, message, MessageKind.SNAPSHOT_REPLY, index=chunk.index, resume_from=len(data))
             return
         state.log.install(msgspec.structs.replace(chunk, data=bytes(data)))
     state.incoming_snapshot = None
-    _reply_to_snapshot(state, message, index=state.log.commit_index, granted=True)
-
-
-def _reply_to_snapshot(
-    state: RaftState, message: Message, *, index: int, granted: bool = False, resume_from: int = 0
-) -> None:
-    state.send(
-        MessageKind.SNAPSHOT_REPLY,
-        message.sender,
-        index=index,
-        granted=granted,
-        resume_from=resume_from,
-        context=message.context,
-    )
+    _reply(state, message, MessageKind.SNAPSHOT_REPLY, index=state.log.commit_index, granted=True)
 
 
 def _collect_chunk(state: RaftState, chunk: Snapshot, offset: int) -> bytearray:
