--- a/tests/fault_proxy/test_fault_commands.py
+++ b/tests/fault_proxy/test_fault_commands.py
@@ -46,8 +46,8 @@
     assert lines == [
         "line 1: the line must begin with `at SECONDS`",
         "line 2: cut takes 2 arguments, not 0",
-        "line 3: time 'x' is not a number",
-        "line 4: time -1 lies outside 0 to 86400",
+        "line 3: time: 'x' is not a number",
+        "line 4: time: -1 lies outside 0 to 86400",
         "line 5: the line must begin with `at SECONDS`",
     ]
     assert rejection.value.violations == lines
--- a/tests/process/test_restart.py
+++ b/tests/process/test_restart.py
@@ -15,7 +15,7 @@
 from support.balancer import SLOW_CONNECT, Balancer
 from support.peer import TIMEOUT_S, Peer
 
-READY_TIMEOUT_S = 6.0  # from the launch until the balancer answers PING
+READY_TIMEOUT_S = 6.0  # time from the launch until the balancer answers PING
 READY_TIMEOUT_BESIDE_PREDECESSOR_S = 10.0  # while the previous process still uses the address
 RECONNECT_DELAY_S = 0.02
 
--- a/tests/process/test_start.py
+++ b/tests/process/test_start.py
@@ -87,9 +87,9 @@
     """Runs the command of the deploy file. `sitecustomize` blocks the start until the signal is sent."""
     command = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["run"]
     folder = Path(balancer.folder.name)
-    gate = folder / "gate"
-    os.mkfifo(gate)
-    (folder / "sitecustomize.py").write_text(f"open({str(gate)!r}).read()\n")
+    start_fifo = folder / "start_fifo"
+    os.mkfifo(start_fifo)
+    (folder / "sitecustomize.py").write_text(f"open({str(start_fifo)!r}).read()\n")
     balancer.write_config()
     environ = {key: value for key, value in os.environ.items() if not key.startswith("RELAY_")}
     balancer.node = subprocess.Popen(
@@ -100,7 +100,7 @@
         text=True,
     )
 
-    with open(gate, "w"):  # blocks until the interpreter opens it
+    with open(start_fifo, "w"):  # blocks until the interpreter opens it
         balancer.process.send_signal(signal.SIGHUP)
 
     balancer.logged("serving_started")
--- a/wheatstile/cli/fault_proxy.py
+++ b/wheatstile/cli/fault_proxy.py
@@ -34,7 +34,7 @@
     """Relay each ROUTE (SRC:DST:LISTEN:TARGET, on 127.0.0.1) until standard input ends.
 
     Commands, one in each line of standard input: cut A B, isolate A, delay A B SECONDS [JITTER],
-    rate A B BYTES, lose A B SHARE, repeat A B SHARE, reset A B, heal [A B]. `*` stands for all names.
+    rate A B BYTES, lose A B SHARE, repeat A B SHARE, reset A B, heal [A B]. `*` matches all names.
     """
     from wheatstile.fault_proxy.commands import FRAME_COMMANDS, parse_script
     from wheatstile.fault_proxy.errors import CommandError
--- a/wheatstile/config/endpoints.py
+++ b/wheatstile/config/endpoints.py
@@ -7,8 +7,7 @@
 
 from wheatstile import interface as api
 
-# By the value of the key `phase`.
-STATES = {
+STATES = {  # keys: values of `phase`
     "ready": api.EndpointState.READY,
     "draining": api.EndpointState.DRAINING,
     "gone": api.EndpointState.GONE,
--- a/wheatstile/config/operator.py
+++ b/wheatstile/config/operator.py
@@ -24,9 +24,15 @@
 
 
 def _described(description: str, **bounds: Any) -> Meta:
+    """Return the constraints of a field, and its description for the JSON Schema."""
     return Meta(description=description, **bounds)
 
 
+RecheckInterval = Annotated[
+    float, _described("seconds between checks for changes without a notification", ge=0.1, le=3600)
+]
+
+
 class Servers(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """The watched endpoint file. Disabled without `file`."""
 
@@ -46,9 +52,7 @@
     settle_s: Annotated[
         float, _described("seconds that an unsealed file must stay unchanged", ge=0.02, le=60)
     ] = 0.2
-    recheck_s: Annotated[
-        float, _described("seconds between checks for changes without a notification", ge=0.1, le=3600)
-    ] = 5.0
+    recheck_s: RecheckInterval = 5.0
     state_dir: (
         Annotated[str, _described("folder of the last known good list; null disables it", min_length=1)]
         | None
@@ -108,9 +112,7 @@
     settle_s: Annotated[
         float, _described("seconds that changed files must stay unchanged", ge=0.02, le=60)
     ] = 0.5
-    recheck_s: Annotated[
-        float, _described("seconds between checks for changes without a notification", ge=0.1, le=3600)
-    ] = 5.0
+    recheck_s: RecheckInterval = 5.0
 
 
 class Operator(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
--- a/wheatstile/config/settings.py
+++ b/wheatstile/config/settings.py
@@ -10,18 +10,18 @@
 from wheatstile.config.errors import MissingKeyError, SettingsError
 from wheatstile.config.section import Section, checked_list, checked_number
 
-IDEMPOTENCY = {  # by the value of `classes[].repeat`
+IDEMPOTENCY = {  # keys: values of `classes[].repeat`
     "retryable": api.Idempotency.IDEMPOTENT,
     "dedup": api.Idempotency.IDEMPOTENCY_KEY,
     "fragile": api.Idempotency.NON_IDEMPOTENT,
 }
-DEDUPLICATION_SCOPES = {  # by the value of `classes[].dedupScope`
+DEDUPLICATION_SCOPES = {  # keys: values of `classes[].dedupScope`
     "all": api.DeduplicationScope.ALL,
     "zone": api.DeduplicationScope.ZONE,
     "cell": api.DeduplicationScope.CELL,
 }
 DEFAULT_DEDUPLICATION_SCOPE = "all"
-LOAD_METRICS: dict[str, str] = {  # by the values of `telemetry.names`
+LOAD_METRICS: dict[str, str] = {  # keys: values of `telemetry.names`
     "outstanding": api.LoadMetric.IN_FLIGHT.value,
     "backlog": api.LoadMetric.QUEUE_LENGTH.value,
     "utilization": api.LoadMetric.BUSY_SHARE.value,
--- a/wheatstile/fault_proxy/commands.py
+++ b/wheatstile/fault_proxy/commands.py
@@ -1,6 +1,6 @@
 """Parser of the commands of the fault proxy: one command in each line.
 
-A and B are names of processes, as in the routes. `*` stands for all names.
+A and B are names of processes, as in the routes. `*` matches all names.
 
     cut A B                    block the bytes from A to B, in this direction only, until they are healed
     isolate A                  block all bytes from and to A
@@ -163,16 +163,21 @@
     values = []
     first_position = 2 + grammar.names  # word 1 is the command's name, then the process names follow
     for position, (text, allowed) in enumerate(zip(texts, grammar.numbers, strict=False), first_position):
-        try:
-            value = float(text)
-        except ValueError:
-            raise CommandError(f"word {position}: {text!r} is not a number") from None
-        if value not in allowed:
-            raise CommandError(f"word {position}: {value:g} lies outside {allowed}")
-        values.append(value)
+        values.append(_parse_number(text, f"word {position}", allowed))
     return tuple(values)
 
 
+def _parse_number(text: str, location: str, allowed: NumberRange) -> float:
+    """Return the number in this text. Raises CommandError, which names the location."""
+    try:
+        value = float(text)
+    except ValueError:
+        raise CommandError(f"{location}: {text!r} is not a number") from None
+    if value not in allowed:
+        raise CommandError(f"{location}: {value:g} lies outside {allowed}")
+    return value
+
+
 def parse_script(text: str) -> list[ScheduledCommand]:
     """Parse a script, and return its commands sorted by time. Raises ScriptError with every invalid line."""
     scheduled = []
@@ -195,14 +200,5 @@
     if keyword != SCRIPT_TIME_KEYWORD or not arguments:
         raise CommandError("the line must begin with `at SECONDS`")
     time_text, *command = arguments
-    return ScheduledCommand(_parse_script_time(time_text), parse_command(" ".join(command)))
-
-
-def _parse_script_time(text: str) -> float:
-    try:
-        at_s = float(text)
-    except ValueError:
-        raise CommandError(f"time {text!r} is not a number") from None
-    if at_s not in SCRIPT_TIME_RANGE_S:
-        raise CommandError(f"time {at_s:g} lies outside {SCRIPT_TIME_RANGE_S}")
-    return at_s
+    at_s = _parse_number(time_text, "time", SCRIPT_TIME_RANGE_S)
+    return ScheduledCommand(at_s, parse_command(" ".join(command)))
--- a/wheatstile/fault_proxy/delivery.py
+++ b/wheatstile/fault_proxy/delivery.py
@@ -27,7 +27,7 @@
 
 
 class DeliverySchedule:
-    """The schedule of one direction of a connection. Pieces are delivered in order, whatever their delays.
+    """The schedule of one direction of a connection. Pieces are delivered in order, with any delays.
 
     With `frames` set, the pieces are frames, and may be lost or delivered twice. The first frame is always
     delivered once, because it identifies the sender.
--- a/wheatstile/fault_proxy/proxy.py
+++ b/wheatstile/fault_proxy/proxy.py
@@ -37,7 +37,7 @@
     routes: Sequence[Route]
     frames: bool = False  # whether the streams consist of length-prefixed frames
     seed: int = 0  # seeds the draws of loss, duplication and jitter
-    control_port: int | None = None  # on loopback; 0 for any free port, None for no control port
+    control_port: int | None = None  # port on loopback; 0 for any free port, None for no control port
     script: Sequence[ScheduledCommand] = ()
 
 
