--- a/wheatstile/cli/check.py
+++ b/wheatstile/cli/check.py
@@ -1,4 +1,4 @@
-"""`wheatstile check`: the operator's file and all that it names, before the balancer reads any of it."""
+"""`wheatstile check`: checks the operator's file and the files that it names."""
 
 import os
 from dataclasses import dataclass, field
@@ -22,19 +22,20 @@
 
 @dataclass
 class Report:
-    """What is wrong, and what could not be checked."""
+    """The result of the checks."""
 
-    reasons: list[str] = field(default_factory=list)
-    unchecked: list[str] = field(default_factory=list)
+    reasons: list[str] = field(default_factory=list)  # reasons to reject the file
+    unchecked: list[str] = field(default_factory=list)  # checks that were not possible
 
 
 @click.command("check")
 @click.argument("file")
 @platform_config_option
 def command(file: str, config: str | None) -> ExitStatus:
-    """Check the operator's FILE and all that it names, against the platform's settings where they are given.
+    """Check the operator's FILE and the files that it names.
 
-    Exit status 0: it holds; 1: refused, every reason on standard error.
+    They are also checked against the platform's settings, if --config or RELAY_CONFIG names them.
+    Exit status 0: valid; 1: rejected, with all reasons on standard error.
     """
     try:
         operator_file = operator.read(file)
@@ -69,11 +70,7 @@
     section = operator_file.settings.servers
     if not section.file:
         return
-    if section.state_dir:
-        folder = operator_file.near(section.state_dir)
-        if not (folder.is_dir() and os.access(folder, os.W_OK)):
-            reason = f"{folder} is no folder that can be written"
-            report.reasons.append(_located(operator_file, "/servers/state_dir", reason))
+    _check_state_folder(operator_file, report)
     path = operator_file.near(section.file)
     if not path.exists():
         report.reasons.append(_located(operator_file, "/servers/file", f"there is no {path}"))
@@ -87,16 +84,26 @@
         _check_against_platform(path, found, section, platform, report)
 
 
+def _check_state_folder(operator_file: OperatorFile, report: Report) -> None:
+    state_dir = operator_file.settings.servers.state_dir
+    if not state_dir:
+        return
+    folder = operator_file.near(state_dir)
+    if not (folder.is_dir() and os.access(folder, os.W_OK)):
+        reason = f"{folder} is no folder that can be written"
+        report.reasons.append(_located(operator_file, "/servers/state_dir", reason))
+
+
 def _check_against_platform(
     path: Path, found: EndpointFile, section: Servers, platform: Config, report: Report
 ) -> None:
-    """Hold the file of servers against the servers that the platform knows at the start."""
+    """Check the endpoint file against the servers that the platform's file lists."""
     ready = [endpoint for endpoint in platform.known.endpoints if endpoint.state == api.EndpointState.READY]
     sites = tuple(sorted({endpoint.zone for endpoint in ready} - {""}))
-    replaced = (
-        {endpoint.name for endpoint in ready} if MergeMode(section.mode) is MergeMode.OVERRIDE else set()
-    )
-    active = ActiveEndpoints(None, sites, frozenset(replaced))
+    # In the other modes, the endpoint file does not replace the platform's servers at the start.
+    is_override = MergeMode(section.mode) is MergeMode.OVERRIDE
+    replaced = frozenset(endpoint.name for endpoint in ready) if is_override else frozenset()
+    active = ActiveEndpoints(None, sites, replaced)
     for reason in rejection_reasons(found, active, EndpointFileRules.from_settings(section)):
         report.reasons.append(f"{path}:1: /: {reason}")
     own_zone = platform.settings.zone
@@ -124,7 +131,7 @@
 
 
 def _located(operator_file: OperatorFile, pointer: str, reason: str) -> str:
-    """Return a violation of the operator's file that only its surroundings show, with its line."""
+    """Return the line that reports a violation of the operator's file at this JSON pointer."""
     data = Path(operator_file.path).read_bytes()
     text, _ = load(str(operator_file.path), data, len(data))
     violations = locate(text, [Violation(pointer, reason)])
--- a/wheatstile/cli/configuration.py
+++ b/wheatstile/cli/configuration.py
@@ -1,4 +1,4 @@
-"""What commands read of the operator's and the platform's configuration."""
+"""Reads the operator's file and the platform's file for commands, both of which are optional."""
 
 import os
 
@@ -10,12 +10,12 @@
 
 
 def read_operator_file(path: str | None) -> OperatorFile | None:
-    """Return the operator's file at `path`; None without one. Raises ConfigurationError."""
+    """Return the operator's file at `path`, or None without a path. Raises ConfigurationError."""
     return operator.read(path) if path else None
 
 
 def read_servers_section(path: str | None) -> Servers:
-    """Return the `servers` section of the operator's file at `path`, or its defaults without one.
+    """Return the `servers` section of the operator's file at `path`, or its defaults without a path.
 
     Raises ConfigurationError.
     """
@@ -24,7 +24,7 @@
 
 
 def read_platform_config(path: str | None) -> Config | None:
-    """Return the platform's configuration at `path`, else where RELAY_CONFIG says; None without both.
+    """Return the configuration at `path`, or else the one that RELAY_CONFIG names, or None without both.
 
     Raises ConfigError.
     """
--- a/wheatstile/cli/endpoint_changes.py
+++ b/wheatstile/cli/endpoint_changes.py
@@ -1,4 +1,4 @@
-"""The differences between two files of servers, as tables and JSON show them."""
+"""The differences between two endpoint files, as `servers diff` prints them."""
 
 import enum
 from collections.abc import Iterator
@@ -9,11 +9,12 @@
 from wheatstile.resolvers.endpoint_file import EndpointFile
 
 EMPTY_VALUES = ("", 0)
-"""Values of a server that a table leaves out."""
+"""Values of a server that a table does not show."""
+US_PER_MS = 1000
 
 
 class ServerRow(msgspec.Struct):
-    """One server as it is shown; `started` is Unix time in milliseconds."""
+    """One server, with the keys of the endpoint file. `started` is Unix time in milliseconds."""
 
     address: str
     site: str
@@ -23,19 +24,19 @@
 
     @classmethod
     def from_endpoint(cls, resolved: ResolvedEndpoint) -> "ServerRow":
-        """Return the row of a server; its address is empty where it has none."""
+        """Return the row of a server. The address is empty if the server has none."""
         endpoint, address = resolved
         return cls(
             address=f"{address[0]}:{address[1]}" if address else "",
             site=endpoint.zone,
             weight=endpoint.weight,
             state=endpoint.state,
-            started=endpoint.started_at_us // 1000,
+            started=endpoint.started_at_us // US_PER_MS,
         )
 
 
 class ChangeKind(enum.StrEnum):
-    """What became of a server from one file to the next."""
+    """The kind of a difference; the values are printed."""
 
     ADDED = "added"
     REMOVED = "removed"
@@ -43,7 +44,7 @@
 
 
 class ServerChange(msgspec.Struct, omit_defaults=True):
-    """One server that differs; of one that changed, only the values that did."""
+    """The difference in one server. If it is CHANGED, only the values that differ are included."""
 
     id: str
     change: ChangeKind
@@ -52,7 +53,7 @@
 
 
 def server_changes(old: EndpointFile, new: EndpointFile) -> Iterator[ServerChange]:
-    """Every difference, by the servers' names."""
+    """Yield the differences between two files, sorted by the servers' names."""
     for name in sorted(old.servers.keys() | new.servers.keys()):
         before = old.servers.get(name)
         after = new.servers.get(name)
@@ -79,6 +80,6 @@
 
 
 def values_text(values: dict[str, object] | None) -> str:
-    """Return the values as `key=value`, without those that are empty."""
+    """Return the values that are not empty as `key=value`, separated by spaces."""
     shown = [f"{key}={value}" for key, value in (values or {}).items() if value not in EMPTY_VALUES]
     return " ".join(shown)
--- a/wheatstile/cli/endpoint_explanation.py
+++ b/wheatstile/cli/endpoint_explanation.py
@@ -1,4 +1,4 @@
-"""Which list of servers would hold, and why: the balancer's own decision, without a balancer."""
+"""Explains which endpoint list a balancer would use, with the functions that the balancer itself uses."""
 
 from collections.abc import Iterator
 from pathlib import Path
@@ -18,11 +18,14 @@
 
 EXPLANATION_COLUMNS = ("server", "address", "site", "weight", "state", "reason")
 SHOWN_VALUES = len(EXPLANATION_COLUMNS) - 2
-"""How many values of a server's row stand between its name and the reason."""
+"""Number of columns between the server's name and the reason."""
 
 
 class Explanation:
-    """What holds for one file of servers and one answer of discovery, `silent_s` seconds after it."""
+    """The endpoint list that results from an endpoint file and an answer of discovery.
+
+    Discovery has been silent for `silent_s` seconds since that answer.
+    """
 
     def __init__(
         self, file: EndpointFile, discovery: DiscoveryState, section: Servers, silent_s: float
@@ -35,7 +38,7 @@
         self._merged = merge_endpoints(now_us, self.selection, discovery, file.servers, {})
 
     def rows(self) -> Iterator[list[str]]:
-        """Yield EXPLANATION_COLUMNS for each server of the list, then for those that discovery took away."""
+        """Yield EXPLANATION_COLUMNS for each server of the list, then for those that are gone."""
         for name, merged in sorted(self._merged.items()):
             values = msgspec.structs.astuple(ServerRow.from_endpoint(merged.resolved))[:SHOWN_VALUES]
             yield [name, *map(str, values), merged.reason]
@@ -45,7 +48,7 @@
 
 
 def read_discovery_answer(path: str, max_bytes: int) -> DiscoveryState:
-    """Return discovery's state once it has answered with this file's JSON. Raises ConfigurationError."""
+    """Return the state of discovery after the answer in this file. Raises ConfigurationError."""
     data = read_all(Path(path), max_bytes)
     _, value = load(path, data, max_bytes)
     try:
--- a/wheatstile/cli/endpoint_files.py
+++ b/wheatstile/cli/endpoint_files.py
@@ -1,4 +1,4 @@
-"""Files of servers, as the commands read, judge and write them."""
+"""Reads, checks and writes endpoint files for commands."""
 
 import json
 from pathlib import Path
@@ -13,19 +13,19 @@
 from wheatstile.resolvers.update_guard import ActiveEndpoints, evaluate
 
 JsonObject = dict[str, Any]
-"""A JSON object as it was parsed."""
+"""A parsed JSON object."""
 
 SERVERS_KEY = "servers"
 GENERATION_KEY = "generation"
 
 
 def read_endpoint_file(path: str, rules: EndpointFileRules) -> EndpointFile:
-    """Return the file of servers at `path`. Raises ConfigurationError."""
+    """Return the endpoint file at `path`. Raises ConfigurationError."""
     return parse_endpoint_file(path, read_all(Path(path), rules.max_bytes), rules)
 
 
 def read_unsealed(path: str, rules: EndpointFileRules) -> JsonObject:
-    """Return the file's JSON without its seal, once it has been found valid. Raises ConfigurationError."""
+    """Return the JSON of a valid endpoint file, without its seal. Raises ConfigurationError."""
     data = read_all(Path(path), rules.max_bytes)
     parse_endpoint_file(path, data, rules, check_seal=False)
     _, value = load(path, data, rules.max_bytes)
@@ -38,13 +38,13 @@
     rules: EndpointFileRules,
     accepted_digests: frozenset[str] = frozenset(),
 ) -> list[str]:
-    """Why a balancer that has `active` would not take `new`; empty where it would."""
+    """Return the reasons why a balancer with the list `active` would reject `new`; empty if it would not."""
     evaluation = evaluate(new, active, None, accepted_digests, rules)
     return list(evaluation.reasons) if evaluation.is_blocked else []
 
 
 def sealed_text(value: JsonObject) -> bytes:
-    """Return the sealed document with a line for each server, so that a diff of two files is readable."""
+    """Return the sealed document, with one line for each server to make diffs readable."""
     rows = ",\n  ".join(json.dumps(row, ensure_ascii=False) for row in value[SERVERS_KEY])
     members = [f'"{SERVERS_KEY}": [\n  {rows}\n ]']
     for key, element in value.items():
@@ -55,7 +55,7 @@
 
 
 def write_file(path: Path, data: bytes) -> None:
-    """Put `data` in the file's place at once. Raises ConfigurationError where it cannot be written."""
+    """Replace the file atomically. Raises ConfigurationError if it cannot be written."""
     try:
         write_atomic(path, data)
     except OSError as error:
@@ -63,5 +63,5 @@
 
 
 def write_approval(path: Path, digest: str) -> None:
-    """Name the content of the file at `path` as accepted. Raises ConfigurationError."""
+    """Write the approval of the content with this digest of the file at `path`. Raises ConfigurationError."""
     write_file(approval_path(path), json.dumps({"digest": digest}).encode())
--- a/wheatstile/cli/exit_status.py
+++ b/wheatstile/cli/exit_status.py
@@ -6,18 +6,18 @@
 
 
 class ExitStatus(enum.IntEnum):
-    """What a command's exit status says. 2, wrong usage, is click's."""
+    """The exit statuses of the commands, except 2 for wrong usage, which click sets."""
 
     OK = 0
     REJECTED = 1
     """The input or the request was rejected; the reasons are on standard error."""
     LOOSENED = 3
-    """A comparison found something that may be repeated now and could not be before."""
+    """A comparison found a request that may be repeated now, and might not before."""
     OUTCOME_UNKNOWN = 4
-    """A request to the store was not answered: it may or may not have been carried out."""
+    """A request to the store was not answered. It may or may not have been executed."""
 
 
 def reject(reasons: Iterable[str]) -> ExitStatus:
-    """Print the reasons to standard error, one a line; the exit status to return."""
+    """Print the reasons to standard error, one in each line. Return the exit status."""
     print("\n".join(reasons), file=sys.stderr)
     return ExitStatus.REJECTED
--- a/wheatstile/cli/options.py
+++ b/wheatstile/cli/options.py
@@ -2,8 +2,8 @@
 
 import click
 
-json_option = click.option("--json", "as_json", is_flag=True, help="For programs.")
+json_option = click.option("--json", "as_json", is_flag=True, help="Print JSON.")
 
 platform_config_option = click.option(
-    "--config", metavar="FILE", help="The platform's configuration (else RELAY_CONFIG names it)."
+    "--config", metavar="FILE", help="The platform's configuration (default: RELAY_CONFIG)."
 )
--- a/wheatstile/cli/output.py
+++ b/wheatstile/cli/output.py
@@ -1,4 +1,4 @@
-"""What commands print to standard output: tables for people, JSON for programs."""
+"""Output of commands: tables for people, JSON for programs."""
 
 import enum
 import json
@@ -9,17 +9,16 @@
 
 
 class TableStyle(enum.StrEnum):
-    """How a table is drawn; the values are tabulate's names."""
+    """The style of a table; the values are tabulate's names."""
 
     PLAIN = "plain"
-    SIMPLE = "simple"
-    """A line of dashes below the headers."""
+    SIMPLE = "simple"  # has a line of dashes below the headers
 
 
 def print_table(
     rows: Iterable[Sequence[object]], headers: Sequence[str] = (), style: TableStyle = TableStyle.PLAIN
 ) -> None:
-    """Print a table; numbers stand as `str` writes them."""
+    """Print a table. Numbers are converted with `str`."""
     click.echo(tabulate(list(rows), headers, tablefmt=style, disable_numparse=True))
 
 
--- a/wheatstile/cli/schema.py
+++ b/wheatstile/cli/schema.py
@@ -1,14 +1,15 @@
-"""`schema`: the JSON Schema of the operator's file, made from its types."""
+"""`wheatstile schema`: prints the JSON Schema of the operator's file."""
 
 import json
 
 import click
 
+from wheatstile.cli.exit_status import ExitStatus
 from wheatstile.config.operator import schema
 
 
 @click.command("schema")
-def command() -> int:
+def command() -> ExitStatus:
     """Write the JSON Schema of the operator's file to standard output."""
     click.echo(json.dumps(schema(), indent=2))
-    return 0
+    return ExitStatus.OK
--- a/wheatstile/cli/servers.py
+++ b/wheatstile/cli/servers.py
@@ -1,4 +1,4 @@
-"""`wheatstile servers`: files of servers, checked, compared, sealed, published, accepted, explained."""
+"""`wheatstile servers`: checks, compares, seals, publishes, accepts and explains endpoint files."""
 
 from pathlib import Path
 
@@ -26,13 +26,13 @@
 from wheatstile.resolvers.update_guard import ActiveEndpoints
 
 operator_file_option = click.option(
-    "--file", "operator_file", metavar="OPERATOR_FILE", help="The operator's file, for its `servers` section."
+    "--file", "operator_file", metavar="OPERATOR_FILE", help="The operator's file (`servers` section)."
 )
 
 
 @click.group("servers", cls=ConfigurationGroup)
 def command() -> None:
-    """Files of servers: check, compare, seal, publish, accept, explain."""
+    """Check, compare, seal, publish, accept or explain endpoint files."""
 
 
 def _rules(operator_file: str | None) -> EndpointFileRules:
@@ -41,10 +41,10 @@
 
 @command.command()
 @click.argument("file")
-@click.option("--against", metavar="FILE", help="Hold it against this file too, as the list in force.")
+@click.option("--against", metavar="FILE", help="Also check it as a replacement of this file.")
 @operator_file_option
 def check(file: str, against: str | None, operator_file: str | None) -> ExitStatus:
-    """Check FILE, a file of servers."""
+    """Check FILE, an endpoint file."""
     rules = _rules(operator_file)
     found = read_endpoint_file(file, rules)
     if against:
@@ -65,7 +65,7 @@
 @json_option
 @operator_file_option
 def diff(old: str, new: str, as_json: bool, operator_file: str | None) -> ExitStatus:
-    """Tell what NEW changes of OLD: a table for people, or JSON."""
+    """Print the differences between OLD and NEW."""
     rules = _rules(operator_file)
     first = read_endpoint_file(old, rules)
     second = read_endpoint_file(new, rules)
@@ -92,7 +92,7 @@
 @click.argument("file")
 @operator_file_option
 def seal(file: str, operator_file: str | None) -> ExitStatus:
-    """Seal FILE in place, so that a damaged copy of it can be told from a whole one."""
+    """Seal FILE in place, so that a damaged copy can be detected."""
     value = read_unsealed(file, _rules(operator_file))
     write_file(Path(file), sealed_text(value))
     click.echo(f"{file}: sealed, {digest_of(value)}")
@@ -102,17 +102,18 @@
 @command.command()
 @click.argument("new")
 @click.argument("dest")
-@click.option("--bump", is_flag=True, help="Give it the generation after DEST's.")
-@click.option("--accept", "accepted", is_flag=True, help="Also where it takes too many ready servers away.")
+@click.option("--bump", is_flag=True, help="Set the generation to that of DEST plus 1.")
+@click.option("--accept", "accepted", is_flag=True, help="Publish even if it removes too many ready servers.")
 @operator_file_option
 def publish(new: str, dest: str, bump: bool, accepted: bool, operator_file: str | None) -> ExitStatus:
-    """Check NEW, hold it against DEST, seal it, and put it in DEST's place as a whole."""
+    """Check NEW, also as a replacement of DEST, seal it, and replace DEST with it atomically."""
     rules = _rules(operator_file)
     value = read_unsealed(new, rules)
     destination = Path(dest)
     current = read_endpoint_file(dest, rules) if destination.exists() else None
     if bump:
-        value[GENERATION_KEY] = 1 + ((current.generation if current else None) or 0)
+        current_generation = current.generation if current else None
+        value[GENERATION_KEY] = (current_generation or 0) + 1
     data = sealed_text(value)
     published = parse_endpoint_file(new, data, rules)
     if current:
@@ -131,9 +132,9 @@
 @click.argument("file")
 @operator_file_option
 def accept(file: str, operator_file: str | None) -> ExitStatus:
-    """Name FILE's present content as accepted, though it takes too many ready servers away.
+    """Approve the current content of FILE, although it removes too many ready servers.
 
-    A balancer that holds it back takes it then; nothing else is let in by this.
+    Balancers that wait for this approval apply it. The approval is for this content only.
     """
     found = read_endpoint_file(file, _rules(operator_file))
     write_approval(Path(file), found.digest)
@@ -143,11 +144,13 @@
 
 @command.command()
 @click.argument("file")
-@click.option("--discovery", metavar="FILE", required=True, help="What discovery told, in its own JSON.")
-@click.option("--silent-s", type=float, default=0.0, help="For how long discovery has told nothing since.")
+@click.option(
+    "--discovery", metavar="FILE", required=True, help="An answer of discovery, in its JSON format."
+)
+@click.option("--silent-s", type=float, default=0.0, help="Seconds since that answer.")
 @operator_file_option
 def explain(file: str, discovery: str, silent_s: float, operator_file: str | None) -> ExitStatus:
-    """Tell which list would hold, and for each server why it stands in it as it does."""
+    """Print which endpoint list a balancer would use, and why each server is in it as it is."""
     section = read_servers_section(operator_file)
     rules = EndpointFileRules.from_settings(section)
     found = read_endpoint_file(file, rules)
--- a/wheatstile/cli/store.py
+++ b/wheatstile/cli/store.py
@@ -1,6 +1,6 @@
-"""`wheatstile store`: a member of the fleet's replicated store, and what people ask of it.
+"""`wheatstile store`: runs a member of the replicated store, reads and changes keys, and manages members.
 
-The modules `store_*` hold the commands by concern; the one that is called is imported alone.
+The commands are in the modules `store_*`, which are imported only when one of their commands is called.
 """
 
 import click
@@ -25,4 +25,4 @@
 
 @click.group("store", cls=LazyGroup, modules=COMMAND_MODULES)
 def command() -> None:
-    """The fleet's replicated store."""
+    """Run a member of the fleet's replicated store, or talk to its members."""
--- a/wheatstile/cli/store_archive.py
+++ b/wheatstile/cli/store_archive.py
@@ -1,4 +1,4 @@
-"""`wheatstile store backup`, `restore`, `inspect`: the store's state in files."""
+"""`wheatstile store backup`, `restore` and `inspect`: the store's state in files."""
 
 from pathlib import Path
 
@@ -20,7 +20,7 @@
 @click.argument("file", type=click.Path(dir_okay=False, path_type=Path))
 @client_command
 async def backup(client: StoreClient, file: Path) -> ExitStatus:
-    """Writes the whole store, as it stands now, to FILE."""
+    """Write the current state of the whole store to FILE."""
     leader = await client.find_leader()
     if leader is None:
         return reject([NO_LEADER])
@@ -33,10 +33,10 @@
 @click.command()
 @click.argument("file", type=click.Path(exists=True, dir_okay=False, path_type=Path))
 @click.option("--dir", "directory", type=click.Path(file_okay=False, path_type=Path), required=True)
-@click.option("--cluster", required=True, help="The new cluster's name, not the old one's.")
-@click.option("--name", default="store", show_default=True, help="Its one member, to which others are added.")
+@click.option("--cluster", required=True, help="Name of the new cluster; must differ from the old one.")
+@click.option("--name", default="store", show_default=True, help="Name of its first member.")
 def restore(file: Path, directory: Path, cluster: str, name: str) -> ExitStatus:
-    """Makes an empty directory that of the first member of a new cluster with what FILE holds."""
+    """Create the directory of the first member of a new cluster from the backup in FILE."""
     try:
         header = restore_backup(file, directory, cluster, name)
     except (CorruptStorageError, RestoreRejectedError, ValueError, OSError) as error:
@@ -49,7 +49,7 @@
 @click.argument("directory", type=click.Path(exists=True, file_okay=False, path_type=Path))
 @json_option
 def inspect(directory: Path, as_json: bool) -> ExitStatus:
-    """What a member's directory holds; it is not changed, and no member needs to run."""
+    """Print the content of a member's directory, without changing it. The member need not run."""
     try:
         found = msgspec.to_builtins(inspect_directory(directory))
     except (CorruptStorageError, OSError) as error:
--- a/wheatstile/cli/store_client.py
+++ b/wheatstile/cli/store_client.py
@@ -1,4 +1,4 @@
-"""What the store's client commands share: the members' options, and a client for the time of the command."""
+"""The common part of the store's client commands: their options, and the client that they use."""
 
 import asyncio
 import functools
@@ -15,14 +15,14 @@
 
 
 def parse_ports(context: click.Context, option: click.Parameter, texts: tuple[str, ...]) -> dict[str, int]:
-    """Parse the values of an option NAME=PORT, each name once. Raises click.BadParameter."""
+    """Return the ports by name from the values NAME=PORT of an option. Raises click.BadParameter."""
     ports: dict[str, int] = {}
     for text in texts:
         name, _, port = text.partition("=")
         if not name or not port.isdigit() or not 0 < int(port) <= MAX_PORT:
-            raise click.BadParameter(f"{text!r}: NAME=PORT wanted", context, option)
+            raise click.BadParameter(f"{text!r} is not NAME=PORT", context, option)
         if name in ports:
-            raise click.BadParameter(f"{name} stands twice", context, option)
+            raise click.BadParameter(f"{name!r} is given twice", context, option)
         ports[name] = int(port)
     return ports
 
@@ -34,7 +34,7 @@
     required=True,
     metavar="NAME=PORT",
     callback=parse_ports,
-    help="Each member and its port for clients.",
+    help="A member and its port for clients; repeat for each member.",
 )
 timeout_option = click.option(
     "--within",
@@ -42,15 +42,15 @@
     type=click.FloatRange(0.01, 60),
     default=5.0,
     show_default=True,
-    help="Seconds to try for.",
+    help="Timeout in seconds.",
 )
 
 
 def client_command(work: Callable[..., Awaitable[ExitStatus]]) -> Callable[..., ExitStatus]:
-    """Make a command of a coroutine whose first parameter is a client: adds `--member` and `--within`.
+    """Return a command function for a coroutine whose first parameter is a client.
 
-    What the store rejects goes to standard error with status 1; a request that no member answered, with
-    status 4. An interrupt ends the command with status 0.
+    Adds the options `--member` and `--within`. Exit status 1: the store rejected the request; 4: no member
+    answered it. The reason is printed to standard error. An interrupt ends the command with exit status 0.
     """
 
     @members_option
--- a/wheatstile/cli/store_keys.py
+++ b/wheatstile/cli/store_keys.py
@@ -1,4 +1,4 @@
-"""`wheatstile store get`, `put`, `delete`, `watch`: keys of the store."""
+"""`wheatstile store get`, `put`, `delete` and `watch`: reads, changes and watches keys."""
 
 import sys
 from collections.abc import Iterable
@@ -20,7 +20,7 @@
 
 
 class VersionRow(msgspec.Struct):
-    """One version of a key, as `get` prints it."""
+    """One version of a key, as printed by `get`."""
 
     key: str
     revision: int
@@ -29,7 +29,7 @@
 
 
 class EventRow(msgspec.Struct):
-    """One change, as `watch` prints it."""
+    """One change, as printed by `watch`."""
 
     revision: int
     change: str = msgspec.field(name="op")
@@ -44,15 +44,15 @@
 @click.command()
 @click.argument("key")
 @click.option(
-    "--stale", "staleness_s", type=click.FloatRange(0), help="Seconds by which the answer may be behind."
+    "--stale", "staleness_s", type=click.FloatRange(0), help="Maximum staleness of the answer in seconds."
 )
-@click.option("--history", is_flag=True, help="All versions that are kept.")
+@click.option("--history", is_flag=True, help="Print all versions that the store still has.")
 @json_option
 @client_command
 async def get(
     client: StoreClient, key: str, staleness_s: float | None, history: bool, as_json: bool
 ) -> ExitStatus:
-    """Reads KEY, or with `*` and `>` all keys that match; exit status 1 if there is none."""
+    """Print KEY, or all keys that match a pattern with `*` or `>`. Exit status 1 if there is none."""
     staleness_ms = LINEARIZABLE if staleness_s is None else int(staleness_s * 1000)
     kind = _read_kind(key, history)
     reply = await client.request(Request(kind, key=key, max_staleness_ms=staleness_ms))
@@ -78,11 +78,18 @@
 @click.command()
 @click.argument("key")
 @click.argument("value")
-@click.option("--revision", type=int, default=ANY_REVISION, help="The one KEY must be at; 0: none yet.")
-@click.option("--ttl", "ttl_s", type=click.FloatRange(0), default=0.0, help="Seconds to live; 0: for ever.")
+@click.option(
+    "--revision",
+    type=int,
+    default=ANY_REVISION,
+    help="Required current revision of KEY; 0 if it must not exist.",
+)
+@click.option(
+    "--ttl", "ttl_s", type=click.FloatRange(0), default=0.0, help="Time to live in seconds; 0 for no limit."
+)
 @client_command
 async def put(client: StoreClient, key: str, value: str, revision: int, ttl_s: float) -> ExitStatus:
-    """Writes VALUE (`-`: standard input) and prints the revision."""
+    """Set KEY to VALUE (`-` for standard input), and print the new revision."""
     data = sys.stdin.buffer.read() if value == STANDARD_INPUT else value.encode()
     result = await client.put(key, data, revision, int(ttl_s * 1000))
     if not result.ok:
@@ -93,21 +100,21 @@
 
 @click.command()
 @click.argument("key")
-@click.option("--revision", type=int, default=ANY_REVISION, help="The one KEY must be at.")
+@click.option("--revision", type=int, default=ANY_REVISION, help="Required current revision of KEY.")
 @client_command
 async def delete(client: StoreClient, key: str, revision: int) -> ExitStatus:
-    """Deletes KEY."""
+    """Delete KEY."""
     result = await client.delete(key, revision)
     return ExitStatus.OK if result.ok else reject([result.reason])
 
 
 @click.command()
 @click.argument("pattern", default=">")
-@click.option("--after", type=int, help="Events after this revision; without it, after what stands now.")
+@click.option("--after", type=int, help="Start after this revision (default: the current one).")
 @json_option
 @client_command
 async def watch(client: StoreClient, pattern: str, after: int | None, as_json: bool) -> ExitStatus:
-    """Prints changes of matching keys, none left out, until it is ended."""
+    """Print every change of the matching keys until interrupted."""
     if after is None:
         after = (await client.list_matching(pattern)).revision
     async for event in client.watch(pattern, after):
--- a/wheatstile/cli/store_members.py
+++ b/wheatstile/cli/store_members.py
@@ -1,4 +1,4 @@
-"""`wheatstile store status`, `add`, `remove`, `transfer`: the members of the store."""
+"""`wheatstile store status`, `add`, `remove` and `transfer`: the members of the store."""
 
 from collections.abc import Callable
 
@@ -23,7 +23,7 @@
 @json_option
 @client_command
 async def status(client: StoreClient, as_json: bool) -> ExitStatus:
-    """What each member says of itself; exit status 1 if one cannot be reached."""
+    """Print the status that each member reports. Exit status 1 if one cannot be reached."""
     statuses = await client.statuses()
     rows = [_status_row(name, found) for name, found in statuses.items()]
     if as_json:
@@ -36,14 +36,14 @@
 
 
 def _status_row(name: str, found: MemberStatus | str) -> dict[str, object]:
-    """Return a member's status by column, or why it was not reached."""
+    """Return the columns of a member's row. `found` is its status, or the reason why it was not reached."""
     if isinstance(found, str):
         return {"name": name, "role": f"not reached: {found}"}
     return dict(msgspec.to_builtins(found))
 
 
 async def _change_members(client: StoreClient, change: Callable[[set[str], set[str]], None]) -> ExitStatus:
-    """Apply `change` to the voters and learners that the leader has now, and print what they are then."""
+    """Apply `change` to the leader's current voters and learners, and print the result."""
     leader = await client.find_leader()
     if leader is None:
         return reject([NO_LEADER])
@@ -57,11 +57,11 @@
 
 @click.command()
 @click.argument("name")
-@click.option("--peer-port", type=int, required=True, help="Where the others reach it.")
-@click.option("--learner", is_flag=True, help="Is sent the log, and has no vote.")
+@click.option("--peer-port", type=int, required=True, help="Its port for the other members.")
+@click.option("--learner", is_flag=True, help="Add it without a vote.")
 @client_command
 async def add(client: StoreClient, name: str, peer_port: int, learner: bool) -> ExitStatus:
-    """Adds NAME (started with --join) as a learner, and as a voter unless --learner."""
+    """Add NAME, which was started with --join, as a learner, and then as a voter unless --learner is set."""
 
     def add_learner(_voters: set[str], learners: set[str]) -> None:
         learners.add(name)
@@ -70,7 +70,7 @@
         voters.add(name)
 
     await client.put(f"{ADDRESS_KEY_PREFIX}/{name}", str(peer_port).encode())
-    # As a learner first: a voter without a log would count against a majority until it has one.
+    # The member receives the log as a learner: a voter without a log would count against the majority.
     exit_status = await _change_members(client, add_learner)
     if learner or exit_status is not ExitStatus.OK:
         return exit_status
@@ -81,7 +81,7 @@
 @click.argument("name")
 @client_command
 async def remove(client: StoreClient, name: str) -> ExitStatus:
-    """Removes NAME, voter or learner."""
+    """Remove NAME, which may be a voter or a learner."""
 
     def remove_member(voters: set[str], learners: set[str]) -> None:
         voters.discard(name)
@@ -94,6 +94,6 @@
 @click.argument("name")
 @client_command
 async def transfer(client: StoreClient, name: str) -> ExitStatus:
-    """Hands leadership to NAME."""
+    """Transfer the leadership to NAME."""
     await client.transfer_leadership(name)
     return ExitStatus.OK
--- a/wheatstile/cli/store_server.py
+++ b/wheatstile/cli/store_server.py
@@ -1,4 +1,4 @@
-"""`wheatstile store serve`: one member of the store."""
+"""`wheatstile store serve`: runs one member of the store."""
 
 from pathlib import Path
 
@@ -18,22 +18,24 @@
     multiple=True,
     metavar="NAME=PORT",
     callback=parse_ports,
-    help="Another member and its port for peers.",
+    help="Another member and its port for peers; repeat for each.",
 )
-@click.option("--join", is_flag=True, help="Begin as nobody's voter, to be added by `store add`.")
-@click.option("--listen", "peer_port", type=int, default=0, help="Port for peers (0: any).")
-@click.option("--client", "client_port", type=int, default=0, help="Port for clients (0: any).")
+@click.option("--join", is_flag=True, help="Start without a vote, to be added by `store add`.")
+@click.option("--listen", "peer_port", type=int, default=0, help="Port for peers (0: any free port).")
+@click.option("--client", "client_port", type=int, default=0, help="Port for clients (0: any free port).")
 @click.option("--dir", "directory", type=click.Path(file_okay=False, path_type=Path), required=True)
-@click.option("--cluster", default="wheatstile", show_default=True, help="Members of another are refused.")
-@click.option("--seed", type=int, default=0, help="Seeds the draw of election time-outs.")
+@click.option(
+    "--cluster", default="wheatstile", show_default=True, help="Members of another cluster are rejected."
+)
+@click.option("--seed", type=int, default=0, help="Seeds the election timeouts.")
 @click.option(
     "--compact-every",
     type=click.IntRange(10),
     default=5000,
     show_default=True,
-    help="Entries after which the log becomes a snapshot.",
+    help="Log entries between snapshots.",
 )
-@click.option("--trace", is_flag=True, help="Print each role and each applied entry.")
+@click.option("--trace", is_flag=True, help="Print each change of role and each applied entry.")
 def serve(
     name: str,
     peers: dict[str, int],
@@ -46,7 +48,7 @@
     compact_every: int,
     trace: bool,
 ) -> int:
-    """Serves one member until SIGTERM; prints `ready NAME PEER_PORT CLIENT_PORT` first."""
+    """Run one member until SIGTERM. Prints `ready NAME PEER_PORT CLIENT_PORT` once it serves."""
     if name in peers:
         return reject([f"--peer {name}: that is this member's own name"])
     voters = frozenset() if join else frozenset({name, *peers})
