--- a/wheatstile/cli/configuration.py
+++ b/wheatstile/cli/configuration.py
@@ -4,9 +4,7 @@
 
 from wheatstile.config import operator
 from wheatstile.config.operator import OperatorFile, Servers
-from wheatstile.config.platform import Config
-
-PLATFORM_CONFIG_VARIABLE = "RELAY_CONFIG"
+from wheatstile.config.platform import CONFIG_VARIABLE, Config
 
 
 def read_operator_file(path: str | None) -> OperatorFile | None:
@@ -28,7 +26,7 @@
 
     Raises ConfigError.
     """
-    path = path or os.environ.get(PLATFORM_CONFIG_VARIABLE)
+    path = path or os.environ.get(CONFIG_VARIABLE)
     if not path:
         return None
-    return Config.read({**os.environ, PLATFORM_CONFIG_VARIABLE: path})
+    return Config.read({**os.environ, CONFIG_VARIABLE: path})
--- a/wheatstile/cli/endpoint_changes.py
+++ b/wheatstile/cli/endpoint_changes.py
@@ -6,11 +6,11 @@
 import msgspec
 
 from wheatstile.config.endpoints import ResolvedEndpoint
+from wheatstile.config.units import US_PER_MS
 from wheatstile.resolvers.endpoint_file import EndpointFile
 
 EMPTY_VALUES = ("", 0)
 """Values of a server that a table does not show."""
-US_PER_MS = 1000
 
 
 class ServerRow(msgspec.Struct):
--- a/wheatstile/cli/servers.py
+++ b/wheatstile/cli/servers.py
@@ -79,7 +79,10 @@
             }
         )
         return ExitStatus.OK
-    rows = [[one.id, one.change, values_text(one.before), values_text(one.after)] for one in changes]
+    rows = [
+        [change.id, change.change, values_text(change.before), values_text(change.after)]
+        for change in changes
+    ]
     print_table(rows, ["server", "change", "before", "after"])
     click.echo(
         f"{len(changes)} of {len(first.servers.keys() | second.servers.keys())} servers; "
--- a/wheatstile/config/endpoints.py
+++ b/wheatstile/config/endpoints.py
@@ -6,6 +6,7 @@
 from typing import Any, NamedTuple
 
 from wheatstile import interface as api
+from wheatstile.config.units import US_PER_MS
 
 STATES = {  # keys: values of `phase`
     "ready": api.EndpointState.READY,
@@ -14,7 +15,6 @@
 }
 MAX_PORT = 65535
 DEFAULT_WEIGHT = 1.0
-US_PER_MS = 1000
 
 
 def address_of(text: str) -> tuple[str, int]:
--- a/wheatstile/config/platform.py
+++ b/wheatstile/config/platform.py
@@ -11,11 +11,15 @@
 from wheatstile.config.errors import InvalidConfigurationError, MissingKeyError
 from wheatstile.config.section import Section
 from wheatstile.config.settings import message_latency_objectives_us, read_settings
+from wheatstile.config.units import MS_PER_S, US_PER_MS, US_PER_S
 
-MIN_DEADLINE_US = 1000  # the line protocol carries deadlines in whole milliseconds
-US_PER_MS = 1000
-US_PER_S = 1_000_000
-MS_PER_S = 1000
+# The environment variables of the platform.
+CONFIG_VARIABLE = "RELAY_CONFIG"
+NAME_VARIABLE = "RELAY_NAME"
+LISTEN_VARIABLE = "RELAY_LISTEN"
+DISCOVERY_VARIABLE = "RELAY_DISCOVERY"
+
+MIN_DEADLINE_US = US_PER_MS  # the line protocol carries deadlines in whole milliseconds
 HEALTH_CHECK_TIMEOUT_FACTOR = 2  # times the message latency objective
 
 
@@ -29,7 +33,7 @@
 
     connect_timeout_s: float
     idle_timeout_s: float  # an unused connection is closed after this time
-    reports_message_latency: bool
+    reports_message_latency: bool  # whether slow servers are reported to the decisions
     message_latency_objective_ms: float  # shortest objective of all classes; 0 if none is set
     descriptors: int  # maximum number of open descriptors of the process
 
@@ -74,9 +78,9 @@
 
         Raises ConfigError.
         """
-        path = environ.get("RELAY_CONFIG")
+        path = environ.get(CONFIG_VARIABLE)
         if not path:
-            raise ConfigError("RELAY_CONFIG names no file")
+            raise ConfigError(f"{CONFIG_VARIABLE} names no file")
         try:
             with open(path, encoding="utf-8") as file:
                 document = json.load(file)
@@ -102,9 +106,9 @@
     deadlines_ms = _deadlines_ms(settings)
     decisions = read_settings(config.require("settings"))
     return Config(
-        name=environ.get("RELAY_NAME") or str(config.require("name")),
-        listen=address_of(environ.get("RELAY_LISTEN") or config.text("listen")),
-        discovery=address_of(environ.get("RELAY_DISCOVERY") or config.text("discovery")),
+        name=environ.get(NAME_VARIABLE) or str(config.require("name")),
+        listen=address_of(environ.get(LISTEN_VARIABLE) or config.text("listen")),
+        discovery=address_of(environ.get(DISCOVERY_VARIABLE) or config.text("discovery")),
         seed=int(config.text("seed"), 16),
         known=EndpointSnapshot.read(config.require("known")),
         # The setting describes the simulator: the line protocol has no message for latencies. Those that the
@@ -132,7 +136,8 @@
 
 
 def _upstream_limits(settings: Section, limits: Section, descriptors: int) -> UpstreamLimits:
-    # The elements were checked to be numbers when the decisions' settings were read.
+    # The objective of each class was checked when the decisions' settings were read. A surplus one may raise
+    # TypeError, which Config.read reports.
     objectives_us = cast(list[float], message_latency_objectives_us(settings))
     is_reported = settings.optional_section("familyInfo").flag("tellsDelay")
     return UpstreamLimits(
--- a/wheatstile/process/reload.py
+++ b/wheatstile/process/reload.py
@@ -6,7 +6,7 @@
 
 import structlog
 
-from wheatstile.config.platform import Config, ConfigError
+from wheatstile.config.platform import DISCOVERY_VARIABLE, Config, ConfigError
 
 if TYPE_CHECKING:  # imported only when the process has an operator's file
     from wheatstile.config.operator import OperatorFile
@@ -29,7 +29,7 @@
 
     RELAY_DISCOVERY applies only at the start of the process: a reload takes the address from the file.
     """
-    environ = {name: value for name, value in os.environ.items() if name != "RELAY_DISCOVERY"}
+    environ = {name: value for name, value in os.environ.items() if name != DISCOVERY_VARIABLE}
     try:
         latest = Config.read(environ)
     except ConfigError as error:
