--- a/tests/process/test_reload.py
+++ b/tests/process/test_reload.py
@@ -8,7 +8,7 @@
 
 import pytest
 from support.balancer import SETTINGS, SLOW_CONNECT, WITHOUT_HEALTH_CHECKS, Balancer
-from support.peer import Listener
+from support.peer import Listener, Peer
 
 INVALID_SETTINGS: tuple[tuple[str, object], ...] = (
     ("fleetSize", 0), ("fleetSize", "three"), ("classes.0.aimUs", 0), ("classes.0.aimUs", None),
@@ -46,15 +46,20 @@
     return WORDS_IN_MESSAGES.get(key, key)
 
 
-def test_reload_moves_the_watch_to_the_discovery_of_the_file(balancer: Balancer) -> None:
-    # The variable has priority over the file until the first reload.
-    new_discovery = Listener()
-    balancer.path.write_text(json.dumps(balancer.config() | {"discovery": new_discovery.address}))
+def watch_on_discovery_of_variable(balancer: Balancer, discovery_in_file: Listener) -> Peer:
+    """Start the balancer with RELAY_DISCOVERY, which overrides the file, and return its open watch."""
+    balancer.path.write_text(json.dumps(balancer.config() | {"discovery": discovery_in_file.address}))
     balancer.launch(RELAY_DISCOVERY=balancer.discovery.address)
     balancer.ready()
-    old, _ = balancer.discovery.watch()
-    old.begin_watch()
-    old.chunk(70, balancer.member("s2"))
+    watch, _ = balancer.discovery.watch()
+    watch.begin_watch()
+    return watch
+
+
+def test_reload_moves_the_watch_to_the_discovery_of_the_file(balancer: Balancer) -> None:
+    new_discovery = Listener()
+    old_watch = watch_on_discovery_of_variable(balancer, new_discovery)
+    old_watch.chunk(70, balancer.member("s2"))
     client, server = balancer.establish()
 
     balancer.reload()
@@ -62,7 +67,7 @@
     # Revisions of the old discovery mean nothing to the new one, so the complete list is fetched first.
     call, request = new_discovery.watch()
     assert request == "GET /discovery/hosts HTTP/1.1"
-    assert old.line() == ""
+    assert old_watch.line() == ""
     body = json.dumps({"revision": 2, "complete": True, "members": [balancer.member("s3")]}, indent=1)
     call.send("HTTP/1.1 200 OK", f"Content-Length: {len(body)}", "", body)
     watch, request = new_discovery.watch()
