--- a/wheatstile/cli/configuration.py
+++ b/wheatstile/cli/configuration.py
@@ -1,21 +1,19 @@
-"""What commands read of the operator's and the platform's configuration."""
+"""Reads the operator's file and the platform's file for commands, both of which are optional."""
 
 import os
 
 from wheatstile.config import operator
 from wheatstile.config.operator import OperatorFile, Servers
-from wheatstile.config.platform import Config
-
-PLATFORM_CONFIG_VARIABLE = "RELAY_CONFIG"
+from wheatstile.config.platform import CONFIG_VARIABLE, Config
 
 
 def read_operator_file(path: str | None) -> OperatorFile | None:
-    """Return the operator's file at `path`; None without one. Raises ConfigurationError."""
+    """Return the operator's file at `path`, or None without a path. Raises ConfigurationError."""
     return operator.read(path) if path else None
 
 
 def read_servers_section(path: str | None) -> Servers:
-    """Return the `servers` section of the operator's file at `path`, or its defaults without one.
+    """Return the `servers` section of the operator's file at `path`, or its defaults without a path.
 
     Raises ConfigurationError.
     """
@@ -24,11 +22,11 @@
 
 
 def read_platform_config(path: str | None) -> Config | None:
-    """Return the platform's configuration at `path`, else where RELAY_CONFIG says; None without both.
+    """Return the configuration at `path`, or else the one that RELAY_CONFIG names, or None without both.
 
     Raises ConfigError.
     """
-    path = path or os.environ.get(PLATFORM_CONFIG_VARIABLE)
+    path = path or os.environ.get(CONFIG_VARIABLE)
     if not path:
         return None
-    return Config.read({**os.environ, PLATFORM_CONFIG_VARIABLE: path})
+    return Config.read({**os.environ, CONFIG_VARIABLE: path})
--- a/wheatstile/config/endpoints.py
+++ b/wheatstile/config/endpoints.py
@@ -6,16 +6,15 @@
 from typing import Any, NamedTuple
 
 from wheatstile import interface as api
+from wheatstile.config.units import US_PER_MS
 
-# By the value of the key `phase`.
-STATES = {
+STATES = {  # keys: values of `phase`
     "ready": api.EndpointState.READY,
     "draining": api.EndpointState.DRAINING,
     "gone": api.EndpointState.GONE,
 }
 MAX_PORT = 65535
 DEFAULT_WEIGHT = 1.0
-US_PER_MS = 1000
 
 
 def address_of(text: str) -> tuple[str, int]:
