--- a/wheatstile/net/decision_loop.py
+++ b/wheatstile/net/decision_loop.py
@@ -1,7 +1,7 @@
-"""The decision loop: one instance of the decision module, its clock, and whoever carries out its actions.
+"""The decision loop: one instance of the decision module, its clock, and the dispatch of its actions.
 
-Nothing here knows a protocol's text. A front registers its sessions, dispatches the module's events, and is
-handed the module's actions as they are.
+The loop knows no protocol. The code of a protocol registers its sessions, dispatches events, and gets the
+module's actions as they are.
 """
 
 import asyncio
@@ -20,7 +20,7 @@
 
 
 def _counter_names(prefix: str, kinds: tuple[type, ...]) -> dict[type, str]:
-    """Return the counter of each type, as in `events_client_disconnected`."""
+    """Return the counter of each type, such as `events_client_disconnected` for ClientDisconnected."""
     return {kind: prefix + re.sub(r"(?<=[a-z])(?=[A-Z])", "_", kind.__name__).lower() for kind in kinds}
 
 
@@ -28,39 +28,44 @@
 ACTION_COUNTERS = _counter_names("actions_", get_args(api.Action))
 
 
-class Session(Protocol):
-    """A client request that is to be answered, or the open connection that it became."""
+class SessionHandler(Protocol):
+    """Carries out the actions for one request, and for the connection that it becomes."""
 
     def decide(self, action: api.StartAttempt | api.Reject | api.Fail | api.Migrate) -> None:
-        """Accept a decision; the work itself is done elsewhere, later."""
+        """Accept an action. It is carried out later, not within this call."""
 
 
-class HealthChecker(Protocol):
-    """Who asks servers for their load."""
+class HealthCheckStarter(Protocol):
+    """Carries out CheckHealth."""
 
     def check_health(self, server: str) -> None:
-        """Check this server; exactly one HealthCheckResult event follows."""
+        """Start a health check of this server. Exactly one HealthCheckResult is dispatched for it."""
 
 
-class DiscoveryWatcher(Protocol):
-    """Who watches the endpoint list."""
+class EndpointWatchStarter(Protocol):
+    """Carries out WatchEndpoints."""
 
     def watch(self) -> None:
-        """Watch for changes from now on."""
+        """Watch the endpoint list for changes from now on."""
 
 
 class DecisionLoop:
-    """Owns the module's instance: events go in by `dispatch`, actions go to whoever carries them out."""
+    """Owns the instance of the decision module. Passes it events, and passes its actions on.
+
+    Attributes:
+        counters: all counters of the process by their names.
+        sessions: the open sessions by the ids of their requests.
+    """
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         self.balancer = Balancer(settings, seed)
         self.counters: Counter[str] = Counter()
-        self.sessions: dict[str, Session] = {}  # by the request's id
-        self.health_checker: HealthChecker
-        self.discovery_watcher: DiscoveryWatcher
+        self.sessions: dict[str, SessionHandler] = {}
         self.loop = asyncio.get_running_loop()
-        # The module takes a start of 0 or less for "long ago", and endpoints give theirs in Unix time: so its
-        # clock is Unix time, read once, and moved by the monotonic clock so that it never goes back.
+        self._health_checks: HealthCheckStarter
+        self._endpoint_watch: EndpointWatchStarter
+        # The module compares its clock with the servers' start times, which are Unix time. So Unix time is
+        # read once, and moved by the monotonic clock.
         self._epoch_ns = time.time_ns() - time.monotonic_ns()
         self._events: deque[api.Event] = deque()
         self._is_dispatching = False
@@ -69,22 +74,22 @@
         """Return the module's clock: Unix time in microseconds, which never goes back."""
         return (self._epoch_ns + time.monotonic_ns()) // 1000
 
-    def start(self, health_checker: HealthChecker, discovery_watcher: DiscoveryWatcher) -> None:
-        """Start the module; everything that its actions need has to be in place."""
-        self.health_checker = health_checker
-        self.discovery_watcher = discovery_watcher
+    def start(self, health_checks: HealthCheckStarter, endpoint_watch: EndpointWatchStarter) -> None:
+        """Start the module and carry out its first actions."""
+        self._health_checks = health_checks
+        self._endpoint_watch = endpoint_watch
         for action in self.balancer.start(self.now()):
             self._carry_out(action)
 
     def configure(self, settings: api.Settings) -> None:
-        """Have the module decide by these settings from its next event on."""
+        """Replace the settings, from the module's next event on."""
         self.balancer.configure(settings)
 
     def dispatch(self, event: api.Event) -> None:
-        """Hand the module an event and carry out its actions.
+        """Pass an event to the module and carry out the resulting actions.
 
-        An event that comes up while actions are being carried out waits for its turn: the module is never
-        entered twice at once, and handles events in the order in which they came.
+        An event that is dispatched during another one is queued. So the module is never entered twice at
+        once, and it handles events in the order of their dispatch.
         """
         self._events.append(event)
         if self._is_dispatching:
@@ -101,7 +106,7 @@
         try:
             actions = self.balancer.handle(self.now(), event)
         except Exception:
-            # A fault in the decisions may cost the one session it is about, not all that are open here.
+            # A fault in the module fails the session of this event; all others are kept.
             log.exception("decision_module_failed", event_type=type(event).__name__)
             self.counters["decision_module_failures"] += 1
             self._fail_session(event)
@@ -110,7 +115,8 @@
             self._carry_out(action)
 
     def _fail_session(self, event: api.Event) -> None:
-        session_id = getattr(event, "id", "")  # not every event is about a session
+        """Fail the session that the event is about, if it is about one."""
+        session_id = getattr(event, "id", "")
         session = self.sessions.get(session_id)
         if session:
             session.decide(api.Fail(session_id))
@@ -118,12 +124,12 @@
     def _carry_out(self, action: api.Action) -> None:
         self.counters[ACTION_COUNTERS[type(action)]] += 1
         if isinstance(action, api.SetTimer):
-            # Rounded up to the loop's milliseconds: a timer that comes early finds its time not yet up.
+            # Rounded up to the loop's resolution, so that no timer fires before it is due.
             delay_s = ceil(action.delay_us / 1000) / 1000
             self.loop.call_later(delay_s, self.dispatch, api.TimerFired(action.token))
         elif isinstance(action, api.CheckHealth):
-            self.health_checker.check_health(action.server)
+            self._health_checks.check_health(action.server)
         elif isinstance(action, api.WatchEndpoints):
-            self.discovery_watcher.watch()
-        elif action.id in self.sessions:  # else the client has disconnected in the same instant
+            self._endpoint_watch.watch()
+        elif action.id in self.sessions:  # the client may have disconnected in this turn
             self.sessions[action.id].decide(action)
--- a/wheatstile/net/session_setup.py
+++ b/wheatstile/net/session_setup.py
@@ -1,6 +1,7 @@
-"""The setup of a session: attempts at the servers that the module names, until one is established."""
+"""The setup of a session: attempts at the servers that the decision module names, until one succeeds."""
 
 import asyncio
+from math import ceil
 from typing import Protocol
 
 from wheatstile import interface as api
@@ -11,20 +12,20 @@
 from wheatstile.net.upstream_attempt import AttemptResult, OpenLineProvider
 from wheatstile.net.upstream_pool import UpstreamPool
 
-REOPEN_TIMEOUT_S = 40.0  # in which a session from before this process has to be established again
-ANSWER_GRACE_S = 0.02  # past its client's time, after which a request that nobody answered is failed here
+REOPEN_TIMEOUT_S = 40.0  # for a session that was established before this process started
+ANSWER_GRACE_S = 0.02  # after the client's time to wait; a request without an answer is then failed here
 
 
 class SetupContext(Protocol):
-    """What a setup needs of the listener."""
+    """The listener, as the setup of a session uses it."""
 
     upstreams: UpstreamPool
 
     def max_wait_ms(self, request: OpenRequest) -> int:
-        """Return the milliseconds that this request's client waits at most."""
+        """Return how many milliseconds the request's client waits at most."""
 
     def rejection_line(self, retry_after_ms: int) -> bytes:
-        """Return the line that rejects a client; 0: it is told no time to retry after."""
+        """Return the line that rejects a client. With 0 it names no time to retry after."""
 
 
 class SessionSetup:
@@ -38,18 +39,20 @@
         self._max_wait_ms = context.max_wait_ms(session.request)
 
     async def run(self) -> bytes | None:
-        """Return the client's final answer; None once the session is established.
+        """Return the client's final answer, or None once the session is established.
 
-        Raises ClientDisconnectedError and ProtocolError as the client's side ends.
+        Raises ClientDisconnectedError and ProtocolError when the client's side ends.
         """
         request = self._session.request
         self._decisions.counters["sessions_requested"] += 1
-        longest_s = REOPEN_TIMEOUT_S if request.reopen_at else self._max_wait_ms / 1000
+        max_setup_s = REOPEN_TIMEOUT_S if request.reopen_at else self._max_wait_ms / 1000
         try:
-            async with asyncio.timeout(min(request.wait_ms / 1000, longest_s) + ANSWER_GRACE_S):
-                return await (self._reopen(request.reopen_at) if request.reopen_at else self._run_attempts())
+            async with asyncio.timeout(min(request.wait_ms / 1000, max_setup_s) + ANSWER_GRACE_S):
+                if request.reopen_at:
+                    return await self._reopen(request.reopen_at)
+                return await self._run_attempts()
         except TimeoutError:
-            # The module answers before a client's time is up; should it not, nobody is left without answer.
+            # The decision module answers within the client's time to wait; this is a safeguard.
             self._decisions.counters["sessions_overdue"] += 1
             self._decisions.dispatch(api.ClientDisconnected(self._session.id))
             return ERROR_LINE
@@ -59,36 +62,48 @@
             raise
 
     async def _run_attempts(self) -> bytes | None:
-        """Do as the module decides until the session is established or has its final answer."""
+        """Carry out the module's actions until the session is established or has its final answer."""
         session = self._session
         self._decisions.dispatch(session.request.to_event(self._max_wait_ms))
         while True:
             action = await session.unless_client_ends(session.actions.get())
-            if isinstance(action, api.Reject):
-                self._decisions.counters["sessions_rejected"] += 1
-                return self._context.rejection_line(-(-action.retry_after_us // 1000))
-            if isinstance(action, api.Fail):
-                self._decisions.counters["sessions_failed"] += 1
-                return ERROR_LINE
+            if not isinstance(action, api.StartAttempt):
+                return self._final_answer(action)
             if session.answer_decided.is_set():
-                continue  # given up on before it was sent: the answer is the next action
-            timeout_s = (action.timeout_us or self._max_wait_ms * 1000) / 1e6
-            start_us = self._decisions.now()
-            result = await self._run_attempt(
-                action.server, session.request.line_with_wait, timeout_s, action.send_before_us
-            )
-            elapsed_us = self._decisions.now() - start_us
+                continue  # the module has withdrawn the attempt, and the final answer is the next action
+            result = await self._start_attempt(action)
             if result.established:
-                self._on_established(action.server, result, elapsed_us)
                 return None
-            self._on_attempt_ended(action.server, result, elapsed_us)
             if result.outcome is api.AttemptOutcome.OK:
                 return result.line
 
+    def _final_answer(self, action: api.Reject | api.Fail) -> bytes:
+        """Return the line for the module's final answer."""
+        if isinstance(action, api.Reject):
+            self._decisions.counters["sessions_rejected"] += 1
+            return self._context.rejection_line(ceil(action.retry_after_us / 1000))
+        self._decisions.counters["sessions_failed"] += 1
+        return ERROR_LINE
+
+    async def _start_attempt(self, action: api.StartAttempt) -> AttemptResult:
+        """Run one attempt, answer the client if it succeeds, and report its end to the decision module."""
+        timeout_us = action.timeout_us or self._max_wait_ms * 1000
+        open_line = self._session.request.line_with_wait
+        start_us = self._decisions.now()
+        result = await self._run_attempt(action.server, open_line, timeout_us / 1e6, action.send_before_us)
+        elapsed_us = self._decisions.now() - start_us
+        if result.established:
+            self._on_established(action.server, result, elapsed_us)
+        else:
+            self._on_attempt_ended(action.server, result, elapsed_us)
+        return result
+
     def _on_established(self, server: str, result: AttemptResult, elapsed_us: int) -> None:
+        """Answer the client and report the established session."""
         session = self._session
         self._send_answer(result.line)
-        if session.answer_decided.is_set():  # the module gave up in the same turn, and has forgotten it
+        if session.answer_decided.is_set():
+            # The module has decided a final answer in the same turn and forgotten the request.
             session.attempt_number = 0
             self._dispatch_existing(server)
         else:
@@ -96,9 +111,10 @@
             self._decisions.dispatch(event)
 
     def _on_attempt_ended(self, server: str, result: AttemptResult, elapsed_us: int) -> None:
+        """Close the attempt, then report its end, after which the module may start the next one."""
         session = self._session
         closed = result.outcome is api.AttemptOutcome.OK
-        session.close_attempt()  # before the module can ask for the next
+        session.close_attempt()
         self._decisions.dispatch(
             api.AttemptEnded(
                 session.id, session.attempt_number, server, result.outcome, elapsed_us, closed, result.report
@@ -108,17 +124,22 @@
             session.attempt_number += 1
 
     async def _reopen(self, server: str) -> bytes | None:
-        """Establish a session again that stood before this process: the module hears of it once it stands."""
+        """Establish a session again that was established before this process started.
+
+        After a restart all balancers reopen all their connections at once, and a lost packet is retransmitted
+        after 1 s. So the attempt may take all the time, and the decision module hears of it once it succeeds.
+
+        Returns the client's final answer, or None once the session is established.
+        """
         request = self._session.request
         timeout_s = min(request.wait_ms / 1000, REOPEN_TIMEOUT_S)
-        # All balancers reopen all their connections at once, and a packet lost then comes again after 1 s.
         unchanged_line = request.line_with_wait(request.wait_ms)
         result = await self._run_attempt(server, lambda _: unchanged_line, timeout_s, reopening=True)
         if result.established:
             self._send_answer(result.line)
             self._dispatch_existing(server)
             return None
-        # No log line for each: any client can write at=.
+        # Counted and not logged, since any client can name a server to reopen its session at.
         self._decisions.counters[f"session_reopens_failed_{result.outcome}"] += 1
         return ERROR_LINE
 
@@ -136,9 +157,11 @@
         send_before_us: int | None = None,
         reopening: bool = False,
     ) -> AttemptResult:
-        """Runs one attempt. The attempt before it was closed when it ended, so that there are never two.
+        """Run one attempt. The attempt before it was closed when it ended, so that there are never two.
 
-        Nothing is sent at or after `send_before_us`, however long the connection took to come up.
+        Nothing is sent at or after `send_before_us`, however long the connect takes.
+
+        Raises ClientDisconnectedError and ProtocolError when the client's side ends.
         """
         session = self._session
         session.client.check_waiting()
@@ -148,9 +171,7 @@
 
         def line_if_still_wanted(wait_ms: int) -> bytes | None:
             session.client.check_waiting()
-            if session.answer_decided.is_set() or self._is_past(send_before_us):
-                return None
-            return open_line(wait_ms)
+            return open_line(wait_ms) if self._may_send(send_before_us) else None
 
         attempt = asyncio.create_task(
             session.attempt.connect_and_open(line_if_still_wanted, timeout_s, reopening)
@@ -159,11 +180,17 @@
         self._decisions.counters[f"attempts_{result.label}"] += 1
         return result
 
-    def _is_past(self, time_us: int | None) -> bool:
-        return time_us is not None and self._decisions.now() >= time_us
+    def _may_send(self, send_before_us: int | None) -> bool:
+        """Return whether the open line may be sent: no final answer is decided, and it is not too late."""
+        if self._session.answer_decided.is_set():
+            return False
+        return send_before_us is None or self._decisions.now() < send_before_us
 
     async def _unless_answered(self, attempt: asyncio.Task[AttemptResult]) -> AttemptResult:
-        """Return the attempt's result, unless the module decides the final answer meanwhile: then stop it."""
+        """Return the attempt's result. If the module decides the final answer first, cancel the attempt.
+
+        Raises ClientDisconnectedError and ProtocolError when the client's side ends.
+        """
         answer_decided = asyncio.create_task(self._session.answer_decided.wait())
         try:
             await self._session.unless_client_ends(wait_for_either(attempt, answer_decided))
@@ -173,12 +200,13 @@
             answer_decided.cancel()
             await asyncio.wait([attempt, answer_decided])
             if not attempt.cancelled():
-                attempt.exception()  # that the client has left may be known from the reader already
+                attempt.exception()  # marks it as retrieved; the client's reader may have raised the same
 
     def _send_answer(self, line: bytes) -> None:
-        """Send the client the server's answer, and pass the client's lines on from now.
+        """Send the server's answer to the client, and relay the client's lines from now on.
 
-        In one turn: were the client's time out in between, it would get a second final answer.
+        Both happen in one turn of the event loop. Otherwise the client's time to wait could end between them,
+        and the client would get a second final answer.
         """
         session = self._session
         assert session.attempt
