--- a/tests/descriptions/test_file_states.py
+++ b/tests/descriptions/test_file_states.py
@@ -1,4 +1,4 @@
-"""States of files, by which a change is seen."""
+"""States of files, by which changes are detected."""
 
 import os
 from pathlib import Path
@@ -10,13 +10,13 @@
 
 
 def names(states: list[module.FileState]) -> list[str]:
-    """The names of the files, in the order of their paths."""
+    """Return the names of the files, in the order of their paths."""
     return [Path(state.path).name for state in states]
 
 
 @pytest.fixture
 def folder(tmp_path: Path) -> Path:
-    """A folder with a file in it and one in a subfolder."""
+    """Return a folder with a file in it and one in a subfolder."""
     (tmp_path / "parts").mkdir()
     (tmp_path / "a.yaml").write_text("a")
     (tmp_path / "parts" / "b.yaml").write_text("b")
@@ -27,7 +27,7 @@
     assert names(file_states([folder])) == [folder.name, "a.yaml", "b.yaml"]
 
 
-def test_file_and_referenced_files_are_covered_and_missing_ones_left_out(folder: Path) -> None:
+def test_file_and_referenced_files_are_covered_and_missing_ones_omitted(folder: Path) -> None:
     referenced = [str(folder / "parts" / "b.yaml"), str(folder / "missing.yaml")]
     assert names(file_states([folder / "a.yaml"], referenced)) == ["a.yaml", "b.yaml"]
 
