--- a/tests/store/process_cluster.py
+++ b/tests/store/process_cluster.py
@@ -37,7 +37,7 @@
 
 
 class ProcessCluster:
-    """Members as processes. Every message between two of them passes the fault proxy, `link`.
+    """Members as processes. Every message between two of them passes the fault proxy.
 
     The constructor starts the fault proxy, `start` starts members, and `close` ends all processes. The
     directories of the members remain in `root`. With `direct`, the members are connected without the fault
@@ -61,13 +61,13 @@
         ports = iter(free_ports(2 * len(names) + len(pairs)))
         self.peer_ports = {name: next(ports) for name in names}
         self.client_ports = {name: next(ports) for name in names}
-        self.link_ports = {pair: next(ports) for pair in pairs}
+        self.proxy_ports = {pair: next(ports) for pair in pairs}
         routes = [
-            f"{sender}:{recipient}:{self.link_ports[sender, recipient]}:{self.peer_ports[recipient]}"
+            f"{sender}:{recipient}:{self.proxy_ports[sender, recipient]}:{self.peer_ports[recipient]}"
             for sender, recipient in pairs
         ]
-        self.link = Program("link", "--frames", "--seed", str(seed), *routes)
-        self.link.expect("ready")
+        self.fault_proxy = Program("link", "--frames", "--seed", str(seed), *routes)
+        self.fault_proxy.expect("ready")
         self.processes: dict[str, Program] = {}
         self.paused: set[str] = set()
         self.output: OutputByMember = {name: [] for name in names}
@@ -87,7 +87,7 @@
         joins = bool(voters) and name not in voters
         peers = [peer for peer in self.names if peer != name and (joins or not voters or peer in voters)]
         ports = {
-            peer: self.peer_ports[peer] if self.direct else self.link_ports[name, peer] for peer in peers
+            peer: self.peer_ports[peer] if self.direct else self.proxy_ports[name, peer] for peer in peers
         }
         options = {
             "--name": name,
@@ -126,6 +126,10 @@
             self.processes[name].signal(signal.SIGCONT)
         self.paused.clear()
 
+    def inject(self, command: str) -> None:
+        """Sends the fault proxy a command, such as `cut a b` or `heal`, and waits until it is carried out."""
+        self.fault_proxy.tell(command)
+
     def member_options(self) -> list[str]:
         """Returns the options `--member` for the client commands of `wheatstile store`."""
         return [f"--member={name}={port}" for name, port in self.client_ports.items()]
@@ -149,7 +153,7 @@
         """Ends all processes and returns the output of the members."""
         for name in list(self.processes):
             self.kill(name)
-        self.link.close()
+        self.fault_proxy.close()
         return self.output
 
 
--- a/tests/store/raft_cluster.py
+++ b/tests/store/raft_cluster.py
@@ -7,6 +7,7 @@
 from __future__ import annotations
 
 import random
+from collections.abc import Iterable
 from contextlib import suppress
 from dataclasses import dataclass, field
 
@@ -103,17 +104,28 @@
         if roll < 2 * CRASH_PROBABILITY:  # after persisting, before any message is sent
             self.crashed.add(name)
             return
+        self.process_persisted(node, ready)
+        self.check_one_leader(node)
+        self.compact_if_due(node)
+
+    def process_persisted(self, node: RaftNode, ready: Ready) -> None:
+        """Installs the snapshot, sends the messages, applies the entries and counts the reads."""
         if ready.snapshot:
             self.installed_snapshots += 1
-            self.applied_indices[name] = [int(index) for index in ready.snapshot.data.split()]
+            self.applied_indices[node.name] = [int(index) for index in ready.snapshot.data.split()]
         for message in ready.messages:
             self.send(message)
         for entry in ready.committed_entries:
-            self.apply(name, entry)
+            self.apply(node.name, entry)
         self.check_reads(node, ready)
-        if node.role is Role.LEADER and self.leader_by_term.setdefault(node.term, name) != name:
-            raise InvariantError(f"term {node.term} was led by {self.leader_by_term[node.term]} and {name}")
-        self.compact_if_due(node)
+
+    def check_one_leader(self, node: RaftNode) -> None:
+        """Checks that no other node has been the leader in the node's term."""
+        if node.role is not Role.LEADER:
+            return
+        first = self.leader_by_term.setdefault(node.term, node.name)
+        if first != node.name:
+            raise InvariantError(f"term {node.term} was led by {first} and {node.name}")
 
     @staticmethod
     def persist(disk: PersistedState, ready: Ready, log_entries: list[Entry]) -> None:
@@ -227,13 +239,17 @@
         """Returns the nodes in the role of leader, including outdated ones."""
         return [node for node in self.nodes.values() if node.role is Role.LEADER]
 
-    def check_log_matching(self) -> None:
-        """Checks that logs with the same term at an index are equal up to that index (paper, figure 3)."""
-        logs = [{entry.index: entry for entry in node.log.entries} for node in self.nodes.values()]
-        for first in logs:
-            for second in logs:
-                shared = [index for index in first if index in second]
-                same_term = [index for index in shared if first[index].term == second[index].term]
-                last = max(same_term, default=0)
-                if any(first[index] != second[index] for index in shared if index <= last):
-                    raise InvariantError(f"logs differ before {last}")
+
+def check_log_matching(nodes: Iterable[RaftNode]) -> None:
+    """Checks that logs with the same term at an index are equal up to that index (paper, figure 3).
+
+    Raises `InvariantError`.
+    """
+    logs = [{entry.index: entry for entry in node.log.entries} for node in nodes]
+    for first in logs:
+        for second in logs:
+            shared = [index for index in first if index in second]
+            same_term = [index for index in shared if first[index].term == second[index].term]
+            last = max(same_term, default=0)
+            if any(first[index] != second[index] for index in shared if index <= last):
+                raise InvariantError(f"logs differ before {last}")
--- a/tests/store/raft_histories.py
+++ b/tests/store/raft_histories.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from contextlib import suppress
 
-from raft_cluster import SimulatedCluster
+from raft_cluster import SimulatedCluster, check_log_matching
 
 from wheatstile.store.errors import MembershipChangeRejectedError, NotLeaderError
 
@@ -126,7 +126,7 @@
             cluster.request(number)
         cluster.step()
         if number % CHECK_INTERVAL == 0:
-            cluster.check_log_matching()
+            check_log_matching(cluster.nodes.values())
     cluster.heal()
     for number in range(STEPS_WITH_FAULTS, STEPS_WITH_FAULTS + STEPS_WITHOUT_FAULTS):
         if number % RECOVERY_REQUEST_INTERVAL == 0:
