--- a/wheatstile/store/raft/log.py
+++ b/wheatstile/store/raft/log.py
@@ -101,7 +101,7 @@
     def truncate_from(self, index: int) -> None:
         """Removes the entries from `index` on.
 
-        The host removes them from its disk when it stores the next entry, which has an index that is in use.
+        The host replaces them on its disk when it stores the next entry, which has a removed index.
         """
         del self.entries[index - self.snapshot.index - 1 :]
         self.unpersisted_entries = [entry for entry in self.unpersisted_entries if entry.index < index]
@@ -116,13 +116,13 @@
         return self.entries[start:end]
 
     def take_unpersisted_entries(self) -> list[Entry]:
-        """Returns the entries that the host has to store, and marks them as stored."""
+        """Returns and clears the entries that the host has to store."""
         entries = self.unpersisted_entries
         self.unpersisted_entries = []
         return entries
 
     def take_unpersisted_snapshot(self) -> Snapshot | None:
-        """Returns the snapshot that the host has to store, if any, and marks it as stored."""
+        """Returns and clears the snapshot that the host has to store, or None if there is none."""
         snapshot = self.unpersisted_snapshot
         self.unpersisted_snapshot = None
         return snapshot
--- a/wheatstile/store/raft/messages.py
+++ b/wheatstile/store/raft/messages.py
@@ -31,11 +31,11 @@
     VOTE_REPLY = "vote-reply"
     APPEND = "append"  # replicates entries; a heartbeat is an append without entries
     APPEND_REPLY = "append-reply"
-    SNAPSHOT = "snapshot"  # one chunk of a snapshot
+    SNAPSHOT = "snapshot"  # transfers one chunk of a snapshot
     SNAPSHOT_REPLY = "snapshot-reply"
     READ = "read"  # a follower requests a read index from the leader
     READ_REPLY = "read-reply"
-    TIMEOUT_NOW = "timeout-now"  # in a leadership transfer, tells the target to campaign at once
+    TIMEOUT_NOW = "timeout-now"  # tells the target of a leadership transfer to campaign at once
 
 
 class EntryKind(enum.StrEnum):
--- a/wheatstile/store/raft/state.py
+++ b/wheatstile/store/raft/state.py
@@ -61,7 +61,7 @@
 
 @dataclass(slots=True)
 class Leadership:
-    """State of a leader. It is empty on other nodes, and created anew in each term."""
+    """State of a leader. It is empty on other nodes, and starts empty in each term."""
 
     progress: dict[str, Progress] = field(default_factory=dict)
     """Replication state by peer."""
