--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -56,7 +56,7 @@
     repetitions: int,
     prepare: Callable[[int], object] = lambda _: None,
 ) -> float:
-    """Returns the median time of one call of `work`, in seconds; both functions get the call's number."""
+    """Return the median time of one call of `work`, in seconds; both functions get the call's number."""
     durations_s = []
     for index in range(repetitions):
         prepare(index)
@@ -96,7 +96,7 @@
         self._harness.dispatch(api.ClientDisconnected(request_id))
 
     def _begin_check(self, index: int) -> None:
-        """Puts a health check in flight, for `_report_load`."""
+        """Put a health check in flight, for `_report_load`."""
         balancer = self._harness.balancer
         server = balancer.endpoints.servers[self._names[index % len(self._names)]]
         balancer.health_checks.check(server, lambda _: None, next(iter(balancer.connections.established)))
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -71,7 +71,7 @@
     writes_per_fsync: float | None
 
     def row(self, fsyncs_per_s: float) -> list[str]:
-        """Returns the cells of `COLUMNS`; the last one is the rate of writes divided by `fsyncs_per_s`."""
+        """Return the cells of `COLUMNS`; the last one is the rate of writes divided by `fsyncs_per_s`."""
         writes_per_fsync = "" if self.writes_per_fsync is None else f"{self.writes_per_fsync:.1f}"
         return [
             str(self.members),
@@ -94,12 +94,12 @@
     elections_s: Sequence[float]
 
     def rows(self) -> list[list[str]]:
-        """Returns the rows of the table."""
+        """Return the rows of the table."""
         return [throughput.row(self.fsyncs_per_s) for throughput in self.throughputs]
 
 
 def measure_fsyncs(folder: Path, duration_s: float) -> float:
-    """Returns the rate per second of appends to one file with an fsync after each."""
+    """Return the rate per second of appends to one file with an fsync after each."""
     count = 0
     descriptor = os.open(folder / "probe", os.O_WRONLY | os.O_CREAT | os.O_APPEND)
     started_s = time.perf_counter()
@@ -120,7 +120,7 @@
     times_us: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, MAX_DURATION_US, 3))
 
     async def run(self, duration_s: float) -> float:
-        """Runs the clients for `duration_s` and returns the requests per second."""
+        """Run the clients for `duration_s` and return the requests per second."""
         started_s = time.perf_counter()
         async with asyncio.TaskGroup() as tasks:
             for number, client in enumerate(self.clients):
@@ -136,7 +136,7 @@
             self.times_us.record_value(int((time.perf_counter() - started_s) * 1e6))
 
     def percentile_ms(self, percentile: float) -> float:
-        """Returns a percentile of the duration of a request, in milliseconds."""
+        """Return a percentile of the duration of a request, in milliseconds."""
         return float(self.times_us.get_value_at_percentile(percentile) / 1000)
 
 
@@ -176,7 +176,7 @@
 
 
 def follower_ports(cluster: ProcessCluster, leader: str) -> Mapping[str, int]:
-    """Returns the client ports of the followers, or of all members if there is no follower."""
+    """Return the client ports of the followers, or of all members if there is no follower."""
     followers = {
         name: port
         for name, port in cluster.client_ports.items()
@@ -186,7 +186,7 @@
 
 
 async def measure_elections(cluster: ProcessCluster, kills: int) -> list[float]:
-    """Returns the times from SIGKILL of the leader to the next acknowledged write, sorted, in seconds."""
+    """Return the times from SIGKILL of the leader to the next acknowledged write, sorted, in seconds."""
     durations_s = []
     for number in range(kills):
         leader = await cluster.leader()
@@ -202,7 +202,7 @@
 
 
 def measure_cluster(names: str, plan: Plan) -> ClusterResult:
-    """Starts a cluster, measures it, and ends it. Elections are measured on the largest cluster only."""
+    """Start a cluster, measure it, and end it. Elections are measured on the largest cluster only."""
     with tempfile.TemporaryDirectory(dir=ROOT / "benchmarks") as folder:
         fsyncs_per_s = measure_fsyncs(Path(folder), plan.duration_s / 2)
         known_names = names if len(names) > 1 else "ab"  # `ProcessCluster` needs two names
@@ -216,7 +216,7 @@
 
 
 def main() -> None:
-    """Runs the measurements and prints the tables."""
+    """Run the measurements and print the tables."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--quick", action="store_true", help="shorter measurements")
     plan = QUICK if parser.parse_args().quick else FULL
--- a/tests/config/test_platform.py
+++ b/tests/config/test_platform.py
@@ -35,7 +35,7 @@
 
 @pytest.fixture
 def path(tmp_path: Path) -> Path:
-    """The path of the platform's file, which does not exist yet."""
+    """Return the path of the platform's file, which does not exist yet."""
     return tmp_path / "config.json"
 
 
--- a/tests/fault_proxy/test_fault_proxy.py
+++ b/tests/fault_proxy/test_fault_proxy.py
@@ -81,7 +81,7 @@
 
 @pytest.fixture
 def proxied() -> Iterator[ProxiedServer]:
-    """An echo server and a fault proxy, which must exit with status 0 when its standard input is closed."""
+    """Start an echo server and a fault proxy, which must exit with status 0 once its input is closed."""
     with closing(EchoServer()) as echo:
         proxy = Program("fault-proxy", f"a:b:0:{echo.port}")
         port = int(proxy.expect("listening a->b").split()[-1])
--- a/tests/process/test_config_reload.py
+++ b/tests/process/test_config_reload.py
@@ -23,7 +23,7 @@
 
 @pytest.fixture
 def path(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Path:
-    """A file with DOCUMENT, named by RELAY_CONFIG; the other variables are not set."""
+    """Write DOCUMENT to a file that RELAY_CONFIG names; the other variables are not set."""
     path = tmp_path / "config.json"
     path.write_text(json.dumps(DOCUMENT))
     monkeypatch.setenv("RELAY_CONFIG", str(path))
--- a/tests/store/linearizability.py
+++ b/tests/store/linearizability.py
@@ -43,7 +43,7 @@
 
 
 def apply(register: str | None, operation: Operation) -> tuple[bool, str | None]:
-    """Returns whether the operation can have this result, and the register's value after it."""
+    """Return whether the operation can have this result, and the register's value after it."""
     if operation.kind is Kind.GET:
         return register == operation.value, register
     if operation.kind is Kind.PUT:
@@ -55,7 +55,7 @@
 
 
 def is_linearizable(history: list[Operation]) -> bool:
-    """Returns whether there is a valid order of the operations. A read without a reply is ignored.
+    """Return whether there is a valid order of the operations. A read without a reply is ignored.
 
     `answered` and `applied` are sets of operations, represented by integers with one bit for each operation.
     """
--- a/tests/store/process_cluster.py
+++ b/tests/store/process_cluster.py
@@ -25,7 +25,7 @@
 
 
 def free_ports(count: int) -> list[int]:
-    """Returns ports on which nothing listens. Raises OSError if there are too few."""
+    """Return ports on which nothing listens. Raises OSError if there are too few."""
     found: list[int] = []
     rng = random.Random(os.getpid() ^ time.monotonic_ns())
     for port in rng.sample(PORT_RANGE, PORT_ATTEMPTS):
@@ -73,7 +73,7 @@
         self.output: OutputByMember = {name: [] for name in names}
 
     def start(self, *names: str, voters: str = "") -> None:
-        """Starts members at once, and returns when all are ready.
+        """Start members at once, and return when all are ready.
 
         `voters` are the initial voters (default: all names). Another member waits until it is added.
         """
@@ -83,7 +83,7 @@
             self.processes[name].expect("ready")
 
     def arguments(self, name: str, voters: str) -> list[str]:
-        """Returns the options of `store serve` for one member."""
+        """Return the options of `store serve` for one member."""
         joins = bool(voters) and name not in voters
         peers = [peer for peer in self.names if peer != name and (joins or not voters or peer in voters)]
         ports = {
@@ -104,11 +104,11 @@
         return arguments
 
     def start_missing(self) -> None:
-        """Starts all members that are not running."""
+        """Start all members that are not running."""
         self.start(*(name for name in self.names if name not in self.processes))
 
     def kill(self, name: str) -> None:
-        """Ends a member by SIGKILL and collects its output."""
+        """End a member by SIGKILL and collect its output."""
         process = self.processes.pop(name)
         self.paused.discard(name)
         process.signal(signal.SIGKILL)
@@ -127,19 +127,19 @@
         self.paused.clear()
 
     def inject(self, command: str) -> None:
-        """Sends the fault proxy a command, such as `cut a b` or `heal`, and waits until it is carried out."""
+        """Send the fault proxy a command, such as `cut a b` or `heal`, and wait until it is carried out."""
         self.fault_proxy.tell(command)
 
     def member_options(self) -> list[str]:
-        """Returns the options `--member` for the client commands of `wheatstile store`."""
+        """Return the options `--member` for the client commands of `wheatstile store`."""
         return [f"--member={name}={port}" for name, port in self.client_ports.items()]
 
     def client(self, timeout_s: float = 20.0) -> StoreClient:
-        """Returns a client of all members, which the caller closes."""
+        """Return a client of all members, which the caller closes."""
         return StoreClient(self.client_ports, timeout_s)
 
     async def leader(self) -> str:
-        """Waits until a running member is the leader, and returns the name of the latest term's leader."""
+        """Wait until a running member is the leader, and return the name of the latest term's leader."""
         running = set(self.processes) - self.paused
         client = StoreClient({name: self.client_ports[name] for name in running})
         try:
@@ -150,7 +150,7 @@
             client.close()
 
     def close(self) -> OutputByMember:
-        """Ends all processes and returns the output of the members."""
+        """End all processes and return the output of the members."""
         for name in list(self.processes):
             self.kill(name)
         self.fault_proxy.close()
@@ -160,7 +160,7 @@
 def run_scenario(
     cluster: ProcessCluster, scenario: Callable[[ProcessCluster], Awaitable[None]], voters: str = ""
 ) -> OutputByMember:
-    """Starts all members or only `voters`, runs the scenario, ends all processes, returns their output."""
+    """Start all members or only `voters`, run the scenario, end all processes, return their output."""
 
     async def run() -> None:
         await scenario(cluster)
@@ -174,7 +174,7 @@
 
 
 def check_applied(output: OutputByMember) -> int:
-    """Checks the members' histories and returns the number of applied entries.
+    """Check the members' histories and return the number of applied entries.
 
     A term has one leader, an index has one entry, and a member applies entries in the order of their indices.
     """
--- a/tests/store/process_faults.py
+++ b/tests/store/process_faults.py
@@ -39,7 +39,7 @@
 
 
 def running_members(cluster: ProcessCluster) -> list[str]:
-    """Returns the members that are neither killed nor paused."""
+    """Return the members that are neither killed nor paused."""
     return [name for name in cluster.names if name in cluster.processes and name not in cluster.paused]
 
 
@@ -107,7 +107,7 @@
 
 
 async def heal(cluster: ProcessCluster, _rng: random.Random, _victim: str) -> str:
-    """Ends all faults of the connections."""
+    """End all faults of the connections."""
     cluster.inject("heal")
     return "heal"
 
--- a/tests/store/raft_cluster.py
+++ b/tests/store/raft_cluster.py
@@ -77,7 +77,7 @@
         self.nodes = {name: self.start_node(name) for name in names}
 
     def start_node(self, name: str) -> RaftNode:
-        """Returns a node that starts from the state on its disk."""
+        """Return a node that starts from the state on its disk."""
         disk = self.disks[name]
         node = RaftNode(
             name,
@@ -93,7 +93,7 @@
         return node
 
     def process_ready(self, name: str) -> None:
-        """Does a node's work like its host, with random crashes before and after persisting."""
+        """Do a node's work like its host, with random crashes before and after persisting."""
         node = self.nodes[name]
         ready = node.ready()
         roll = self.rng.random() if self.faults_enabled else 1.0
@@ -120,7 +120,7 @@
         self.check_reads(node, ready)
 
     def check_one_leader(self, node: RaftNode) -> None:
-        """Checks that no other node has been the leader in the node's term."""
+        """Check that no other node has been the leader in the node's term."""
         if node.role is not Role.LEADER:
             return
         first = self.leader_by_term.setdefault(node.term, node.name)
@@ -129,7 +129,7 @@
 
     @staticmethod
     def persist(disk: PersistedState, ready: Ready, log_entries: list[Entry]) -> None:
-        """Persists a `Ready` as `Member` does; `log_entries` are the entries after its snapshot."""
+        """Persist a `Ready` as `Member` does; `log_entries` are the entries after its snapshot."""
         if ready.snapshot:
             disk.snapshot = ready.snapshot
             disk.entries = list(log_entries)
@@ -148,7 +148,7 @@
             self.in_flight.append(InFlightMessage(repeat_tick, 0, message))
 
     def apply(self, name: str, entry: Entry) -> None:
-        """Applies a committed entry, and checks that it is the next one, and the same on all nodes."""
+        """Apply a committed entry, and check that it is the next one, and the same on all nodes."""
         applied = self.applied_indices[name]
         if applied and entry.index != applied[-1] + 1:
             raise InvariantError(f"{name} applied {entry.index} after {applied[-1]}")
@@ -158,7 +158,7 @@
         applied.append(entry.index)
 
     def check_reads(self, node: RaftNode, ready: Ready) -> None:
-        """Counts the finished reads, and checks that each sees all that was applied when it started."""
+        """Count the finished reads, and check that each sees all that was applied when it started."""
         for read in ready.read_states:
             if node.log.applied_index < read.index:
                 continue  # a host would wait until the index is applied; here the read is ignored
@@ -228,7 +228,7 @@
                 self.nodes[reader].read(number)
 
     def heal(self) -> None:
-        """Ends all faults and restarts the crashed nodes."""
+        """End all faults and restart the crashed nodes."""
         self.faults_enabled = False
         self.cut_links.clear()
         self.paused.clear()
@@ -236,12 +236,12 @@
             self.restart(name)
 
     def leaders(self) -> list[RaftNode]:
-        """Returns the nodes in the role of leader, including outdated ones."""
+        """Return the nodes in the role of leader, including outdated ones."""
         return [node for node in self.nodes.values() if node.role is Role.LEADER]
 
 
 def check_log_matching(nodes: Iterable[RaftNode]) -> None:
-    """Checks that logs with the same term at an index are equal up to that index (paper, figure 3).
+    """Check that logs with the same term at an index are equal up to that index (paper, figure 3).
 
     Raises `InvariantError`.
     """
--- a/tests/store/raft_histories.py
+++ b/tests/store/raft_histories.py
@@ -115,7 +115,7 @@
 
 
 def run_history(seed: int) -> SimulatedCluster:
-    """Returns the cluster after `STEPS_WITH_FAULTS`, and then `STEPS_WITHOUT_FAULTS` in which it may recover.
+    """Return the cluster after `STEPS_WITH_FAULTS`, and then `STEPS_WITHOUT_FAULTS` in which it may recover.
 
     Raises `InvariantError`.
     """
--- a/tests/store/raft_nodes.py
+++ b/tests/store/raft_nodes.py
@@ -15,12 +15,12 @@
     hard_state: HardState | None = None,
     entries: Iterable[Entry] = (),
 ) -> RaftNode:
-    """Returns a follower with an empty log, or with the given state."""
+    """Return a follower with an empty log, or with the given state."""
     return RaftNode(name, voters, random.Random(1).randrange, hard_state=hard_state, entries=entries)
 
 
 def make_follower() -> RaftNode:
-    """Returns node `a` of `abc` as a follower of the leader `b` in term 1. Its reply to `b` is discarded."""
+    """Return node `a` of `abc` as a follower of the leader `b` in term 1. Its reply to `b` is discarded."""
     node = make_node()
     node.step(Message(MessageKind.APPEND, "b", "a", 1))
     node.ready()
@@ -28,7 +28,7 @@
 
 
 def elect(node: RaftNode, voters: str) -> None:
-    """Makes `node` the leader of the next term with the votes of `voters`, and discards its messages."""
+    """Make `node` the leader of the next term with the votes of `voters`, and discard its messages."""
     term = node.term + 1
     while node.role is Role.FOLLOWER:
         node.tick()
@@ -41,7 +41,7 @@
 
 
 def make_leader(followers: str = "bc") -> RaftNode:
-    """Returns node `a` of `abc` as a leader whose first entry is committed and stored by `followers`."""
+    """Return node `a` of `abc` as a leader whose first entry is committed and stored by `followers`."""
     node = make_node()
     elect(node, followers)
     acknowledge_all(node, followers)
@@ -51,7 +51,7 @@
 
 
 def acknowledge_all(leader: RaftNode, followers: str) -> None:
-    """Sends the leader replies in which `followers` acknowledge its complete log and its latest heartbeat."""
+    """Send the leader replies in which `followers` acknowledge its complete log and its latest heartbeat."""
     for follower in followers:
         leader.step(
             Message(
--- a/tests/store/register_user.py
+++ b/tests/store/register_user.py
@@ -33,7 +33,7 @@
         self.histories = histories
 
     async def run(self, stopped: asyncio.Event) -> None:
-        """Uses the keys, with pauses, until `stopped` is set."""
+        """Use the keys, with pauses, until `stopped` is set."""
         for turn in itertools.count():
             if stopped.is_set():
                 return
@@ -83,7 +83,7 @@
         self.record(key, Kind.PUT, value, called_at, returned_at)
 
     async def swap(self, key: str, value: str) -> None:
-        """Reads the key and replaces the value that was read. Records nothing if the read gets no reply."""
+        """Read the key and replace the value that was read. Records nothing if the read gets no reply."""
         called_at = time.monotonic()
         try:
             found = await self.client.get(key)
--- a/tests/store/store_command.py
+++ b/tests/store/store_command.py
@@ -9,6 +9,6 @@
 
 
 def run_store_command(*arguments: object) -> subprocess.CompletedProcess[str]:
-    """Runs `wheatstile store` with these arguments until it ends, and returns its status and output."""
+    """Run `wheatstile store` with these arguments until it ends, and return its status and output."""
     command = [sys.executable, "-m", "wheatstile", "store", *map(str, arguments)]
     return subprocess.run(command, capture_output=True, text=True, check=False, timeout=COMMAND_TIMEOUT_S)
--- a/tests/store/test_applied_state.py
+++ b/tests/store/test_applied_state.py
@@ -19,7 +19,7 @@
 
 
 def apply_committed(node: RaftNode, applied: AppliedState) -> None:
-    """Applies the node's committed entries to `applied`."""
+    """Apply the node's committed entries to `applied`."""
     for entry in node.ready().committed_entries:
         applied.apply(entry)
 
--- a/tests/store/test_backup.py
+++ b/tests/store/test_backup.py
@@ -29,7 +29,7 @@
 def use_member(
     directory: Path, cluster: str, use: Callable[[StoreClient], Awaitable[None]], name: str = "a"
 ) -> None:
-    """Starts one member on the directory, calls `use` with a client, and ends the member by SIGTERM."""
+    """Start one member on the directory, call `use` with a client, and end the member by SIGTERM."""
     process = Program("store", "serve", "--name", name, "--cluster", cluster, "--dir", str(directory))
 
     async def run(port: int) -> None:
@@ -45,7 +45,7 @@
 
 
 def create_backup(root: Path) -> tuple[Path, int]:
-    """Returns a backup file with the keys `k/0` to `k/59`, and the revision of the last one.
+    """Return a backup file with the keys `k/0` to `k/59`, and the revision of the last one.
 
     Starts a cluster of three members for it, and ends it again.
     """
@@ -110,7 +110,7 @@
 
 @pytest.fixture
 def member_with_small_files(tmp_path: Path) -> Iterator[subprocess.Popen[str]]:
-    """Starts a member in `tmp_path / "a"` whose files cannot exceed `MAX_FILE_BYTES`; kills it at the end."""
+    """Start a member in `tmp_path / "a"` whose files cannot exceed `MAX_FILE_BYTES`; kills it at the end."""
     member = subprocess.Popen(
         [sys.executable, "-m", "wheatstile", "store", "serve", "--dir", str(tmp_path / "a")],
         stdout=subprocess.PIPE,
@@ -124,7 +124,7 @@
 
 
 async def fill_disk(client_port: int) -> list[str]:
-    """Writes keys until the member does not reply, and returns the acknowledged keys."""
+    """Write keys until the member does not reply, and return the acknowledged keys."""
     acknowledged: list[str] = []
     with closing(StoreClient({"store": client_port}, 2.0)) as client, suppress(OutcomeUnknownError):
         for number in range(1000):
--- a/tests/store/test_framing.py
+++ b/tests/store/test_framing.py
@@ -15,7 +15,7 @@
 
 @pytest.fixture
 def sockets() -> Iterator[tuple[socket.socket, socket.socket]]:
-    """Yields a connected pair (sender, receiver), and closes both."""
+    """Yield a connected pair (sender, receiver), and close both."""
     sender, receiver = socket.socketpair()
     receiver.setblocking(False)
     with sender, receiver:
@@ -23,7 +23,7 @@
 
 
 async def read_all(receiver: socket.socket, max_frame_bytes: int = 1024) -> list[str]:
-    """Returns the values of all frames up to the end of the stream."""
+    """Return the values of all frames up to the end of the stream."""
     frames = FrameReader(receiver, max_frame_bytes)
     values = []
     while (value := await frames.read(str)) is not None:
--- a/tests/store/test_pending_reads.py
+++ b/tests/store/test_pending_reads.py
@@ -13,7 +13,7 @@
 
 
 async def start_read(reads: PendingReads) -> asyncio.Task[int]:
-    """Returns a task that has requested a read index and waits for it."""
+    """Return a task that has requested a read index and waits for it."""
     read = asyncio.create_task(reads.read_index())
     await asyncio.sleep(0)
     return read
--- a/tests/store/test_proposal_queue.py
+++ b/tests/store/test_proposal_queue.py
@@ -20,12 +20,12 @@
 
 
 def make_queue(node: RaftNode) -> ProposalQueue:
-    """Returns an empty queue. It needs a running event loop."""
+    """Return an empty queue. It needs a running event loop."""
     return ProposalQueue(node, lambda: CLOCK_MS)
 
 
 def propose_command(queue: ProposalQueue) -> asyncio.Future[CommandResult]:
-    """Submits a command and proposes what is due, and returns the future of the command's result."""
+    """Submit a command and propose what is due, and return the future of the command's result."""
     result = queue.submit(Command())
     queue.propose_due()
     return result
--- a/tests/store/test_raft_log.py
+++ b/tests/store/test_raft_log.py
@@ -15,7 +15,7 @@
 
 
 def make_log(count: int, data: bytes = b"") -> RaftLog:
-    """Returns a log of `count` committed entries of term 1. Entry 2 changes the configuration."""
+    """Return a log of `count` committed entries of term 1. Entry 2 changes the configuration."""
     entries = [Entry(1, index, EntryKind.DATA, data) for index in range(1, count + 1)]
     if count > 1:
         entries[1] = Entry(1, 2, EntryKind.CONFIGURATION, configuration=Configuration(frozenset("abcd")))
--- a/tests/store/test_raft_model.py
+++ b/tests/store/test_raft_model.py
@@ -30,12 +30,12 @@
 
 
 def start_node(name: str, hard_state: HardState | None = None, log: tuple[Entry, ...] = ()) -> RaftNode:
-    """Returns a node whose election time-outs are not random."""
+    """Return a node whose election time-outs are not random."""
     return RaftNode(name, NAMES, lambda low, _high: low, hard_state=hard_state, entries=log)
 
 
 def clone_node(node: RaftNode) -> RaftNode:
-    """Returns a copy that shares no mutable state with `node`."""
+    """Return a copy that shares no mutable state with `node`."""
     clone = copy.copy(node)
     clone.state = clone_state(node.state)
     return clone
@@ -76,7 +76,7 @@
 
 
 def node_key(node: RaftNode) -> Hashable:
-    """Returns a key that differs for different states of a node."""
+    """Return a key that differs for different states of a node."""
     state = node.state
     progress = tuple(
         (
@@ -112,12 +112,12 @@
     depth: int = 0
 
     def key(self) -> Hashable:
-        """Returns a key that differs for different states. The depth is not part of it."""
+        """Return a key that differs for different states. The depth is not part of it."""
         nodes = tuple(node_key(node) for node in self.nodes.values())
         return nodes, self.messages, self.leaders, self.committed, self.crashes
 
     def after(self, node: RaftNode, messages: frozenset[Message], crashes: int = 0) -> ModelState:
-        """Returns the state after a step of `node`, which may have sent messages."""
+        """Return the state after a step of `node`, which may have sent messages."""
         ready = node.ready()
         leaders = self.leaders
         if node.role is Role.LEADER:
@@ -133,7 +133,7 @@
         )
 
     def successors(self) -> Iterator[ModelState]:
-        """Yields the states after each possible step."""
+        """Yield the states after each possible step."""
         for message in self.messages:
             node = clone_node(self.nodes[message.recipient])
             node.step(message)
@@ -142,7 +142,7 @@
             yield from self.successors_by(node)
 
     def successors_by(self, node: RaftNode) -> Iterator[ModelState]:
-        """Yields the states after a campaign, a proposal or a crash of `node`."""
+        """Yield the states after a campaign, a proposal or a crash of `node`."""
         if node.role is not Role.LEADER and node.term < MAX_TERMS:
             candidate = clone_node(node)
             election.start_election(candidate.state)
@@ -156,7 +156,7 @@
             yield self.after(restarted, self.messages, crashes=1)
 
     def check(self) -> None:
-        """Checks that a term has one leader, an index one committed entry, and leaders have all of them."""
+        """Check that a term has one leader, an index one committed entry, and leaders have all of them."""
         terms = {term for term, _ in self.leaders}
         assert len(terms) == len(self.leaders), f"two leaders in a term: {sorted(self.leaders)}"
         entries: dict[int, Entry] = {}
@@ -167,7 +167,7 @@
                 self.check_leader_completeness(node)
 
     def check_leader_completeness(self, leader: RaftNode) -> None:
-        """Checks that a leader's log has every entry that was committed up to its term."""
+        """Check that a leader's log has every entry that was committed up to its term."""
         for index, term, entry in self.committed:
             if leader.term >= term:
                 stored = leader.log.entries[index - 1] if leader.log.last_index >= index else None
--- a/tests/store/test_raft_mutations.py
+++ b/tests/store/test_raft_mutations.py
@@ -97,7 +97,7 @@
 
 
 def check_histories() -> None:
-    """Raises `InvariantError` if one of `HISTORIES` random histories violates an invariant."""
+    """Raise `InvariantError` if one of `HISTORIES` random histories violates an invariant."""
     for seed in range(HISTORIES):
         run_history(seed)
 
@@ -111,7 +111,7 @@
 
 
 def check_earlier_terms_entry_is_not_counted() -> None:
-    """Checks figure 8 of the paper: an earlier term's entry on a majority may still be overwritten."""
+    """Check figure 8 of the paper: an earlier term's entry on a majority may still be overwritten."""
     node = make_node(
         voters="abcde",
         hard_state=HardState(3, None, 0),
@@ -127,7 +127,7 @@
 
 
 def check_vote_survives_crash() -> None:
-    """Checks that a node does not vote again in the same term after a crash."""
+    """Check that a node does not vote again in the same term after a crash."""
     disk = PersistedState()
     for candidate, granted in (("b", True), ("c", False)):
         node = make_node(hard_state=disk.hard_state)
--- a/tests/store/test_raft_node.py
+++ b/tests/store/test_raft_node.py
@@ -16,7 +16,7 @@
 
 
 def check_all_members_caught_up(cluster: SimulatedCluster, seed: int) -> None:
-    """Checks that there is a leader, and that no running member is far behind it."""
+    """Check that there is a leader, and that no running member is far behind it."""
     newest = max(cluster.leaders(), key=lambda node: node.term, default=None)
     assert newest, f"seed {seed}: there is no leader after the faults"
     for name in newest.log.configuration.members - cluster.crashed:
--- a/tests/store/test_raft_transfer.py
+++ b/tests/store/test_raft_transfer.py
@@ -11,7 +11,7 @@
 
 
 def recipients_of_timeout_now(node: RaftNode) -> list[str]:
-    """Returns the nodes that `node` has told to campaign since the last call."""
+    """Return the nodes that `node` has told to campaign since the last call."""
     messages = node.ready().messages
     return [message.recipient for message in messages if message.kind is MessageKind.TIMEOUT_NOW]
 
--- a/tests/store/test_state_machine.py
+++ b/tests/store/test_state_machine.py
@@ -37,12 +37,12 @@
 
 @pytest.fixture
 def machine() -> StateMachine:
-    """Returns an empty state machine."""
+    """Return an empty state machine."""
     return StateMachine()
 
 
 def replay_events(events: list[Event]) -> dict[str, bytes]:
-    """Returns the keys and values that result from the events."""
+    """Return the keys and values that result from the events."""
     state: dict[str, bytes] = {}
     for event in events:
         if event.change is ChangeKind.PUT:
--- a/tests/store/test_storage.py
+++ b/tests/store/test_storage.py
@@ -15,7 +15,7 @@
 
 
 def make_entries(first: int, count: int, term: int) -> list[Entry]:
-    """Returns `count` entries from index `first` on."""
+    """Return `count` entries from index `first` on."""
     return [
         Entry(term, index, EntryKind.DATA, f"{term}:{index}".encode())
         for index in range(first, first + count)
@@ -23,18 +23,18 @@
 
 
 def make_snapshot(index: int, term: int) -> Snapshot:
-    """Returns a snapshot at `index` with the data "state"."""
+    """Return a snapshot at `index` with the data "state"."""
     return Snapshot(index, term, Configuration(frozenset("abc")), b"state")
 
 
 def recover(directory: Path) -> DirectoryContents:
-    """Opens and closes the directory as after a crash, and returns its contents."""
+    """Open and close the directory as after a crash, and return its contents."""
     with Storage(directory, "c", "a", sync=False) as storage:
         return storage.recovered
 
 
 def append_records(directory: Path, *records: tuple[HardState | None, list[Entry]]) -> list[int]:
-    """Appends records to the directory's log, and returns the size of the log after each of them."""
+    """Append records to the directory's log, and return the size of the log after each of them."""
     sizes_bytes = []
     with Storage(directory, "c", "a", sync=False) as storage:
         for hard_state, entries in records:
--- a/tests/store/test_store_client.py
+++ b/tests/store/test_store_client.py
@@ -53,7 +53,7 @@
 
 @asynccontextmanager
 async def serve_members(**members: ScriptedMember) -> AsyncIterator[StoreClient]:
-    """Serves the members and yields a client, which asks them in the order of their names; closes all."""
+    """Serve the members and yield a client, which asks them in the order of their names; close all."""
     servers = {
         name: await asyncio.start_server(member.serve, "127.0.0.1", 0) for name, member in members.items()
     }
--- a/tests/store/test_store_server.py
+++ b/tests/store/test_store_server.py
@@ -36,7 +36,7 @@
 async def use_keys_under_faults(
     cluster: ProcessCluster, clients: Sequence[StoreClient], seed: int
 ) -> tuple[Histories, list[str]]:
-    """Runs concurrent clients while faults are injected, and returns their histories and the faults."""
+    """Run concurrent clients while faults are injected, and return their histories and the faults."""
     stopped = asyncio.Event()
     histories: Histories = {key: [] for key in KEYS}
     async with asyncio.TaskGroup() as tasks:
@@ -48,7 +48,7 @@
 
 
 async def recover(cluster: ProcessCluster) -> None:
-    """Ends all faults, starts the missing members, and waits until all members have applied a write."""
+    """End all faults, start the missing members, and wait until all members have applied a write."""
     cluster.resume_all()
     cluster.inject("heal")
     cluster.start_missing()
@@ -58,13 +58,13 @@
 
 
 async def wait_until_all_applied(client: StoreClient, cluster: ProcessCluster, revision: int) -> None:
-    """Waits until all members have applied a revision."""
+    """Wait until all members have applied a revision."""
     for name in cluster.names:
         await wait_until_applied(client, name, revision)
 
 
 async def wait_until_applied(client: StoreClient, name: str, revision: int) -> None:
-    """Waits until a member has applied a revision."""
+    """Wait until a member has applied a revision."""
     while (await client.status(name)).applied_index < revision:
         await asyncio.sleep(0.05)
 
@@ -86,7 +86,7 @@
 
 
 async def run_command(cluster: ProcessCluster, *arguments: str) -> str:
-    """Runs `wheatstile store` with these arguments until it ends, and returns its output.
+    """Run `wheatstile store` with these arguments until it ends, and return its output.
 
     Raises AssertionError with the error output if the exit status is not 0.
     """
@@ -125,7 +125,7 @@
 
 
 async def watch_until_last_value(client: StoreClient) -> list[str]:
-    """Returns the values of the keys `w/>` in the order of their events, up to `LAST_VALUE`."""
+    """Return the values of the keys `w/>` in the order of their events, up to `LAST_VALUE`."""
     values: list[str] = []
     async for event in client.watch("w/>", 0):
         values.append(event.value.decode())
--- a/tests/support/known_red.py
+++ b/tests/support/known_red.py
@@ -43,11 +43,11 @@
         return self.name.startswith(CASE_PREFIX)
 
     def matches(self, node_id: str) -> bool:
-        """Returns whether a test, or one of its parameter sets, has this entry's id."""
+        """Return whether a test, or one of its parameter sets, has this entry's id."""
         return node_id == self.name or node_id.startswith(f"{self.name}[")
 
     def applies(self, environment: dict[str, str]) -> bool:
-        """Returns whether the entry holds in this environment."""
+        """Return whether the entry holds in this environment."""
         condition = self.fields.get("environment")
         if condition is None:
             return True
@@ -55,7 +55,7 @@
         return environment.get(name) == value
 
     def summary(self) -> str:
-        """Returns the line that is printed for a listed test that failed."""
+        """Return the line that is printed for a listed test that failed."""
         return f"known red: {self.name} (issue {self.fields['issue']}): {self.fields['seen']}"
 
 
@@ -64,7 +64,7 @@
 
 
 def parse(text: str) -> list[KnownRed]:
-    """Returns the entries of KNOWN-RED.txt. Raises KnownRedError."""
+    """Return the entries of KNOWN-RED.txt. Raises KnownRedError."""
     entries: list[KnownRed] = []
     for number, line in enumerate(text.splitlines(), 1):
         if not line.strip() or line.startswith("#"):
@@ -90,7 +90,7 @@
 
 
 def unknown_entries(entries: Iterable[KnownRed], node_ids: list[str], root: Path) -> list[KnownRed]:
-    """Returns the entries that name no test, as far as the collected tests show it."""
+    """Return the entries that name no test, as far as the collected tests show it."""
     collected_files = {node_id.partition("::")[0] for node_id in node_ids}
     unknown = []
     for entry in entries:
@@ -103,7 +103,7 @@
 
 
 def pytest_configure(config: pytest.Config) -> None:
-    """Reads the file."""
+    """Read the file."""
     path = config.rootpath / FILE_NAME
     try:
         config.stash[ENTRIES] = parse(path.read_text()) if path.is_file() else []
@@ -113,7 +113,7 @@
 
 
 def pytest_collection_finish(session: pytest.Session) -> None:
-    """Stops the run if an entry names no test. A run of chosen tests of a file checks nothing."""
+    """Stop the run if an entry names no test. A run of chosen tests of a file checks nothing."""
     config = session.config
     if any("::" in argument for argument in config.args) or config.getoption("keyword"):
         return
@@ -127,7 +127,7 @@
 
 @pytest.hookimpl(wrapper=True)
 def pytest_runtest_makereport(item: pytest.Item) -> Generator[None, pytest.TestReport, pytest.TestReport]:
-    """Reports the failure of a listed test as expected."""
+    """Report the failure of a listed test as expected."""
     report = yield
     if report.when != "call" or not report.failed:
         return report
@@ -141,6 +141,6 @@
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter, config: pytest.Config) -> None:
-    """Prints the listed tests that failed."""
+    """Print the listed tests that failed."""
     for entry in config.stash[FAILED]:
         terminalreporter.write_line(entry.summary())
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -29,7 +29,7 @@
 
 @cache
 def words() -> frozenset[str]:
-    """Returns all words of the repository's sources, and the names of its modules."""
+    """Return all words of the repository's sources, and the names of its modules."""
     found: set[str] = set()
     for source in SOURCES:
         path = ROOT / source
@@ -43,13 +43,13 @@
 
 
 def is_known_word(word: str) -> bool:
-    """Returns whether the sources have a word, or a prefix that the program completes (`attempts_`)."""
+    """Return whether the sources have a word, or a prefix that the program completes (`attempts_`)."""
     prefixes = [word[: index + 1] for index, letter in enumerate(word) if letter == "_"]
     return word in words() or any(prefix in words() for prefix in prefixes if len(prefix) > 1)
 
 
 def unknown_names(text: str) -> list[str]:
-    """Returns the names and paths in backticks that the repository does not have."""
+    """Return the names and paths in backticks that the repository does not have."""
     unknown = []
     for name in BACKTICKS.findall(CODE_BLOCK.sub("", HISTORY.sub("", text))):
         if PATH.fullmatch(name) and (ROOT / name.split("/")[0]).exists():
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -28,7 +28,7 @@
 
 
 def run_sample(folder: Path, known_red: str, **environment: str) -> tuple[int, str]:
-    """Runs SAMPLE with this KNOWN-RED.txt; returns the exit status and the output."""
+    """Run SAMPLE with this KNOWN-RED.txt; return the exit status and the output."""
     (folder / "test_sample.py").write_text(SAMPLE)
     (folder / "KNOWN-RED.txt").write_text(known_red)
     run = subprocess.run(
--- a/wheatstile/store/applied_state.py
+++ b/wheatstile/store/applied_state.py
@@ -35,31 +35,31 @@
         return self._node.log.applied_index
 
     async def wait_for(self, index: int) -> None:
-        """Waits until the entry at `index` is applied."""
+        """Wait until the entry at `index` is applied."""
         while self.index < index:
             await self.next_application.wait()
 
     def clock_ms(self) -> int:
-        """Returns the running clock on the leader, and the committed clock on other members."""
+        """Return the running clock on the leader, and the committed clock on other members."""
         committed_ms = self.state_machine.clock_ms
         if self._leader_clock.term != self._node.term or self._node.role is not Role.LEADER:
             return committed_ms
         return self._leader_clock.now_ms(committed_ms)
 
     def is_expiration_due(self) -> bool:
-        """Returns whether a key has expired by the running clock, but not by the committed clock."""
+        """Return whether a key has expired by the running clock, but not by the committed clock."""
         expires_at_ms = self.state_machine.next_expiration_ms()
         if expires_at_ms is None or self._leader_clock.term != self._node.term:
             return False
         return expires_at_ms <= self.clock_ms()
 
     def install(self, snapshot: Snapshot) -> None:
-        """Replaces the state by that of a snapshot."""
+        """Replace the state by that of a snapshot."""
         self.state_machine = StateMachine.load(snapshot.data)
         self._trace(f"snapshot {snapshot.index}")
 
     def apply(self, entry: Entry) -> CommandResult:
-        """Applies a committed entry and returns its result."""
+        """Apply a committed entry and return its result."""
         result = CommandResult(True, entry.index)
         if entry.kind is EntryKind.DATA:
             command = msgspec.msgpack.decode(entry.data, type=Command)
--- a/wheatstile/store/backup.py
+++ b/wheatstile/store/backup.py
@@ -39,12 +39,12 @@
 
 
 def write_backup(path: Path, cluster: str, revision: int, data: bytes) -> None:
-    """Writes a backup, completely or not at all. Raises OSError."""
+    """Write a backup, completely or not at all. Raises OSError."""
     replace_file(path, [BackupHeader(FORMAT, cluster, revision), data], os.fsync)
 
 
 def read_backup(path: Path) -> Backup:
-    """Reads a backup. Raises `CorruptStorageError`, OSError."""
+    """Read a backup. Raises `CorruptStorageError`, OSError."""
     if not path.exists():
         raise CorruptStorageError(str(path), None, "the file does not exist")
     records = list(read_records(path))
@@ -57,7 +57,7 @@
 
 
 def restore_backup(path: Path, directory: Path, cluster: str, name: str) -> BackupHeader:
-    """Creates the directory of the first member of a new cluster from a backup, and returns its header.
+    """Create the directory of the first member of a new cluster from a backup, and return its header.
 
     Revisions continue from the backup's revision. Client sessions are omitted, because it is unknown what the
     clients wrote after the backup. Raises `CorruptStorageError`, `RestoreRejectedError`, OSError.
--- a/wheatstile/store/client.py
+++ b/wheatstile/store/client.py
@@ -91,13 +91,13 @@
         self._sequence = 0
 
     def close(self) -> None:
-        """Closes the connections."""
+        """Close the connections."""
         self._connections.close()
 
     async def write(
         self, operations: Iterable[Operation], preconditions: Iterable[Precondition] = ()
     ) -> CommandResult:
-        """Applies all `operations`, or none if a precondition does not hold."""
+        """Apply all `operations`, or none if a precondition does not hold."""
         async with self._writing:
             self._sequence += 1
             command = Command(list(operations), list(preconditions), self._session_id, self._sequence)
@@ -114,34 +114,34 @@
     async def put(
         self, key: str, value: bytes, expected_revision: int = ANY_REVISION, ttl_ms: int = 0
     ) -> CommandResult:
-        """Writes a key if it is at `expected_revision`. It expires after `ttl_ms`, unless that is 0."""
+        """Write a key if it is at `expected_revision`. It expires after `ttl_ms`, unless that is 0."""
         return await self.write([Operation(OperationKind.PUT, key, value, expected_revision, ttl_ms)])
 
     async def delete(self, key: str, expected_revision: int = ANY_REVISION) -> CommandResult:
-        """Deletes a key if it is at `expected_revision`."""
+        """Delete a key if it is at `expected_revision`."""
         operation = Operation(OperationKind.DELETE, key, expected_revision=expected_revision)
         return await self.write([operation])
 
     async def get(self, key: str, max_staleness_ms: int = LINEARIZABLE) -> KeyVersion | None:
-        """Returns the key's latest version; linearizable unless `max_staleness_ms` allows an older one."""
+        """Return the key's latest version; linearizable unless `max_staleness_ms` allows an older one."""
         reply = await self.request(Request(RequestKind.GET, key=key, max_staleness_ms=max_staleness_ms))
         return reply.versions[0] if reply.versions else None
 
     async def list_matching(self, pattern: str, max_staleness_ms: int = LINEARIZABLE) -> Listing:
-        """Returns all keys that match `pattern`; linearizable unless `max_staleness_ms` is given."""
+        """Return all keys that match `pattern`; linearizable unless `max_staleness_ms` is given."""
         request = Request(RequestKind.LIST, key=pattern, max_staleness_ms=max_staleness_ms)
         reply = await self.request(request)
         return Listing(reply.revision, reply.versions)
 
     async def status(self, name: str) -> MemberStatus:
-        """Returns the status of a member. Raises OSError, TimeoutError, ValueError."""
+        """Return the status of a member. Raises OSError, TimeoutError, ValueError."""
         async with asyncio.timeout(min(self._timeout_s, MAX_ATTEMPT_S)):
             reply = await self._connections.request(name, Request(RequestKind.STATUS))
         assert reply.status is not None
         return reply.status
 
     async def statuses(self) -> dict[str, MemberStatus | str]:
-        """Returns the status of each member, or the reason why it was not reached."""
+        """Return the status of each member, or the reason why it was not reached."""
         statuses: dict[str, MemberStatus | str] = {}
         for name in sorted(self._members):
             try:
@@ -151,14 +151,14 @@
         return statuses
 
     async def find_leader(self) -> MemberStatus | None:
-        """Returns the status of the leader with the highest term, or None if no member is a leader."""
+        """Return the status of the leader with the highest term, or None if no member is a leader."""
         statuses = (await self.statuses()).values()
         reached = [status for status in statuses if isinstance(status, MemberStatus)]
         leaders = [status for status in reached if status.role is Role.LEADER]
         return max(leaders, key=lambda status: status.term, default=None)
 
     async def change_members(self, voters: Iterable[str], learners: Iterable[str] = ()) -> MemberStatus:
-        """Changes the members, and returns the leader's status after the change."""
+        """Change the members, and return the leader's status after the change."""
         request = Request(RequestKind.CHANGE_MEMBERS, voters=sorted(voters), learners=sorted(learners))
         reply = await self.request(request)
         assert reply.status is not None
@@ -169,7 +169,7 @@
         await self.request(Request(RequestKind.TRANSFER_LEADERSHIP, key=target))
 
     async def download_state(self) -> DownloadedState:
-        """Returns the complete state for a backup. The read is linearizable."""
+        """Return the complete state for a backup. The read is linearizable."""
         reply = await self.request(Request(RequestKind.BACKUP))
         name = self._target
         data = bytearray(reply.chunk)
@@ -184,7 +184,7 @@
         return DownloadedState(reply.revision, bytes(data))
 
     async def request(self, request: Request) -> Reply:
-        """Sends a request to one member after another until one of them gives a final reply."""
+        """Send a request to one member after another until one of them gives a final reply."""
         loop = asyncio.get_running_loop()
         deadline_s = loop.time() + self._timeout_s
         last_failure = "no member was asked before the time-out"
@@ -209,20 +209,20 @@
         raise OutcomeUnknownError(last_failure)
 
     async def _attempt(self, request: Request, remaining_s: float) -> Reply:
-        """Sends a request to the current target, which has up to `MAX_ATTEMPT_S` for it."""
+        """Send a request to the current target, which has up to `MAX_ATTEMPT_S` for it."""
         timeout_ms = max(1, int(min(remaining_s, MAX_ATTEMPT_S) * 1000))
         limited = msgspec.structs.replace(request, timeout_ms=timeout_ms)
         async with asyncio.timeout(min(remaining_s, MAX_ATTEMPT_S + ATTEMPT_MARGIN_S)):
             return await self._connections.request(self._target, limited)
 
     async def _try_next_member(self, deadline_s: float) -> None:
-        """Selects the next member as the target, and pauses, at most until the deadline."""
+        """Select the next member as the target, and pause, at most until the deadline."""
         self._target = next(self._names)
         remaining_s = deadline_s - asyncio.get_running_loop().time()
         await asyncio.sleep(min(RETRY_DELAY_S, max(0.0, remaining_s)))
 
     async def watch(self, pattern: str, after_revision: int) -> AsyncIterator[Event]:
-        """Yields the events of matching keys after a revision, without a gap or a repetition.
+        """Yield the events of matching keys after a revision, without a gap or a repetition.
 
         Continues with the next member when a connection is lost. Raises `WatchCompactedError`.
         """
@@ -238,7 +238,7 @@
             await asyncio.sleep(RETRY_DELAY_S)
 
     async def _watch_member(self, name: str, pattern: str, revision: int) -> AsyncGenerator[Reply, None]:
-        """Yields one member's replies to a watch until the connection ends.
+        """Yield one member's replies to a watch until the connection ends.
 
         Raises `WatchCompactedError`, OSError, ValueError, and TimeoutError after `WATCH_SILENCE_S` without a
         reply.
--- a/wheatstile/store/client_connections.py
+++ b/wheatstile/store/client_connections.py
@@ -21,7 +21,7 @@
         self._readers: dict[str, FrameReader] = {}
 
     async def request(self, name: str, request: Request) -> Reply:
-        """Sends a request to a member and returns its reply.
+        """Send a request to a member and return its reply.
 
         Raises OSError, `ProtocolError`, `msgspec.DecodeError`.
         """
@@ -36,7 +36,7 @@
         return await self.receive(name)
 
     async def receive(self, name: str) -> Reply:
-        """Returns the member's next reply. Raises the same errors as `request`."""
+        """Return the member's next reply. Raises the same errors as `request`."""
         try:
             reply = await self._readers[name].read(Reply)
             if reply is None:
@@ -47,11 +47,11 @@
         return reply
 
     def discard(self, name: str) -> None:
-        """Closes the connection to a member, if there is one."""
+        """Close the connection to a member, if there is one."""
         if reader := self._readers.pop(name, None):
             reader.sock.close()
 
     def close(self) -> None:
-        """Closes all connections."""
+        """Close all connections."""
         for name in list(self._readers):
             self.discard(name)
--- a/wheatstile/store/client_service.py
+++ b/wheatstile/store/client_service.py
@@ -32,7 +32,7 @@
 
 
 async def send_reply(sock: socket.socket, reply: Reply) -> None:
-    """Sends one reply. Raises OSError, and TimeoutError if the client does not read it."""
+    """Send one reply. Raises OSError, and TimeoutError if the client does not read it."""
     async with asyncio.timeout(SEND_TIMEOUT_S):
         await asyncio.get_running_loop().sock_sendall(sock, encode_frame(reply))
 
@@ -45,7 +45,7 @@
         self._client_count = 0
 
     async def serve(self, sock: socket.socket) -> None:
-        """Serves one connection until it ends. Raises `ProtocolError`, `msgspec.DecodeError`, OSError."""
+        """Serve one connection until it ends. Raises `ProtocolError`, `msgspec.DecodeError`, OSError."""
         if self._client_count >= MAX_CLIENTS:
             return
         self._client_count += 1
@@ -118,7 +118,7 @@
         return Reply(status=self._member.status())
 
     async def _read(self, request: Request) -> Reply:
-        """Replies to a get, a list or a history from a state that is as recent as the request demands."""
+        """Reply to a get, a list or a history from a state that is as recent as the request demands."""
         member = self._member
         if request.max_staleness_ms <= LINEARIZABLE:
             await member.wait_until_current()
@@ -133,7 +133,7 @@
         return Reply(versions=versions, revision=member.applied.index, commit_age_ms=member.commit_age_ms)
 
     def _find_versions(self, request: Request) -> list[KeyVersion]:
-        """Returns the versions that a read asks for, but not more than `MAX_LISTED_KEYS` + 1 keys."""
+        """Return the versions that a read asks for, but not more than `MAX_LISTED_KEYS` + 1 keys."""
         state_machine = self._member.applied.state_machine
         found: list[tuple[str, Version]] = []
         match request.kind:
@@ -151,7 +151,7 @@
         ]
 
     async def _send_backup(self, sock: socket.socket) -> None:
-        """Sends the complete current state in chunks."""
+        """Send the complete current state in chunks."""
         data = self._member.applied.state_machine.dump()
         revision = self._member.applied.index
         for start in range(0, len(data), BACKUP_CHUNK_BYTES):
--- a/wheatstile/store/commands.py
+++ b/wheatstile/store/commands.py
@@ -77,7 +77,7 @@
 
 
 def validate(command: Command) -> None:
-    """Checks the limits of a command. Raises `InvalidCommandError`."""
+    """Check the limits of a command. Raises `InvalidCommandError`."""
     clauses = len(command.operations) + len(command.preconditions)
     if clauses > MAX_COMMAND_CLAUSES:
         raise InvalidCommandError(f"{clauses} writes and preconditions; the limit is {MAX_COMMAND_CLAUSES}")
--- a/wheatstile/store/event_history.py
+++ b/wheatstile/store/event_history.py
@@ -42,13 +42,13 @@
         self.compacted_revision = compacted_revision
 
     def append(self, event: Event) -> None:
-        """Adds an event, and discards the oldest events above `MAX_EVENTS`."""
+        """Add an event, and discard the oldest events above `MAX_EVENTS`."""
         self.events.append(event)
         while len(self.events) > MAX_EVENTS:
             self.compacted_revision = self.events.popleft().revision
 
     def after(self, revision: int, limit: int = MAX_EVENTS_PER_READ) -> list[Event]:
-        """Returns the events after `revision`, up to `limit` and the remaining ones of the last revision.
+        """Return the events after `revision`, up to `limit` and the remaining ones of the last revision.
 
         Raises `WatchCompactedError` if some of them were discarded.
         """
--- a/wheatstile/store/framing.py
+++ b/wheatstile/store/framing.py
@@ -24,7 +24,7 @@
 
 
 def encode_frame(value: object) -> bytes:
-    """Returns `value` as one frame."""
+    """Return `value` as one frame."""
     body = msgspec.msgpack.encode(value)
     return LENGTH_PREFIX.pack(len(body)) + body
 
@@ -39,7 +39,7 @@
         self._loop = asyncio.get_running_loop()
 
     async def read(self, kind: type[Decoded]) -> Decoded | None:
-        """Returns the next frame, decoded as a `kind`, or None at the end of the stream.
+        """Return the next frame, decoded as a `kind`, or None at the end of the stream.
 
         Raises `FrameTooLargeError`, OSError, and `msgspec.DecodeError` if the body is not a `kind`.
         """
@@ -53,7 +53,7 @@
             self._buffer += data
 
     def _take_body(self) -> bytes | None:
-        """Removes the first frame from the buffer and returns its body, or None if it is not complete."""
+        """Remove the first frame from the buffer and return its body, or None if it is not complete."""
         if len(self._buffer) < LENGTH_PREFIX.size:
             return None
         (length,) = LENGTH_PREFIX.unpack_from(self._buffer)
@@ -68,7 +68,7 @@
 
 
 async def connect(port: int) -> socket.socket:
-    """Returns a connection to a loopback port, which the caller closes. Raises OSError."""
+    """Return a connection to a loopback port, which the caller closes. Raises OSError."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
         sock.setblocking(False)
--- a/wheatstile/store/inspection.py
+++ b/wheatstile/store/inspection.py
@@ -34,7 +34,7 @@
 
 
 def inspect_directory(directory: Path) -> DirectorySummary:
-    """Returns a summary of a member's directory. Raises `CorruptStorageError`, OSError."""
+    """Return a summary of a member's directory. Raises `CorruptStorageError`, OSError."""
     contents = read_directory(directory)
     return _summarise(contents)
 
--- a/wheatstile/store/key_pattern.py
+++ b/wheatstile/store/key_pattern.py
@@ -7,12 +7,12 @@
 
 
 def split_parts(key: str) -> list[str]:
-    """Returns the parts of a key or of a pattern."""
+    """Return the parts of a key or of a pattern."""
     return key.replace("/", ".").split(".")
 
 
 def matches_pattern(pattern: str, key: str) -> bool:
-    """Returns whether `key` matches. `*` matches one part, and `>` at the end one or more parts."""
+    """Return whether `key` matches. `*` matches one part, and `>` at the end one or more parts."""
     pattern_parts = split_parts(pattern)
     key_parts = split_parts(key)
     last = len(pattern_parts) - 1
--- a/wheatstile/store/leader_clock.py
+++ b/wheatstile/store/leader_clock.py
@@ -23,12 +23,12 @@
         self._started_at_ns = 0
 
     def start(self, term: int, committed_ms: int) -> None:
-        """Starts the clock at the committed clock, as the leader of `term`."""
+        """Start the clock at the committed clock, as the leader of `term`."""
         self.term = term
         self._base_ms = committed_ms
         self._started_at_ns = time.monotonic_ns()
 
     def now_ms(self, committed_ms: int) -> int:
-        """Returns the running clock, which is never less than `committed_ms`."""
+        """Return the running clock, which is never less than `committed_ms`."""
         elapsed_ms = (time.monotonic_ns() - self._started_at_ns) // NANOSECONDS_PER_MS
         return max(committed_ms, self._base_ms + elapsed_ms)
--- a/wheatstile/store/member.py
+++ b/wheatstile/store/member.py
@@ -59,7 +59,7 @@
         self._last_logged_role = Role.FOLLOWER
 
     def close(self) -> None:
-        """Closes the files."""
+        """Close the files."""
         self._storage.close()
 
     async def run(self) -> None:
@@ -78,7 +78,7 @@
         return (self.node.commit_age_ticks + 1) * TICK_MS
 
     def status(self) -> MemberStatus:
-        """Returns the status that clients can request."""
+        """Return the status that clients can request."""
         raft_log = self.node.log
         configuration = raft_log.configuration
         return MemberStatus(
@@ -100,7 +100,7 @@
         )
 
     async def write(self, command: Command) -> CommandResult:
-        """Returns the command's result after it has been committed and applied on this member.
+        """Return the command's result after it has been committed and applied on this member.
 
         Raises `NotLeaderError`, `OutcomeUnknownError`.
         """
@@ -112,7 +112,7 @@
         return await result
 
     async def wait_until_current(self) -> None:
-        """Waits until every entry that was committed before the call is applied on this member (read index).
+        """Wait until every entry that was committed before the call is applied on this member (read index).
 
         Raises `NotLeaderError` if no leader is known. Without a quorum it does not return.
         """
@@ -121,7 +121,7 @@
         await self.applied.wait_for(index)
 
     async def change_members(self, voters: list[str], learners: list[str]) -> None:
-        """Changes the members, and returns when the change is complete.
+        """Change the members, and return when the change is complete.
 
         Raises `NotLeaderError`, `MembershipChangeRejectedError`.
         """
@@ -132,12 +132,12 @@
             await self.applied.next_application.wait()
 
     def transfer_leadership(self, target: str) -> None:
-        """Starts a transfer to `target`. Raises `NotLeaderError`, `MembershipChangeRejectedError`."""
+        """Start a transfer to `target`. Raises `NotLeaderError`, `MembershipChangeRejectedError`."""
         self.node.transfer_leadership(target)
         self.schedule_flush()
 
     def on_message(self, message: Message) -> None:
-        """Handles a message from another member."""
+        """Handle a message from another member."""
         catch_up(self.node)
         self.node.step(message)
         self.schedule_flush()
@@ -156,7 +156,7 @@
             self._loop.call_soon(self._flush)
 
     def _flush(self) -> None:
-        """Processes one `Ready` in the order of its fields, and stops if the storage fails."""
+        """Process one `Ready` in the order of its fields, and stop if the storage fails."""
         self._is_flush_scheduled = False
         if self._failed.done():
             return
@@ -175,7 +175,7 @@
 
     @contextmanager
     def _fail_on_storage_error(self) -> Iterator[None]:
-        """Makes `run` raise `StorageFailedError` if the body raises OSError."""
+        """Make `run` raise `StorageFailedError` if the body raises OSError."""
         try:
             yield
         except OSError as error:
@@ -204,7 +204,7 @@
         self._log_role_change()
 
     def _compact(self) -> None:
-        """Replaces the applied entries by a snapshot. Raises OSError."""
+        """Replace the applied entries by a snapshot. Raises OSError."""
         self.node.compact(self.applied.state_machine.dump())
         raft_log = self.node.log
         self._storage.save_snapshot(raft_log.snapshot, self.node.hard_state, list(raft_log.entries))
--- a/wheatstile/store/peer_transport.py
+++ b/wheatstile/store/peer_transport.py
@@ -44,7 +44,7 @@
         self._new_peers: asyncio.Queue[str] = asyncio.Queue()
 
     async def run(self) -> None:
-        """Sends the queued messages until cancelled, with one task for each peer."""
+        """Send the queued messages until cancelled, with one task for each peer."""
         async with asyncio.TaskGroup() as tasks:
             while True:
                 peer = await self._new_peers.get()
@@ -68,7 +68,7 @@
         return int(fields[0]) if fields and fields[0].isdigit() else None
 
     async def _send_queued(self, peer: str) -> None:
-        """Connects to `peer` when a message is queued, and sends until the connection is lost."""
+        """Connect to `peer` when a message is queued, and send until the connection is lost."""
         outbox = self._outboxes[peer]
         while True:
             message = await outbox.get()
@@ -82,7 +82,7 @@
                 await asyncio.sleep(RECONNECT_DELAY_S)
 
     async def _send_over(self, sock: socket.socket, peer: str, message: Message) -> None:
-        """Sends `message`, and all later messages to the peer, until an OSError."""
+        """Send `message`, and all later messages to the peer, until an OSError."""
         loop = asyncio.get_running_loop()
         outbox = self._outboxes[peer]
         handshake = PeerHandshake(self._config.cluster, self._config.name, peer)
@@ -95,7 +95,7 @@
             message = await outbox.get()
 
     async def receive(self, sock: socket.socket, on_message: Callable[[Message], None]) -> None:
-        """Calls `on_message` for each of a peer's messages until the connection ends.
+        """Call `on_message` for each of a peer's messages until the connection ends.
 
         Raises `ProtocolError`, `msgspec.DecodeError`, OSError.
         """
@@ -112,7 +112,7 @@
             on_message(message)
 
     def _accepts(self, handshake: PeerHandshake) -> bool:
-        """Returns whether the peer belongs to this cluster and the connection is meant for this member."""
+        """Return whether the peer belongs to this cluster and the connection is meant for this member."""
         if (handshake.cluster, handshake.recipient) == (self._config.cluster, self._config.name):
             return True
         log.warning(
--- a/wheatstile/store/pending_reads.py
+++ b/wheatstile/store/pending_reads.py
@@ -23,7 +23,7 @@
         self._request_ids = itertools.count(time.monotonic_ns())
 
     async def read_index(self) -> int:
-        """Returns the index that must be applied before a read that starts now is answered.
+        """Return the index that must be applied before a read that starts now is answered.
 
         Raises `NotLeaderError` if no leader is known. Without a quorum it does not return.
         """
@@ -39,7 +39,7 @@
             self._node.cancel_read(request_id)
 
     def on_ready(self, ready: Ready) -> None:
-        """Resolves the reads that `ready` answers or rejects."""
+        """Resolve the reads that `ready` answers or rejects."""
         for read_state in ready.read_states:
             if read := self._unfinished(read_state.request_id):
                 read.set_result(read_state.index)
@@ -48,6 +48,6 @@
                 read.set_exception(NotLeaderError(self._node.leader))
 
     def _unfinished(self, request_id: int) -> asyncio.Future[int] | None:
-        """Returns the pending read with this identifier, unless its client has cancelled it."""
+        """Return the pending read with this identifier, unless its client has cancelled it."""
         read = self._reads.get(request_id)
         return None if read is None or read.done() else read
--- a/wheatstile/store/proposal_queue.py
+++ b/wheatstile/store/proposal_queue.py
@@ -75,7 +75,7 @@
                 self._propose(queued)
 
     def _is_group_open(self) -> bool:
-        """Returns whether further commands may join those in the queue."""
+        """Return whether further commands may join those in the queue."""
         return (
             self._node.log.commit_index < self._last_proposed_index
             and len(self._queue) < MAX_GROUP_COMMANDS
@@ -93,7 +93,7 @@
         self._proposed[index] = ProposedCommand(self._node.term, queued.result)
 
     def on_applied(self, entry: Entry, result: CommandResult) -> None:
-        """Resolves the command that was proposed at the entry's index, if there is one."""
+        """Resolve the command that was proposed at the entry's index, if there is one."""
         proposed = self._proposed.pop(entry.index, None)
         if proposed is None or proposed.result.done():
             return
--- a/wheatstile/store/raft/election.py
+++ b/wheatstile/store/raft/election.py
@@ -9,13 +9,13 @@
 
 
 def tick(state: RaftState) -> None:
-    """Starts a pre-vote if there was no contact with a leader for an election time-out."""
+    """Start a pre-vote if there was no contact with a leader for an election time-out."""
     if state.election_elapsed >= state.election_timeout and state.name in state.configuration.electors:
         start_pre_vote(state)
 
 
 def check_quorum(state: RaftState) -> None:
-    """Makes the leader step down if no quorum has replied to it for an election time-out (§6.2)."""
+    """Make the leader step down if no quorum has replied to it for an election time-out (§6.2)."""
     if state.election_elapsed < state.timing.election_ticks:
         return
     state.election_elapsed = 0
@@ -33,7 +33,7 @@
 
 
 def start_election(state: RaftState, is_transfer: bool = False) -> None:
-    """Starts a campaign in a new term; `is_transfer` tells that the leader has asked for it (§3.10)."""
+    """Start a campaign in a new term; `is_transfer` tells that the leader has asked for it (§3.10)."""
     state.reset_election_timer()
     state.set_leader(None)
     state.role = Role.CANDIDATE
@@ -72,7 +72,7 @@
 
 
 def _answer_pre_vote(state: RaftState, message: Message, is_up_to_date: bool) -> None:
-    """Replies in the pre-candidate's term if the pre-vote is granted, otherwise in the current term."""
+    """Reply in the pre-candidate's term if the pre-vote is granted, otherwise in the current term."""
     granted = is_up_to_date and message.term > state.term and not state.is_leader_recent
     term = message.term if granted else state.term
     state.send(MessageKind.PRE_VOTE_REPLY, message.sender, term=term, granted=granted)
@@ -88,13 +88,13 @@
 
 
 def on_pre_vote_reply(state: RaftState, message: Message) -> None:
-    """Counts a reply to a pre-vote request."""
+    """Count a reply to a pre-vote request."""
     if state.role is Role.PRE_CANDIDATE and message.term == state.term + 1:
         _count_vote(state, message)
 
 
 def on_vote_reply(state: RaftState, message: Message) -> None:
-    """Counts a reply to a vote request."""
+    """Count a reply to a vote request."""
     if state.role is Role.CANDIDATE and message.term == state.term:
         _count_vote(state, message)
 
@@ -115,7 +115,7 @@
 
 
 def become_leader(state: RaftState) -> None:
-    """Makes this node the leader; its no-op entry lets it commit the entries of earlier terms (§6.4)."""
+    """Make this node the leader; its no-op entry lets it commit the entries of earlier terms (§6.4)."""
     state.role = Role.LEADER
     state.set_leader(state.name)
     state.election_elapsed = 0
@@ -128,6 +128,6 @@
 
 
 def on_timeout_now(state: RaftState, _message: Message) -> None:
-    """Starts a campaign at once, because the leader transfers its leadership to this node (§3.10)."""
+    """Start a campaign at once, because the leader transfers its leadership to this node (§3.10)."""
     if state.name in state.configuration.voters and state.role is Role.FOLLOWER:
         start_election(state, is_transfer=True)
--- a/wheatstile/store/raft/follower.py
+++ b/wheatstile/store/raft/follower.py
@@ -21,7 +21,7 @@
 
 
 def on_append(state: RaftState, message: Message) -> None:
-    """Stores the leader's entries if the preceding entry matches, and advances the commit index."""
+    """Store the leader's entries if the preceding entry matches, and advance the commit index."""
     state.on_leader_contact(message.sender)
     log = state.log
     uncommitted = _skip_committed(log, message)
@@ -43,7 +43,7 @@
 
 
 def _skip_committed(log: RaftLog, message: Message) -> UncommittedEntries:
-    """Returns the entries of an append without those up to the commit index, which match already."""
+    """Return the entries of an append without those up to the commit index, which match already."""
     if message.index >= log.commit_index:
         return UncommittedEntries(message.index, message.log_term, message.entries)
     entries = tuple(entry for entry in message.entries if entry.index > log.commit_index)
@@ -77,7 +77,7 @@
     resume_from: int = 0,
     sender_tick: int = 0,
 ) -> None:
-    """Replies to the leader's message, with the heartbeat round of that message."""
+    """Reply to the leader's message, with the heartbeat round of that message."""
     state.send(
         kind,
         message.sender,
@@ -90,7 +90,7 @@
 
 
 def _store_entries(log: RaftLog, entries: tuple[Entry, ...]) -> None:
-    """Appends the entries that are missing, after removing those that conflict with them."""
+    """Append the entries that are missing, after removing those that conflict with them."""
     for position, entry in enumerate(entries):
         known_term = log.term_at(entry.index)
         if known_term == entry.term:
@@ -102,7 +102,7 @@
 
 
 def _update_confirmed_tick(state: RaftState, message: Message) -> None:
-    """Records as of which tick of this node the commit index is known to have been the leader's."""
+    """Record as of which tick of this node the commit index is known to have been the leader's."""
     if state.log.commit_index < message.commit or not message.echoed_tick:
         return
     confirmed_at_tick = message.echoed_tick - message.commit_age_ticks
@@ -110,7 +110,7 @@
 
 
 def on_snapshot(state: RaftState, message: Message) -> None:
-    """Stores a chunk of a snapshot, and installs the snapshot when it is complete.
+    """Store a chunk of a snapshot, and install the snapshot when it is complete.
 
     Another leader with the same snapshot continues where the previous one stopped.
     """
@@ -128,7 +128,7 @@
 
 
 def _collect_chunk(state: RaftState, chunk: Snapshot, offset: int) -> bytearray:
-    """Adds a chunk if it is the next one of its snapshot, and returns the snapshot's data so far."""
+    """Add a chunk if it is the next one of its snapshot, and return the snapshot's data so far."""
     incoming = state.incoming_snapshot
     if incoming is None or (incoming.index, incoming.term) != (chunk.index, chunk.term):
         incoming = IncomingSnapshot(chunk.index, chunk.term)
--- a/wheatstile/store/raft/log.py
+++ b/wheatstile/store/raft/log.py
@@ -42,7 +42,7 @@
         self.unpersisted_snapshot: Snapshot | None = None
 
     def _find_configurations(self) -> list[LoggedConfiguration]:
-        """Returns the snapshot's configuration and those in the log, oldest first."""
+        """Return the snapshot's configuration and those in the log, oldest first."""
         found = [LoggedConfiguration(self.snapshot.index, self.snapshot.configuration)]
         found += [
             LoggedConfiguration(entry.index, entry.configuration)
@@ -72,7 +72,7 @@
         return self.entries[-1].term if self.entries else self.snapshot.term
 
     def term_at(self, index: int) -> int | None:
-        """Returns the term of the entry at `index`, or None if it is compacted or not in the log yet."""
+        """Return the term of the entry at `index`, or None if it is compacted or not in the log yet."""
         if index == self.snapshot.index:
             return self.snapshot.term
         if index < self.snapshot.index or index > self.last_index:
@@ -80,7 +80,7 @@
         return self.entries[index - self.snapshot.index - 1].term
 
     def batch_from(self, first: int) -> tuple[Entry, ...]:
-        """Returns the entries from index `first` on that fit into one append message."""
+        """Return the entries from index `first` on that fit into one append message."""
         start = first - self.snapshot.index - 1
         entries = self.entries[start : start + MAX_BATCH_ENTRIES]
         size_bytes = 0
@@ -91,7 +91,7 @@
         return tuple(entries)
 
     def append(self, entries: Iterable[Entry]) -> None:
-        """Appends `entries`, the first of which follows the last entry of the log."""
+        """Append `entries`, the first of which follows the last entry of the log."""
         for entry in entries:
             self.entries.append(entry)
             self.unpersisted_entries.append(entry)
@@ -99,7 +99,7 @@
                 self.configurations.append(LoggedConfiguration(entry.index, entry.configuration))
 
     def truncate_from(self, index: int) -> None:
-        """Removes the entries from `index` on.
+        """Remove the entries from `index` on.
 
         The host replaces them on its disk when it stores the next entry, which has a removed index.
         """
@@ -109,26 +109,26 @@
             self.configurations.pop()
 
     def take_committed(self) -> list[Entry]:
-        """Returns the committed entries that are not applied, and marks them as applied."""
+        """Return the committed entries that are not applied, and mark them as applied."""
         start = self.applied_index - self.snapshot.index
         end = self.commit_index - self.snapshot.index
         self.applied_index = self.commit_index
         return self.entries[start:end]
 
     def take_unpersisted_entries(self) -> list[Entry]:
-        """Returns and clears the entries that the host has to store."""
+        """Return and clear the entries that the host has to store."""
         entries = self.unpersisted_entries
         self.unpersisted_entries = []
         return entries
 
     def take_unpersisted_snapshot(self) -> Snapshot | None:
-        """Returns and clears the snapshot that the host has to store, or None if there is none."""
+        """Return and clear the snapshot that the host has to store, or None if there is none."""
         snapshot = self.unpersisted_snapshot
         self.unpersisted_snapshot = None
         return snapshot
 
     def compact(self, data: bytes) -> None:
-        """Replaces the applied entries by a snapshot; `data` is the state after the last of them (§5.1)."""
+        """Replace the applied entries by a snapshot; `data` is the state after the last of them (§5.1)."""
         index = self.applied_index
         term = self.term_at(index)
         if index == self.snapshot.index or term is None:
@@ -139,7 +139,7 @@
         self.configurations = self._find_configurations()
 
     def install(self, snapshot: Snapshot) -> None:
-        """Replaces the log by the leader's `snapshot`; keeps later entries if the log matches it (§5.3)."""
+        """Replace the log by the leader's `snapshot`; keeps later entries if the log matches it (§5.3)."""
         matches = self.term_at(snapshot.index) == snapshot.term
         self.entries = [entry for entry in self.entries if matches and entry.index > snapshot.index]
         self.unpersisted_entries = [
--- a/wheatstile/store/raft/membership.py
+++ b/wheatstile/store/raft/membership.py
@@ -17,7 +17,7 @@
 
 
 def plan_change(state: RaftState, voters: Iterable[str], learners: Iterable[str]) -> Configuration:
-    """Returns the first configuration of the change to these members. A voter is removed from the learners.
+    """Return the first configuration of the change to these members. A voter is removed from the learners.
 
     Raises `NotLeaderError`. Raises `MembershipChangeRejectedError` during another change, before this leader
     has committed an entry, and if there would be no voter.
@@ -37,10 +37,10 @@
 
 
 def final_configuration(joint: Configuration) -> Configuration:
-    """Returns the configuration that completes the change started by `joint`."""
+    """Return the configuration that completes the change started by `joint`."""
     return msgspec.structs.replace(joint, outgoing_voters=frozenset())
 
 
 def is_removed(state: RaftState) -> bool:
-    """Returns whether this leader is no longer a voter and has to step down (§4.2.2)."""
+    """Return whether this leader is no longer a voter and has to step down (§4.2.2)."""
     return state.name not in state.configuration.voters
--- a/wheatstile/store/raft/messages.py
+++ b/wheatstile/store/raft/messages.py
@@ -73,11 +73,11 @@
         return [voters for voters in (self.voters, self.outgoing_voters) if voters]
 
     def has_quorum(self, names: Set[str]) -> bool:
-        """Returns whether the nodes `names` contain the majorities that a decision needs."""
+        """Return whether the nodes `names` contain the majorities that a decision needs."""
         return all(len(names & voters) * 2 > len(voters) for voters in self.majorities)
 
     def quorum_value(self, value_of: Callable[[str], int]) -> int:
-        """Returns the highest value that a quorum has reached; `value_of` returns the value of one voter."""
+        """Return the highest value that a quorum has reached; `value_of` returns the value of one voter."""
         return min(
             sorted(map(value_of, voters), reverse=True)[len(voters) // 2] for voters in self.majorities
         )
@@ -180,7 +180,7 @@
     """Identifiers of reads that were rejected."""
 
     def is_empty(self) -> bool:
-        """Returns whether there is no work."""
+        """Return whether there is no work."""
         persistent = self.hard_state or self.snapshot or self.entries
         volatile = self.messages or self.committed_entries or self.read_states or self.rejected_reads
         return not (persistent or volatile)
--- a/wheatstile/store/raft/node.py
+++ b/wheatstile/store/raft/node.py
@@ -121,14 +121,14 @@
         self.state.ticks += count
 
     def propose(self, data: bytes) -> int:
-        """Appends `data` to the leader's log and returns the index of the entry.
+        """Append `data` to the leader's log and return the index of the entry.
 
         Raises `NotLeaderError` on another node, and on the leader during a leadership transfer.
         """
         return replication.propose(self.state, EntryKind.DATA, data)
 
     def change_members(self, voters: Iterable[str], learners: Iterable[str] = ()) -> int:
-        """Starts a membership change and returns the index of its first entry.
+        """Start a membership change and return the index of its first entry.
 
         The leader appends the entry that completes the change once the first one is committed. Raises
         `NotLeaderError` and `MembershipChangeRejectedError`.
@@ -137,14 +137,14 @@
         return replication.propose(self.state, EntryKind.CONFIGURATION, configuration=configuration)
 
     def transfer_leadership(self, target: str) -> None:
-        """Starts a transfer of leadership to `target`, which campaigns once its log is complete.
+        """Start a transfer of leadership to `target`, which campaigns once its log is complete.
 
         Raises `NotLeaderError` and `MembershipChangeRejectedError`.
         """
         transfer.start(self.state, target)
 
     def read(self, request_id: int) -> None:
-        """Requests a read index; a later `Ready` returns it under `request_id`.
+        """Request a read index; a later `Ready` returns it under `request_id`.
 
         There is no reply if a message is lost. Raises `NotLeaderError` if no leader is known.
         """
@@ -155,11 +155,11 @@
         self.state.forwarded_reads.discard(request_id)
 
     def compact(self, data: bytes) -> None:
-        """Replaces the applied entries by a snapshot; `data` is the state machine's state after them."""
+        """Replace the applied entries by a snapshot; `data` is the state machine's state after them."""
         self.state.log.compact(data)
 
     def step(self, message: Message) -> None:
-        """Handles a message from another member. Raises ValueError if it is addressed to another node."""
+        """Handle a message from another member. Raises ValueError if it is addressed to another node."""
         if message.recipient != self.name:
             raise ValueError(f"a message for {message.recipient} reached {self.name}")
         if message.term < self.term:
@@ -168,7 +168,7 @@
             self._handlers[message.kind](self.state, message)
 
     def ready(self) -> Ready:
-        """Returns the work for the host that has accumulated since the last call."""
+        """Return the work for the host that has accumulated since the last call."""
         state = self.state
         if state.role is Role.LEADER:
             replication.replicate(state)
@@ -195,7 +195,7 @@
 
 
 def message_handlers() -> dict[MessageKind, MessageHandler]:
-    """Returns the function that handles each kind of message.
+    """Return the function that handles each kind of message.
 
     It is a function and not a constant so that a test can replace a handler in its module.
     """
--- a/wheatstile/store/raft/progress.py
+++ b/wheatstile/store/raft/progress.py
@@ -38,13 +38,13 @@
     """The latest tick of its own clock that the follower has reported."""
 
     def can_send(self) -> bool:
-        """Returns whether flow control allows another message."""
+        """Return whether flow control allows another message."""
         if self.probing or self.snapshot:
             return not self.awaiting_reply
         return len(self.inflight) < MAX_INFLIGHT_APPENDS
 
     def on_append_sent(self, entry_count: int) -> None:
-        """Records that an append of `entry_count` entries, starting at `next_index`, was sent."""
+        """Record that an append of `entry_count` entries, starting at `next_index`, was sent."""
         if self.probing:
             self.awaiting_reply = True
         elif entry_count:
@@ -52,7 +52,7 @@
             self.inflight.append(self.next_index - 1)
 
     def on_append_accepted(self, index: int) -> None:
-        """Records that the follower's log matches up to `index`."""
+        """Record that the follower's log matches up to `index`."""
         while self.inflight and self.inflight[0] <= index:
             self.inflight.popleft()
         self.match_index = max(self.match_index, index)
--- a/wheatstile/store/raft/read_index.py
+++ b/wheatstile/store/raft/read_index.py
@@ -16,7 +16,7 @@
 
 
 def request(state: RaftState, request_id: int) -> None:
-    """Starts a read. Raises `NotLeaderError` if no leader is known or too many reads are pending."""
+    """Start a read. Raises `NotLeaderError` if no leader is known or too many reads are pending."""
     if state.role is Role.LEADER:
         register(state, request_id, state.name)
         return
@@ -40,20 +40,20 @@
 
 
 def on_read(state: RaftState, message: Message) -> None:
-    """Handles a read that a follower has forwarded."""
+    """Handle a read that a follower has forwarded."""
     if state.role is Role.LEADER:
         register(state, message.context, message.sender)
 
 
 def on_read_reply(state: RaftState, message: Message) -> None:
-    """Handles the leader's reply to a forwarded read."""
+    """Handle the leader's reply to a forwarded read."""
     if message.context in state.forwarded_reads:
         state.forwarded_reads.discard(message.context)
         state.read_states.append(ReadState(message.context, message.index))
 
 
 def update_confirmed_round(state: RaftState) -> None:
-    """Updates the latest round that a quorum has acknowledged, and answers the reads that waited for it."""
+    """Update the latest round that a quorum has acknowledged, and answer the reads that waited for it."""
     leadership = state.leadership
     leadership.confirmed_round = max(leadership.confirmed_round, _quorum_round(state))
     started_at = _take_confirmed_starts(leadership)
@@ -64,7 +64,7 @@
 
 
 def _quorum_round(state: RaftState) -> int:
-    """Returns the latest heartbeat round that a quorum of the current configuration has acknowledged."""
+    """Return the latest heartbeat round that a quorum of the current configuration has acknowledged."""
     leadership = state.leadership
     rounds = {name: progress.acknowledged_round for name, progress in leadership.progress.items()}
     rounds[state.name] = leadership.round
@@ -72,7 +72,7 @@
 
 
 def _take_confirmed_starts(leadership: Leadership) -> list[int]:
-    """Removes the confirmed rounds from `round_started_at` and returns the ticks at which they started."""
+    """Remove the confirmed rounds from `round_started_at` and return the ticks at which they started."""
     started_at = leadership.round_started_at
     confirmed = [number for number in started_at if number <= leadership.confirmed_round]
     return [started_at.pop(number) for number in confirmed]
--- a/wheatstile/store/raft/replication.py
+++ b/wheatstile/store/raft/replication.py
@@ -17,7 +17,7 @@
 def propose(
     state: RaftState, kind: EntryKind, data: bytes = b"", configuration: Configuration | None = None
 ) -> int:
-    """Appends an entry to the leader's log and returns its index.
+    """Append an entry to the leader's log and return its index.
 
     Raises `NotLeaderError` on another node, and on the leader during a leadership transfer.
     """
@@ -34,7 +34,7 @@
 
 
 def advance_commit(state: RaftState) -> None:
-    """Commits the entries that a quorum has stored, and continues a membership change among them."""
+    """Commit the entries that a quorum has stored, and continue a membership change among them."""
     quorum_index = state.configuration.quorum_value(state.match_index)
     # A majority of copies commits only an entry of the leader's own term (paper, §5.4.2).
     if quorum_index <= state.log.commit_index or state.log.term_at(quorum_index) != state.term:
@@ -57,7 +57,7 @@
 
 
 def broadcast_heartbeat(state: RaftState) -> None:
-    """Starts a heartbeat round.
+    """Start a heartbeat round.
 
     A follower that acknowledges the round still accepted this node as its leader after the round's start.
     """
@@ -77,7 +77,7 @@
 
 
 def replicate(state: RaftState) -> None:
-    """Sends a requested heartbeat, and to each peer what flow control allows."""
+    """Send a requested heartbeat, and to each peer what flow control allows."""
     if state.leadership.heartbeat_requested:
         broadcast_heartbeat(state)
     for peer in state.peers:
@@ -85,7 +85,7 @@
 
 
 def _replicate_to(state: RaftState, peer: str) -> None:
-    """Sends `peer` the entries, or the chunk of a snapshot, that flow control allows."""
+    """Send `peer` the entries, or the chunk of a snapshot, that flow control allows."""
     progress = state.leadership.progress[peer]
     while progress.can_send() and (progress.snapshot or progress.next_index <= state.log.last_index):
         if progress.snapshot is None and state.log.term_at(progress.next_index - 1) is None:
@@ -99,7 +99,7 @@
 
 
 def send_append(state: RaftState, peer: str, entries: tuple[Entry, ...]) -> None:
-    """Sends `entries`, the first of which has the peer's `next_index`. Without entries it is a heartbeat."""
+    """Send `entries`, the first of which has the peer's `next_index`. Without entries it is a heartbeat."""
     progress = state.leadership.progress[peer]
     # A heartbeat to a peer whose preceding entry is compacted refers to the snapshot's last entry instead.
     previous_index = max(progress.next_index - 1, state.log.snapshot.index)
@@ -121,7 +121,7 @@
 
 
 def send_snapshot_chunk(state: RaftState, peer: str) -> None:
-    """Sends the chunk of the snapshot at the peer's offset. Each heartbeat sends it again."""
+    """Send the chunk of the snapshot at the peer's offset. Each heartbeat sends it again."""
     progress = state.leadership.progress[peer]
     snapshot = progress.snapshot
     assert snapshot is not None
@@ -143,7 +143,7 @@
 
 
 def on_append_reply(state: RaftState, message: Message) -> None:
-    """Handles a follower's reply to an append."""
+    """Handle a follower's reply to an append."""
     progress = _record_reply(state, message)
     if progress is None:
         return
@@ -158,7 +158,7 @@
 
 
 def on_snapshot_reply(state: RaftState, message: Message) -> None:
-    """Handles a follower's reply to a chunk of a snapshot."""
+    """Handle a follower's reply to a chunk of a snapshot."""
     progress = _record_reply(state, message)
     if progress is None or progress.snapshot is None:
         return
@@ -171,7 +171,7 @@
 
 
 def _record_reply(state: RaftState, message: Message) -> Progress | None:
-    """Records a follower's reply and returns the follower's progress.
+    """Record a follower's reply and return the follower's progress.
 
     Returns None if this node is not the leader or the sender is not a member.
     """
--- a/wheatstile/store/raft/state.py
+++ b/wheatstile/store/raft/state.py
@@ -154,7 +154,7 @@
         return self.leader is not None and self.election_elapsed < self.timing.election_ticks
 
     def require_leader(self) -> None:
-        """Raises `NotLeaderError` unless this node is the leader."""
+        """Raise `NotLeaderError` unless this node is the leader."""
         if self.role is not Role.LEADER:
             raise NotLeaderError(self.leader)
 
@@ -186,19 +186,19 @@
         )
 
     def reset_election_timer(self) -> None:
-        """Starts a new election time-out of random length (§3.4)."""
+        """Start a new election time-out of random length (§3.4)."""
         self.election_elapsed = 0
         self.election_timeout = self.draw(self.timing.election_ticks, 2 * self.timing.election_ticks)
 
     def set_leader(self, leader: str | None) -> None:
-        """Sets the known leader, and rejects the reads that were forwarded to another one."""
+        """Set the known leader, and reject the reads that were forwarded to another one."""
         if leader != self.leader:
             self.rejected_reads += sorted(self.forwarded_reads)
             self.forwarded_reads.clear()
         self.leader = leader
 
     def become_follower(self, term: int, leader: str | None) -> None:
-        """Makes this node a follower in `term`, which is the current term or a later one."""
+        """Make this node a follower in `term`, which is the current term or a later one."""
         if term > self.term:
             self.term = term
             self.vote = None
@@ -211,13 +211,13 @@
         self.set_leader(leader)
 
     def on_leader_contact(self, leader: str) -> None:
-        """Records a message from the leader of the current term."""
+        """Record a message from the leader of the current term."""
         self.role = Role.FOLLOWER
         self.election_elapsed = 0
         self.set_leader(leader)
 
     def match_index(self, name: str) -> int:
-        """Returns the highest index up to which the log of `name` is known to match this leader's."""
+        """Return the highest index up to which the log of `name` is known to match this leader's."""
         if name == self.name:
             return self.log.last_index
         progress = self.leadership.progress.get(name)
--- a/wheatstile/store/raft/terms.py
+++ b/wheatstile/store/raft/terms.py
@@ -10,7 +10,7 @@
 
 
 def reply_to_earlier_term(state: RaftState, message: Message) -> None:
-    """Sends the current term to an outdated leader or pre-candidate; ignores all other messages."""
+    """Send the current term to an outdated leader or pre-candidate; ignores all other messages."""
     if message.kind is MessageKind.PRE_VOTE:
         state.send(MessageKind.PRE_VOTE_REPLY, message.sender)
     elif message.kind in LEADER_MESSAGES:
--- a/wheatstile/store/raft/transfer.py
+++ b/wheatstile/store/raft/transfer.py
@@ -8,7 +8,7 @@
 
 
 def start(state: RaftState, target: str) -> None:
-    """Starts a transfer to `target`. The leader rejects proposals for up to an election time-out.
+    """Start a transfer to `target`. The leader rejects proposals for up to an election time-out.
 
     Raises `NotLeaderError`, and `MembershipChangeRejectedError` if `target` is not another voter.
     """
@@ -28,7 +28,7 @@
 
 
 def tick(state: RaftState) -> None:
-    """Cancels a transfer whose target has not become the leader within an election time-out."""
+    """Cancel a transfer whose target has not become the leader within an election time-out."""
     leadership = state.leadership
     if leadership.transfer_target is None:
         return
--- a/wheatstile/store/raft_clock.py
+++ b/wheatstile/store/raft_clock.py
@@ -18,7 +18,7 @@
 
 
 def now_ticks() -> int:
-    """Returns the monotonic clock in ticks."""
+    """Return the monotonic clock in ticks."""
     return int(time.monotonic() / TICK_S)
 
 
--- a/wheatstile/store/record_file.py
+++ b/wheatstile/store/record_file.py
@@ -41,7 +41,7 @@
         return self.offset + HEADER.size + len(self.body)
 
     def decode(self, kind: type[Decoded]) -> Decoded:
-        """Decodes the body. Raises `CorruptStorageError` if it is not a `kind`."""
+        """Decode the body. Raises `CorruptStorageError` if it is not a `kind`."""
         try:
             return msgspec.msgpack.decode(self.body, type=kind)
         except msgspec.DecodeError as error:
@@ -49,7 +49,7 @@
 
 
 def encode_record(value: object) -> bytes:
-    """Returns `value` as one record."""
+    """Return `value` as one record."""
     body = msgspec.msgpack.encode(value)
     return HEADER.pack(len(body), _length_checksum(len(body)), zlib.crc32(body)) + body
 
@@ -59,7 +59,7 @@
 
 
 def replace_file(path: Path, values: Iterable[object], fsync: Callable[[int], None]) -> None:
-    """Replaces a file atomically by one that has `values` as its records. Raises OSError.
+    """Replace a file atomically by one that has `values` as its records. Raises OSError.
 
     `fsync` is called with the descriptor of the new file. The directory is not synced.
     """
@@ -72,7 +72,7 @@
 
 
 def read_records(path: Path) -> Iterator[FileRecord]:
-    """Yields each complete record of a file. A missing file has none.
+    """Yield each complete record of a file. A missing file has none.
 
     An incomplete record at the end is omitted; it starts at the `end_offset` of the last complete one. Raises
     `CorruptStorageError` for a record whose checksums do not match.
--- a/wheatstile/store/server.py
+++ b/wheatstile/store/server.py
@@ -55,7 +55,7 @@
         self._clients = ClientService(self._member)
 
     async def serve(self) -> None:
-        """Serves peers and clients until cancelled, and closes the member.
+        """Serve peers and clients until cancelled, and close the member.
 
         Raises OSError if a port cannot be used, and an exception group with `StorageFailedError`.
         """
@@ -82,14 +82,14 @@
 
 
 def open_listener(port: int) -> socket.socket:
-    """Returns a listening socket on loopback, which the caller closes. Raises OSError."""
+    """Return a listening socket on loopback, which the caller closes. Raises OSError."""
     listener = socket.create_server((LOOPBACK, port), backlog=LISTEN_BACKLOG)
     listener.setblocking(False)
     return listener
 
 
 async def accept_connections(listener: socket.socket, handle: ConnectionHandler) -> None:
-    """Accepts connections until cancelled, and runs `handle` on each in a task of its own."""
+    """Accept connections until cancelled, and run `handle` on each in a task of its own."""
     loop = asyncio.get_running_loop()
     async with asyncio.TaskGroup() as tasks:
         while True:
@@ -105,7 +105,7 @@
 
 
 async def handle_connection(sock: socket.socket, handle: ConnectionHandler) -> None:
-    """Runs `handle` on a connection and closes it. A protocol error affects this connection alone."""
+    """Run `handle` on a connection and close it. A protocol error affects this connection alone."""
     with sock:
         try:
             await handle(sock)
@@ -116,7 +116,7 @@
 
 
 async def serve_until_signalled(config: MemberConfig, ports: Ports) -> None:
-    """Serves until SIGTERM or SIGINT, which cancel this task."""
+    """Serve until SIGTERM or SIGINT, which cancel this task."""
     server = StoreServer(config, ports)
     task = asyncio.current_task()
     assert task is not None
@@ -126,7 +126,7 @@
 
 
 def run_server(config: MemberConfig, ports: Ports) -> int:
-    """Serves until SIGTERM or SIGINT and returns the exit status.
+    """Serve until SIGTERM or SIGINT and return the exit status.
 
     The status is `EXIT_STOPPED` after a signal, `EXIT_CANNOT_START` if a port or the directory cannot be
     used, and `EXIT_STORAGE_FAILED` if a write to the directory fails.
@@ -145,7 +145,7 @@
 
 
 def report_errors(config: MemberConfig, errors: BaseExceptionGroup[Exception], status: int) -> int:
-    """Prints the errors that ended the process on standard error, and returns `status`."""
+    """Print the errors that ended the process on standard error, and return `status`."""
     for error in errors.exceptions:
         print(f"store: {config.name}: {error}", file=sys.stderr)
     return status
--- a/wheatstile/store/state_machine.py
+++ b/wheatstile/store/state_machine.py
@@ -84,23 +84,23 @@
         self._expirations: list[Expiration] = []  # a heap
 
     def get(self, key: str) -> Version | None:
-        """Returns the key's latest version, or None if the key is absent or deleted."""
+        """Return the key's latest version, or None if the key is absent or deleted."""
         versions = self.keys.get(key)
         return versions[-1] if versions and versions[-1].change is ChangeKind.PUT else None
 
     def matching(self, pattern: str) -> Iterator[tuple[str, Version]]:
-        """Yields the keys that match `pattern` in alphabetical order, each with its latest version."""
+        """Yield the keys that match `pattern` in alphabetical order, each with its latest version."""
         for key in sorted(self.keys):
             version = self.get(key)
             if version and matches_pattern(pattern, key):
                 yield key, version
 
     def next_expiration_ms(self) -> int | None:
-        """Returns the committed clock's time at which the next key expires or is discarded, or None."""
+        """Return the committed clock's time at which the next key expires or is discarded, or None."""
         return self._expirations[0].at_ms if self._expirations else None
 
     def apply(self, index: int, command: Command) -> CommandResult:
-        """Applies the command at log index `index`, unless it repeats a command of its session."""
+        """Apply the command at log index `index`, unless it repeats a command of its session."""
         self.clock_ms = max(self.clock_ms, command.clock_ms)
         self._expire_keys(index)
         if not command.session_id:
@@ -131,7 +131,7 @@
             del self.sessions[session_id]
 
     def _execute(self, index: int, command: Command) -> CommandResult:
-        """Executes all operations, or none if a precondition or the limit on keys prevents it."""
+        """Execute all operations, or none if a precondition or the limit on keys prevents it."""
         failure = self._find_failed_precondition(command)
         if failure is not None:
             return failure
@@ -142,7 +142,7 @@
         return CommandResult(True, index)
 
     def _find_failed_precondition(self, command: Command) -> CommandResult | None:
-        """Returns the result of a command that fails a precondition, or None if all of them hold."""
+        """Return the result of a command that fails a precondition, or None if all of them hold."""
         preconditions = [*command.preconditions]
         preconditions += [
             Precondition(operation.key, operation.expected_revision) for operation in command.operations
@@ -169,14 +169,14 @@
             self._remove(index, operation.key, ChangeKind(operation.kind))
 
     def _remove(self, index: int, key: str, change: ChangeKind) -> None:
-        """Adds a version that marks the key as removed. The key is discarded after `DELETED_KEY_TTL_MS`."""
+        """Add a version that marks the key as removed. The key is discarded after `DELETED_KEY_TTL_MS`."""
         if change is ChangeKind.PURGE:
             self.keys[key] = []
         discarded_at_ms = self.clock_ms + DELETED_KEY_TTL_MS
         self._add_version(key, Version(index, change, b"", self.clock_ms, discarded_at_ms))
 
     def _add_version(self, key: str, version: Version) -> None:
-        """Adds a key's latest version, discards its oldest above the limit, and records the event."""
+        """Add a key's latest version, discard its oldest above the limit, and record the event."""
         previous = self.keys.get(key, [])
         self.keys[key] = [*previous[-MAX_VERSIONS_PER_KEY + 1 :], version]
         if version.expires_at_ms:
@@ -184,7 +184,7 @@
         self.events.append(Event(version.revision, key, version.change, version.value))
 
     def _expire_keys(self, index: int) -> None:
-        """Marks the expired keys as removed, and discards the removed keys whose time has passed."""
+        """Mark the expired keys as removed, and discard the removed keys whose time has passed."""
         while self._expirations and self._expirations[0].at_ms <= self.clock_ms:
             expiration = heapq.heappop(self._expirations)
             versions = self.keys.get(expiration.key)
@@ -196,7 +196,7 @@
                 del self.keys[expiration.key]
 
     def dump(self) -> bytes:
-        """Returns the state as the data of a snapshot."""
+        """Return the state as the data of a snapshot."""
         state = SnapshotData(
             SNAPSHOT_FORMAT,
             self.clock_ms,
@@ -209,7 +209,7 @@
 
     @classmethod
     def load(cls, data: bytes) -> StateMachine:
-        """Returns a state machine with the state that `dump` returned, or an empty one if `data` is empty.
+        """Return a state machine with the state that `dump` returned, or an empty one if `data` is empty.
 
         Raises ValueError for an unsupported format, and `msgspec.DecodeError` if `data` is malformed.
         """
@@ -234,7 +234,7 @@
 
 
 def _result_of_repetition(session: Session, command: Command) -> CommandResult:
-    """Returns the result of a command whose sequence number was applied before in its session."""
+    """Return the result of a command whose sequence number was applied before in its session."""
     if command.sequence == session.sequence:
         return msgspec.structs.replace(session.result, repeated=True)
     reason = f"sequence {command.sequence} is older than the session's last one, {session.sequence}"
--- a/wheatstile/store/storage.py
+++ b/wheatstile/store/storage.py
@@ -71,7 +71,7 @@
 
 
 def read_directory(directory: Path) -> DirectoryContents:
-    """Reads a member's directory without changing it. Raises `CorruptStorageError`, OSError."""
+    """Read a member's directory without changing it. Raises `CorruptStorageError`, OSError."""
     contents = DirectoryContents(snapshot=_read_snapshot(directory / SNAPSHOT_FILE))
     log_path = directory / LOG_FILE
     for record in read_records(log_path):
@@ -102,14 +102,14 @@
 
 
 def check_format(path: Path, file_format: int) -> None:
-    """Raises `CorruptStorageError` unless this program reads the file's format."""
+    """Raise `CorruptStorageError` unless this program reads the file's format."""
     if file_format != FORMAT:
         reason = f"format {file_format} is not supported; this program reads format {FORMAT}"
         raise CorruptStorageError(str(path), 0, reason)
 
 
 def _replay(contents: DirectoryContents, record: LogRecord) -> None:
-    """Adds one record of the log to `contents`."""
+    """Add one record of the log to `contents`."""
     contents.hard_state = record.hard_state or contents.hard_state
     if not record.entries:
         return
@@ -177,12 +177,12 @@
         self.close()
 
     def close(self) -> None:
-        """Closes the files and unlocks the directory."""
+        """Close the files and unlock the directory."""
         os.close(self._log)
         os.close(self._lock)
 
     def _recover(self) -> DirectoryContents:
-        """Reads the directory, creates its log if there is none, and truncates an incomplete record."""
+        """Read the directory, create its log if there is none, and truncate an incomplete record."""
         log_path = self.directory / LOG_FILE
         contents = read_directory(self.directory)
         header = contents.header
@@ -200,7 +200,7 @@
         return contents
 
     def append(self, hard_state: HardState | None, entries: list[Entry]) -> None:
-        """Stores the hard state and the entries of one `Ready`.
+        """Store the hard state and the entries of one `Ready`.
 
         Raises OSError. The contents of the disk are unknown then, and the member must stop.
         """
@@ -217,7 +217,7 @@
         self._synced_ballot = ballot
 
     def save_snapshot(self, snapshot: Snapshot, hard_state: HardState, entries: list[Entry]) -> None:
-        """Replaces the snapshot, and then the log by one with `entries`, which follow it. Raises OSError."""
+        """Replace the snapshot, and then the log by one with `entries`, which follow it. Raises OSError."""
         self._replace(SNAPSHOT_FILE, [snapshot])
         header = LogHeader(FORMAT, self.cluster, self.name, snapshot.index, snapshot.term)
         self._replace(LOG_FILE, [header, LogRecord(hard_state, entries)])
@@ -231,7 +231,7 @@
             os.fsync(descriptor)
 
     def _replace(self, file_name: str, values: Iterable[object]) -> None:
-        """Replaces a file atomically by one with `values` as its records, and syncs the directory."""
+        """Replace a file atomically by one with `values` as its records, and sync the directory."""
         replace_file(self.directory / file_name, values, self._fsync)
         descriptor = os.open(self.directory, os.O_RDONLY)
         try:
--- a/wheatstile/store/watch_stream.py
+++ b/wheatstile/store/watch_stream.py
@@ -35,7 +35,7 @@
         self._last_sent_at_s = self._loop.time()
 
     async def run(self) -> None:
-        """Sends events until `send` fails or the events that the watch needs were discarded."""
+        """Send events until `send` fails or the events that the watch needs were discarded."""
         if self._applied.index < self._revision:
             # This member has not applied the revision yet. It sends the events when it has applied them.
             await self._send(Reply(revision=self._revision))
@@ -58,7 +58,7 @@
             await self._send_heartbeat_if_due()
 
     async def _send_matching(self, events: list[Event]) -> None:
-        """Sends those of the events whose keys match."""
+        """Send those of the events whose keys match."""
         self._revision = events[-1].revision
         matching = [event for event in events if matches_pattern(self._pattern, event.key)]
         if matching:
