--- a/benchmarks/running_balancer.py
+++ b/benchmarks/running_balancer.py
@@ -1,4 +1,4 @@
-"""A running balancer to be measured: its memory, its processor time, and the longest stall of its loop."""
+"""Measures a running balancer: memory, processor time, and the latency of its event loop."""
 
 import json
 import os
@@ -20,11 +20,11 @@
 SIGNIFICANT_DIGITS = 3
 PING_PAUSE_S = 0.001
 UPDATE_DISPATCHED = "endpoint_update_dispatched"
-"""The event that is logged once the decision module has been notified of a list."""
+"""The event that is logged after the decision module was notified of an endpoint list."""
 PERCENTILES = (50.0, 99.0, 100.0)
 
 JsonObject = dict[str, Any]
-"""A JSON object, as the program's files hold it."""
+"""A JSON object of one of the program's files."""
 
 
 class Durations:
@@ -35,27 +35,30 @@
 
     @property
     def count(self) -> int:
-        """How many durations were recorded."""
+        """The number of recorded durations."""
         return int(self._histogram.total_count)
 
     def record_since(self, started_ns: int) -> None:
-        """Record the time since `started_ns` of the monotonic clock."""
+        """Records the time since `started_ns` of the monotonic clock."""
         self._histogram.record_value(max(1, (time.monotonic_ns() - started_ns) // 1000))
 
     def percentile_ms(self, percentile: float) -> str:
-        """Return the duration at this percentile (100: the longest), in milliseconds, as text."""
+        """Returns the duration at this percentile (100: the longest), in milliseconds, as text."""
         return f"{self._histogram.get_value_at_percentile(percentile) / 1000:.1f}"
 
     def summary_ms(self) -> list[str]:
-        """Return the median, the 99th percentile and the longest, as `percentile_ms` gives them."""
+        """Returns the median, the 99th percentile and the maximum, in milliseconds, as text."""
         return [self.percentile_ms(percentile) for percentile in PERCENTILES]
 
 
 class MeasuredBalancer(Balancer):
-    """One running balancer with an operator's file; `with` ends it."""
+    """A balancer with an operator's file.
+
+    Entering the context starts the balancer without servers, and leaving it ends the balancer.
+    """
 
     def __init__(self, operator_settings: JsonObject, servers_file: bytes = b"") -> None:
-        """`servers_file`: the first content of `servers.json` beside the operator's file."""
+        """Writes the operator's file, and `servers_file` into `servers.json` in the same folder."""
         super().__init__({})
         folder = Path(self.folder.name)
         self.servers_file = folder / "servers.json"
@@ -72,19 +75,22 @@
         self.close()
 
     def resident_kb(self) -> int:
-        """Resident memory, in kB."""
+        """Returns the resident memory, in kB."""
         status = Path(f"/proc/{self.process.pid}/status").read_text()
         return next(int(line.split()[1]) for line in status.splitlines() if line.startswith("VmRSS"))
 
     def processor_s(self) -> float:
-        """Processor time so far, user's and system's, in seconds (proc(5): fields 14 and 15 of stat)."""
+        """Returns the processor time used so far, user and system, in seconds (proc(5), stat: 14 and 15)."""
         fields = Path(f"/proc/{self.process.pid}/stat").read_text().rpartition(")")[2].split()
         user_ticks, system_ticks = (int(field) for field in fields[11:13])
         return (user_ticks + system_ticks) / os.sysconf("SC_CLK_TCK")
 
 
 class PingLoop(threading.Thread):
-    """Sends PING over and over on one connection: an answer takes as long as the loop stands still."""
+    """A thread that sends PING on one connection; a late answer shows that the event loop was blocked.
+
+    The constructor connects and starts the thread. `stop` ends both.
+    """
 
     def __init__(self, address: tuple[str, int]) -> None:
         super().__init__(daemon=True)
@@ -94,7 +100,7 @@
         self.start()
 
     def run(self) -> None:
-        """Send until `stop`."""
+        """Sends PING and records the time to each answer until `stop` is called."""
         while not self._ended.wait(PING_PAUSE_S):
             started_ns = time.monotonic_ns()
             self._sock.sendall(b"PING\r\n")
@@ -102,7 +108,7 @@
             self._durations.record_since(started_ns)
 
     def stop(self) -> Durations:
-        """End; how long the answers took."""
+        """Ends the thread, closes the connection, and returns the times to the answers."""
         self._ended.set()
         self.join()
         self._sock.close()
--- a/benchmarks/servers_file.py
+++ b/benchmarks/servers_file.py
@@ -28,7 +28,6 @@
 ROOT = Path(__file__).parents[1]
 sys.path[:0] = [str(ROOT), str(ROOT / "tests")]
 
-from fleet import Fleet  # noqa: E402
 from running_balancer import (  # noqa: E402
     UPDATE_DISPATCHED,
     Durations,
@@ -36,6 +35,7 @@
     MeasuredBalancer,
     PingLoop,
 )
+from support.echo_servers import EchoServers  # noqa: E402
 
 from wheatstile.resolvers.atomic_write import write_atomic  # noqa: E402
 from wheatstile.resolvers.canonical_json import digest_of  # noqa: E402
@@ -191,7 +191,7 @@
 
 def print_set_ups(phase_s: float) -> None:
     """Print a table of set-ups. Phases with and without rewriting alternate in one run."""
-    fleet = Fleet([f"link-{number}" for number in range(FLEET_SIZE)])
+    fleet = EchoServers([f"link-{number}" for number in range(FLEET_SIZE)])
     rows = []
     for servers in SET_UP_SIZES:
         comparison = measure_set_ups(fleet, servers, phase_s)
@@ -203,7 +203,7 @@
     print(tabulate(rows, headers, tablefmt="github", disable_numparse=True))
 
 
-def measure_set_ups(fleet: Fleet, servers: int, phase_s: float) -> SetUpComparison:
+def measure_set_ups(fleet: EchoServers, servers: int, phase_s: float) -> SetUpComparison:
     """Return the costs of set-ups in phases that alternate: the file is unchanged, or rewritten."""
     value = fleet_document(fleet, servers)
     comparison = SetUpComparison()
@@ -223,7 +223,7 @@
     return comparison
 
 
-def fleet_document(fleet: Fleet, servers: int) -> JsonObject:
+def fleet_document(fleet: EchoServers, servers: int) -> JsonObject:
     """Return a document in which the servers of the fleet are ready, and all others draining."""
     rows = json.loads(servers_document(servers, 1))["servers"]
     for row in rows:
--- a/example/client.py
+++ b/example/client.py
@@ -1,4 +1,4 @@
-"""One client of the example's balancer: opens a connection, sends a line, prints what comes back."""
+"""Opens one session through the example's balancer, sends a line, and prints the replies."""
 
 import secrets
 import socket
@@ -9,14 +9,14 @@
 
 
 def open_line() -> str:
-    """Return a connection's first line: the request's id, the client's name, class, deadline and group."""
+    """Returns the first line of a connection: request id, key, class, time to wait in ms, affinity group."""
     request_id = secrets.token_hex(8)
     group = secrets.token_hex(4)
     return f"OPEN {request_id} me c=chat,d=2000,g={group}"
 
 
 def main() -> None:
-    """Talk to the balancer of `make run` or `make demo`."""
+    """Connects to the balancer that `make run` or `make demo` has started."""
     with (
         socket.create_connection(BALANCER_ADDRESS, timeout=TIMEOUT_S) as sock,
         sock.makefile("rw", newline=LINE_END) as stream,
--- a/example/toy_server.py
+++ b/example/toy_server.py
@@ -1,9 +1,7 @@
-r"""Two toy servers and a toy discovery for the example's balancer, all on loopback.
+"""Two toy servers and a toy discovery for the example's balancer, all on loopback.
 
-Each server answers PING and STATS, gives every OPEN its UP, and returns each line that comes after it. Start
-this, then the balancer (make run), then be a client:
-
-    printf 'OPEN 9b1f03aa5c7e2d41 me c=chat,d=2000,g=us\r\nhello\r\n' with a pause between the two lines
+Each server answers PING and STATS, answers OPEN with UP, and echoes the lines that follow. Start this program
+(`make servers`), then the balancer (`make run`), then a client (`make client`).
 """
 
 import asyncio
@@ -13,33 +11,33 @@
 SERVER_PORTS = {"toy-1": 9001, "toy-2": 9002}
 DISCOVERY_PORT = 8500
 CAPACITY = 20
-"""Open connections at which a server reports a load of 1."""
+"""The number of open connections at which a server reports a load of 1."""
 KEEPALIVE_S = 2.0
-"""Between the empty lines on a watch."""
+"""The interval of the empty lines on a watch."""
 
 
 class ToyServer:
-    """One server: any number of connections, each with a request and its echoes, or with health checks."""
+    """One server. A connection carries one session, or any number of health checks."""
 
     def __init__(self, name: str) -> None:
         self._name = name
         self._open_connections = 0
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Serve one connection until it ends."""
+        """Serves one connection until it ends."""
         try:
             while line := (await reader.readline()).decode().strip():
                 if line.startswith("OPEN "):
                     await self._serve_session(reader, writer)
                     return
-                await send_line(writer, self._control_answer(line))
+                await send_line(writer, self._control_reply(line))
         except ConnectionError:
             pass
         finally:
             writer.close()
 
-    def _control_answer(self, line: str) -> str:
-        """Return the answer to a line outside a session."""
+    def _control_reply(self, line: str) -> str:
+        """Returns the reply to a line outside a session."""
         match line:
             case "PING":
                 return "PONG"
@@ -49,7 +47,7 @@
                 return "SYNTAX"
 
     async def _serve_session(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Accept the request, then echo every line."""
+        """Accepts the session, then echoes every line."""
         self._open_connections += 1
         try:
             await send_line(writer, f"UP {self._name}")
@@ -60,13 +58,13 @@
 
 
 async def send_line(writer: asyncio.StreamWriter, line: str) -> None:
-    """Send one line of the protocol. Raises ConnectionError."""
+    """Sends one line of the protocol. Raises ConnectionError."""
     writer.write(f"{line}\r\n".encode())
     await writer.drain()
 
 
 def endpoint_snapshot() -> bytes:
-    """Return the complete list of servers, in discovery's JSON."""
+    """Returns the complete list of servers as JSON, in the format of discovery."""
     members = [
         {
             "id": name,
@@ -84,7 +82,7 @@
 
 
 async def serve_discovery(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-    """Answer one call to discovery: the complete list, and on a watch empty lines after it."""
+    """Answers one call to discovery with the complete list. A watch stays open."""
     request = await reader.readuntil(b"\r\n\r\n")
     try:
         if b"watch=1" in request:
@@ -100,7 +98,10 @@
 
 
 async def send_watch(writer: asyncio.StreamWriter) -> None:
-    """Send the list, then empty lines at intervals: nothing ever changes here. Raises ConnectionError."""
+    """Sends the list, then an empty line at each interval, since the list never changes.
+
+    Raises ConnectionError.
+    """
     writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
     line = endpoint_snapshot() + b"\n"
     while True:
@@ -111,7 +112,7 @@
 
 
 async def main() -> None:
-    """Serve until interrupted."""
+    """Serves until interrupted."""
     for name, port in SERVER_PORTS.items():
         await asyncio.start_server(ToyServer(name).serve, LOOPBACK, port)
     async with await asyncio.start_server(serve_discovery, LOOPBACK, DISCOVERY_PORT) as server:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures for the tests that start the balancer as a process."""
+"""Fixtures that several folders of tests use. The plugin `known_red` reads KNOWN-RED.txt."""
 
 from collections.abc import Iterator
 from typing import Any
@@ -14,13 +14,13 @@
 
 @pytest.fixture
 def settings() -> dict[str, Any]:
-    """What a test's balancer has of settings other than SETTINGS; a module or a test overrides it."""
+    """Returns the settings of `balancer` that differ from SETTINGS. A module or a test overrides it."""
     return {}
 
 
 @pytest.fixture
 def balancer(settings: dict[str, Any]) -> Iterator[Balancer]:
-    """One balancer, not started yet; it is ended with the test."""
+    """Returns a balancer that is not started. It is closed with the test."""
     balancer = Balancer(settings)
     try:
         yield balancer
--- a/tests/fault_proxy/test_fault_proxy.py
+++ b/tests/fault_proxy/test_fault_proxy.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 
 import pytest
-from fleet import Program
+from support.program_process import ProgramProcess
 
 LOOPBACK = "127.0.0.1"
 WAIT_S = 60.0
@@ -70,7 +70,7 @@
 class ProxiedServer:
     """A fault proxy between the clients `a` and the echo server `b`. Clients connect to `port`."""
 
-    proxy: Program
+    proxy: ProgramProcess
     echo: EchoServer
     port: int
 
@@ -83,7 +83,7 @@
 def proxied() -> Iterator[ProxiedServer]:
     """An echo server and a fault proxy, which must exit with status 0 when its standard input is closed."""
     with closing(EchoServer()) as echo:
-        proxy = Program("fault-proxy", f"a:b:0:{echo.port}")
+        proxy = ProgramProcess("fault-proxy", f"a:b:0:{echo.port}")
         port = int(proxy.expect("listening a->b").split()[-1])
         proxy.expect("ready")
         yield ProxiedServer(proxy, echo, port)
@@ -113,14 +113,14 @@
         client.sendall(b"one")
         proxied.echo.wait_for(b"one")
         assert read_exactly(client, 3) == b"one"
-        assert proxied.proxy.tell("cut b a") == "ok"  # answers are blocked; requests still pass
+        assert proxied.proxy.send_command("cut b a") == "ok"  # answers are blocked; requests still pass
         client.sendall(b"two")
         proxied.echo.wait_for(b"two")
-        assert proxied.proxy.tell("cut a b") == "ok"
+        assert proxied.proxy.send_command("cut a b") == "ok"
         client.sendall(b"three")
         with proxied.echo.changed:
             received_before_heal = b"".join(proxied.echo.received)
-        assert proxied.proxy.tell("heal") == "ok"
+        assert proxied.proxy.send_command("heal") == "ok"
         assert b"three" not in received_before_heal
         assert read_exactly(client, 8) == b"twothree"
 
@@ -130,7 +130,7 @@
         client.sendall(b"x")
         proxied.echo.wait_for(b"x")
         assert read_exactly(client, 1) == b"x"
-        assert proxied.proxy.tell("reset a b") == "ok"
+        assert proxied.proxy.send_command("reset a b") == "ok"
         with pytest.raises(ConnectionResetError):
             while client.recv(1):
                 pass
@@ -139,15 +139,15 @@
 
 
 def test_invalid_command_is_answered_with_the_position_of_the_word(proxied: ProxiedServer) -> None:
-    assert proxied.proxy.tell("delay a b soon") == "error: word 4: 'soon' is not a number"
-    assert proxied.proxy.tell("cut a") == "error: cut takes 2 arguments, not 1"
-    assert proxied.proxy.tell("lose a b 0.5") == "error: word 1: lose needs --frames"
+    assert proxied.proxy.send_command("delay a b soon") == "error: word 4: 'soon' is not a number"
+    assert proxied.proxy.send_command("cut a") == "error: cut takes 2 arguments, not 1"
+    assert proxied.proxy.send_command("lose a b 0.5") == "error: word 1: lose needs --frames"
 
 
 def frames_through_a_lossy_proxy(script: Path) -> list[bytes]:
     """Send FRAMES through a proxy that runs `script` with a delay and a rate; return the received frames."""
     with closing(EchoServer()) as echo:
-        proxy = Program(
+        proxy = ProgramProcess(
             "fault-proxy",
             f"a:b:0:{echo.port}",
             "--frames",
--- a/tests/net/test_client_listener.py
+++ b/tests/net/test_client_listener.py
@@ -18,7 +18,7 @@
     """Establish a session. Return the client's end and the server's, or None if the client was rejected."""
     client = balancer.open(number)
     while True:
-        watched = [balancer.server.sock, client.sock, *(peer.sock for peer in balancer.server.probes)]
+        watched = [balancer.server.sock, client.sock, *(peer.sock for peer in balancer.server.health_checks)]
         if client.sock in select.select(watched, [], [], TIMEOUT_S)[0]:
             assert re.search("^BUSY [1-9]", client.line())
             return None
@@ -66,7 +66,7 @@
     balancer.start([balancer.member(f"s{number}") for number in range(60)], files=100)
     established = [balancer.establish(number, f"g{number}") for number in range(1, 25)]
     assert len(established) == 24
-    assert len(balancer.server.probes) <= 12  # 10, and connections that are being closed
+    assert len(balancer.server.health_checks) <= 12  # 10, and connections that are being closed
 
 
 @pytest.mark.parametrize("settings", [SHORT_DEADLINE])
--- a/tests/net/test_health_checker.py
+++ b/tests/net/test_health_checker.py
@@ -22,7 +22,7 @@
     balancer.start()
     balancer.establish(1)
     client = balancer.open(2)
-    health_check = balancer.server.probes.pop()
+    health_check = balancer.server.health_checks.pop()
     assert health_check.line() == "STATS"
     return health_check, client
 
--- a/tests/net/test_session_setup.py
+++ b/tests/net/test_session_setup.py
@@ -108,7 +108,7 @@
     balancer.start()
     balancer.establish(1)  # opens a connection for health checks
     client = balancer.open(2)
-    health_check = balancer.server.probes[0]
+    health_check = balancer.server.health_checks[0]
     assert health_check.line() == "STATS"
     with balancer.paused():
         health_check.send("PONG x0=0.3")  # arrives before the client's end
@@ -121,7 +121,7 @@
     balancer.start()
     balancer.establish(1)
     client = balancer.open(2)
-    health_check = balancer.server.probes[0]
+    health_check = balancer.server.health_checks[0]
     assert health_check.line() == "STATS"
     balancer.reload(settings=SETTINGS | {"classes": [SETTINGS["classes"][0] | {"name": "other"}]})
     health_check.send("PONG x0=0.3")
@@ -138,7 +138,7 @@
     watch.begin_watch()
     balancer.establish(1)
     client = balancer.open(2)
-    assert balancer.server.probes[0].line() == "STATS"  # gets no answer
+    assert balancer.server.health_checks[0].line() == "STATS"  # gets no answer
     other = Listener()
     watch.chunk(2, balancer.member("s2", host_port=other.address), complete=True)
     server, line = other.accept_session()
--- a/tests/process/test_restart.py
+++ b/tests/process/test_restart.py
@@ -11,8 +11,8 @@
 from typing import Any
 
 import pytest
-from fleet import Fleet
 from support.balancer import SLOW_CONNECT, Balancer
+from support.echo_servers import EchoServers
 from support.peer import TIMEOUT_S, Peer
 
 READY_TIMEOUT_S = 6.0  # from the launch until the balancer answers PING
@@ -80,14 +80,16 @@
 
 
 @pytest.fixture
-def fleet() -> Iterator[Fleet]:
+def fleet() -> Iterator[EchoServers]:
     """Three servers that accept every session."""
-    with closing(Fleet(["s1", "s2", "s3"])) as fleet:
+    with closing(EchoServers(["s1", "s2", "s3"])) as fleet:
         yield fleet
 
 
 @pytest.mark.parametrize("address_in_use", [False, True], ids=["address free", "address in use"])
-def test_restart_under_load_is_ready_in_time(balancer: Balancer, fleet: Fleet, address_in_use: bool) -> None:
+def test_restart_under_load_is_ready_in_time(
+    balancer: Balancer, fleet: EchoServers, address_in_use: bool
+) -> None:
     """Restarts three times. With `address_in_use`, the new process starts while the old one shuts down."""
     members = [balancer.member(name, host_port=address) for name, address in fleet.addresses.items()]
     balancer.start(members, stderr=subprocess.DEVNULL)
--- a/tests/process/test_start.py
+++ b/tests/process/test_start.py
@@ -92,7 +92,7 @@
     (folder / "sitecustomize.py").write_text(f"open({str(gate)!r}).read()\n")
     balancer.write_config()
     environ = {key: value for key, value in os.environ.items() if not key.startswith("RELAY_")}
-    balancer.node = subprocess.Popen(
+    balancer.process = subprocess.Popen(
         ["/bin/sh", "-c", command.replace(".run/bin/python", sys.executable)],
         cwd=ROOT,
         env=environ | {"RELAY_CONFIG": str(balancer.path), "PYTHONPATH": str(folder)},
--- a/tests/resolvers/test_section.py
+++ b/tests/resolvers/test_section.py
@@ -28,8 +28,8 @@
     The balancer ends with the test. The arguments `section` are those of `make_balancer`.
     """
     balancer = make_balancer(**section)
-    balancer.file.write_bytes(balancer.document(*names))
-    balancer.begin()
+    balancer.endpoint_file.write_bytes(balancer.document(*names))
+    balancer.start_with_known_servers()
     balancer.wait_accepted()
     return balancer
 
@@ -57,11 +57,11 @@
 
 def answers_while_rewriting(balancer: ServedBalancer, documents: list[bytes]) -> set[str]:
     """Return the answers to new clients while a thread rewrites the file in place. Waits for the thread."""
-    writer = threading.Thread(target=rewrite_in_place, args=(balancer.file, documents, REWRITES))
+    writer = threading.Thread(target=rewrite_in_place, args=(balancer.endpoint_file, documents, REWRITES))
     writer.start()
     answers = set()
     while writer.is_alive():
-        answers.add(balancer.connect())
+        answers.add(balancer.reply_to_new_client())
     writer.join()
     return answers
 
@@ -96,14 +96,14 @@
     balancer = make_balancer(most_removed=1.0)
     balancer.write_operator(settle_s=settle_s)
     documents = similar_documents(balancer, seal)
-    balancer.file.write_bytes(balancer.document("s1", "s2", seal=seal))
-    balancer.begin()
+    balancer.endpoint_file.write_bytes(balancer.document("s1", "s2", seal=seal))
+    balancer.start_with_known_servers()
     accepted = [balancer.wait_accepted()]
 
     assert answers_while_rewriting(balancer, documents) == {"UP"}
 
     last = balancer.document("s3", generation=LAST_GENERATION, seal=seal)
-    write_atomic(balancer.file, last)
+    write_atomic(balancer.endpoint_file, last)
     while accepted[-1]["generation"] != LAST_GENERATION:
         accepted.append(balancer.wait_accepted())
     assert balancer.served_by() == {"s3"}
@@ -123,13 +123,13 @@
         (removing_two, "endpoint_file_approval_required", "2 of 3 ready"),
     ]
     for data, event, reason in cases:
-        write_atomic(balancer.file, data)
+        write_atomic(balancer.endpoint_file, data)
         assert reason in " ".join(balancer.logged(event)["reasons"])
         assert balancer.served_by(30) == {"s1", "s2", "s3"}
 
-    balancer.file.unlink()
+    balancer.endpoint_file.unlink()
     balancer.logged("endpoint_file_unreadable")
-    os.mkfifo(balancer.file)
+    os.mkfifo(balancer.endpoint_file)
     assert "a FIFO" in balancer.logged("endpoint_file_unreadable")["reasons"][0]
     assert balancer.served_by(30) == {"s1", "s2", "s3"}
 
@@ -139,9 +139,9 @@
 ) -> None:
     balancer = serving_balancer(make_balancer, "s1", "s2", "s3")
 
-    write_atomic(balancer.file, balancer.document("s2", generation=2))
+    write_atomic(balancer.endpoint_file, balancer.document("s2", generation=2))
     digest = balancer.logged("endpoint_file_approval_required")["digest"]
-    write_atomic(balancer.here / "servers.json.accept", json.dumps({"digest": digest}).encode())
+    write_atomic(balancer.approval_file, json.dumps({"digest": digest}).encode())
 
     assert balancer.wait_accepted()["generation"] == 2
     assert balancer.served_by() == {"s2"}
@@ -159,7 +159,7 @@
     watch.chunk(2, balancer.discovered("s1", phase="draining"), balancer.discovered("s2", phase="gone"))
     balancer.wait_served_by({"s3"})
 
-    write_atomic(balancer.file, balancer.document("s1", "s2", "s3", generation=2, weight=3.0))
+    write_atomic(balancer.endpoint_file, balancer.document("s1", "s2", "s3", generation=2, weight=3.0))
     balancer.wait_accepted()
     assert balancer.served_by() == {"s3"}
     staying_client.send("echo")
@@ -174,7 +174,7 @@
     for generation in range(2, 12):
         names = ("s1", "s3") if generation % 2 else ("s2", "s3")
         balancer.write_operator(recheck_s=0.3 + generation / 100)
-        write_atomic(balancer.file, balancer.document(*names, generation=generation))
+        write_atomic(balancer.endpoint_file, balancer.document(*names, generation=generation))
         balancer.process.send_signal(signal.SIGHUP)
         balancer.wait_generation(generation)
         assert balancer.served_by(20) == set(names)
@@ -185,12 +185,12 @@
 ) -> None:
     balancer = serving_balancer(make_balancer, "s1", "s3")
 
-    balancer.operator.write_text('{"servers": {"mode": "overide"}}')
+    balancer.operator_file.write_text('{"servers": {"mode": "overide"}}')
     balancer.process.send_signal(signal.SIGHUP)
     assert "did you mean" in balancer.logged("operator_file_reload_rejected")["reasons"][0]
     assert balancer.served_by(20) == {"s1", "s3"}
 
-    balancer.operator.write_text("{}")
+    balancer.operator_file.write_text("{}")
     balancer.process.send_signal(signal.SIGHUP)
     balancer.logged("operator_file_reloaded")
     assert balancer.served_by(20) == {"s1", "s2"}
@@ -200,8 +200,8 @@
     make_balancer: MakeBalancer,
 ) -> None:
     balancer = make_balancer(mode="fallback", after_s=1.0, hold_down_s=0.0, most_removed=1.0)
-    balancer.file.write_bytes(balancer.document("s3"))
-    balancer.begin()
+    balancer.endpoint_file.write_bytes(balancer.document("s3"))
+    balancer.start_with_known_servers()
     assert balancer.served_by() == {"s1", "s2"}  # discovery is not lost before after_s
     while balancer.wait_source() != "file":
         pass
@@ -215,7 +215,7 @@
         assert balancer.wait_source() == "discovery"
         assert balancer.served_by(20) == {"s1", "s2"}
 
-        write_atomic(balancer.file, balancer.document(name, generation=generation))
+        write_atomic(balancer.endpoint_file, balancer.document(name, generation=generation))
         balancer.wait_accepted()
         watch.close()
         assert balancer.wait_source() == "file"
@@ -247,9 +247,9 @@
     wait_until_it_exists(stored_copy)
     balancer.stop()
 
-    balancer.file.write_bytes(b'{"servers": [{"id"')
+    balancer.endpoint_file.write_bytes(b'{"servers": [{"id"')
     move_a_day_ahead(stored_copy)
-    balancer.begin()
+    balancer.start_with_known_servers()
     entry = balancer.wait_accepted()
     assert (entry["origin"], entry["clock_went_back"]) == ("last_known_good", True)
     balancer.logged("endpoint_file_rejected")
@@ -257,8 +257,8 @@
     balancer.stop()
 
     stored_copy.write_bytes(stored_copy.read_bytes()[:-20])
-    balancer.file.write_bytes(balancer.document("s2"))
-    balancer.begin()
+    balancer.endpoint_file.write_bytes(balancer.document("s2"))
+    balancer.start_with_known_servers()
     balancer.logged("last_known_good_rejected")
     assert balancer.wait_accepted()["origin"] == "file"
     assert balancer.served_by() == {"s2"}
@@ -266,10 +266,10 @@
 
 def test_full_disk_prevents_the_stored_copy_and_nothing_else(make_balancer: MakeBalancer) -> None:
     balancer = make_balancer(known=(), state_dir="state")
-    balancer.file.write_bytes(balancer.document("s1", "s2"))
-    balancer.file_size = 100
+    balancer.endpoint_file.write_bytes(balancer.document("s1", "s2"))
+    balancer.max_file_bytes = 100
 
-    balancer.begin()
+    balancer.start_with_known_servers()
 
     assert balancer.logged("last_known_good_write_failed")["reason"] == "File too large"
     assert os.listdir(balancer.state_folder) == []
--- a/tests/store/process_cluster.py
+++ b/tests/store/process_cluster.py
@@ -12,7 +12,7 @@
 from contextlib import suppress
 from pathlib import Path
 
-from fleet import Program
+from support.program_process import ProgramProcess
 
 from wheatstile.store.client import StoreClient
 
@@ -66,9 +66,9 @@
             f"{sender}:{recipient}:{self.link_ports[sender, recipient]}:{self.peer_ports[recipient]}"
             for sender, recipient in pairs
         ]
-        self.link = Program("link", "--frames", "--seed", str(seed), *routes)
+        self.link = ProgramProcess("link", "--frames", "--seed", str(seed), *routes)
         self.link.expect("ready")
-        self.processes: dict[str, Program] = {}
+        self.processes: dict[str, ProgramProcess] = {}
         self.paused: set[str] = set()
         self.output: OutputByMember = {name: [] for name in names}
 
@@ -78,7 +78,7 @@
         `voters` are the initial voters (default: all names). Another member waits until it is added.
         """
         for name in names:
-            self.processes[name] = Program("store", "serve", *self.arguments(name, voters))
+            self.processes[name] = ProgramProcess("store", "serve", *self.arguments(name, voters))
         for name in names:
             self.processes[name].expect("ready")
 
@@ -113,7 +113,7 @@
         self.paused.discard(name)
         process.signal(signal.SIGKILL)
         process.process.wait()
-        self.output[name] += process.rest()
+        self.output[name] += process.all_output()
 
     def pause(self, name: str) -> None:
         """Pauses a member by SIGSTOP until `resume_all`."""
--- a/tests/store/process_faults.py
+++ b/tests/store/process_faults.py
@@ -27,7 +27,7 @@
         injected.append(await inject_fault(cluster, rng))
         await asyncio.sleep(rng.uniform(MIN_PAUSE_S, MAX_PAUSE_S))
         if rng.random() < HEAL_PROBABILITY:
-            cluster.link.tell("heal")
+            cluster.link.send_command("heal")
     return injected
 
 
@@ -81,34 +81,34 @@
     target = victim
     if rng.random() < 0.5:
         target = await asyncio.wait_for(cluster.leader(), FIND_LEADER_TIMEOUT_S)
-    cluster.link.tell(f"cut * {target}")
+    cluster.link.send_command(f"cut * {target}")
     return f"cut all to {target}"
 
 
 async def cut_outgoing(cluster: ProcessCluster, _rng: random.Random, victim: str) -> str:
     """Cuts and resets the connections from the victim."""
-    cluster.link.tell(f"cut {victim} *")
-    cluster.link.tell(f"reset {victim} *")
+    cluster.link.send_command(f"cut {victim} *")
+    cluster.link.send_command(f"reset {victim} *")
     return f"cut {victim} to all, with resets"
 
 
 async def lose_and_repeat_frames(cluster: ProcessCluster, _rng: random.Random, _victim: str) -> str:
     """Loses and repeats frames on all connections."""
-    cluster.link.tell("lose * * 0.2")
-    cluster.link.tell("repeat * * 0.2")
+    cluster.link.send_command("lose * * 0.2")
+    cluster.link.send_command("repeat * * 0.2")
     return "lose and repeat frames"
 
 
 async def delay_and_slow(cluster: ProcessCluster, _rng: random.Random, victim: str) -> str:
     """Delays the bytes to the victim, and limits the rate of those from it."""
-    cluster.link.tell(f"delay * {victim} 0.1 0.2")
-    cluster.link.tell(f"rate {victim} * 20000")
+    cluster.link.send_command(f"delay * {victim} 0.1 0.2")
+    cluster.link.send_command(f"rate {victim} * 20000")
     return f"delay and slow {victim}"
 
 
 async def heal(cluster: ProcessCluster, _rng: random.Random, _victim: str) -> str:
     """Ends all faults of the connections."""
-    cluster.link.tell("heal")
+    cluster.link.send_command("heal")
     return "heal"
 
 
--- a/tests/store/test_backup.py
+++ b/tests/store/test_backup.py
@@ -14,9 +14,9 @@
 from pathlib import Path
 
 import pytest
-from fleet import Program
 from process_cluster import ProcessCluster, run_scenario
 from store_command import run_store_command
+from support.program_process import ProgramProcess
 
 from wheatstile.store.client import StoreClient
 from wheatstile.store.errors import OutcomeUnknownError
@@ -30,7 +30,7 @@
     directory: Path, cluster: str, use: Callable[[StoreClient], Awaitable[None]], name: str = "a"
 ) -> None:
     """Starts one member on the directory, calls `use` with a client, and ends the member by SIGTERM."""
-    process = Program("store", "serve", "--name", name, "--cluster", cluster, "--dir", str(directory))
+    process = ProgramProcess("store", "serve", "--name", name, "--cluster", cluster, "--dir", str(directory))
 
     async def run(port: int) -> None:
         with closing(StoreClient({name: port}, 30)) as client:
--- a/tests/store/test_store_server.py
+++ b/tests/store/test_store_server.py
@@ -50,7 +50,7 @@
 async def recover(cluster: ProcessCluster) -> None:
     """Ends all faults, starts the missing members, and waits until all members have applied a write."""
     cluster.resume_all()
-    cluster.link.tell("heal")
+    cluster.link.send_command("heal")
     cluster.start_missing()
     with closing(cluster.client(timeout_s=60)) as client:
         revision = (await client.put("last", b"")).revision
@@ -163,7 +163,7 @@
         leader = await cluster.leader()
         isolated = StoreClient({leader: cluster.client_ports[leader]}, timeout_s=2.0)
         assert await isolated.get("k")
-        cluster.link.tell(f"isolate {leader}")
+        cluster.link.send_command(f"isolate {leader}")
         other_ports = {name: port for name, port in cluster.client_ports.items() if name != leader}
         others = StoreClient(other_ports, timeout_s=20)
         await others.put("k", b"new")
@@ -176,7 +176,7 @@
         assert stale.value == b"old"
         with pytest.raises(OutcomeUnknownError):
             await isolated.put("k", b"never")
-        cluster.link.tell("heal")
+        cluster.link.send_command("heal")
         found = await isolated.get("k") if await cluster.leader() else None
         assert found
         assert found.value == b"new"
--- a/tests/support/balancer.py
+++ b/tests/support/balancer.py
@@ -1,23 +1,30 @@
-"""The balancer as a process, with the clients, the server and the discovery that a test plays."""
+"""The balancer of a test: its process and configuration, and the ports of one server and of discovery."""
 
 import json
-import os
-import resource
 import signal
 import socket
 import subprocess
-import sys
 import tempfile
-import threading
 import time
-from collections.abc import Iterable, Iterator
-from contextlib import contextmanager
+from collections.abc import Iterable
 from pathlib import Path
 from typing import IO, Any
 
-from support.peer import POLL_INTERVAL_S, TIMEOUT_S, Listener, Peer
+from support.balancer_process import ROOT, BalancerProcess
+from support.peer import TIMEOUT_S, Listener, Peer
+
+__all__ = [
+    "ROOT",
+    "SETTINGS",
+    "SLOW_CONNECT",
+    "SLOW_HEALTH_CHECKS",
+    "WITHOUT_HEALTH_CHECKS",
+    "Balancer",
+    "with_class",
+]
+
+READY_POLL_INTERVAL_S = 0.02
 
-ROOT = Path(__file__).parent.parent.parent
 SETTINGS: dict[str, Any] = {
     "classes": [{"name": "web", "aimUs": 500000, "deadlineUs": 9000000, "repeat": "retryable"}],
     "discovery": "on_request",
@@ -36,159 +43,92 @@
     "zone": "here",
 }
 LIMITS: dict[str, Any] = SETTINGS["limits"]
-# The module sends at once, asks no server for its load, and so migrates nobody.
 WITHOUT_HEALTH_CHECKS: dict[str, Any] = {"familyInfo": {}, "limits": LIMITS | {"mayProbe": False}}
-# The same, and an attempt may be connecting for as long as the test holds it.
+"""Requests are sent without health checks, and no session is migrated by exploration or rebalancing."""
 SLOW_CONNECT: dict[str, Any] = {
     "familyInfo": {},
     "limits": LIMITS | {"mayProbe": False, "dialTimeoutUs": 8_000_000},
 }
-# A health check may be out for as long as the test holds it.
+"""WITHOUT_HEALTH_CHECKS, with a connect timeout that is longer than any test delays a connect."""
 SLOW_HEALTH_CHECKS: dict[str, Any] = {
     "familyInfo": SETTINGS["familyInfo"] | {"messageAimUs": [TIMEOUT_S * 1e6]}
 }
+"""A health check times out later than any test delays its answer."""
 
 
 def with_class(repeat: str, scope: str = "all", window_us: int = 0) -> dict[str, Any]:
-    """Return the settings of one class, to be repeated in this way; 0: without a deduplication window."""
+    """Returns settings with one class, given by the keywords of the platform.
+
+    Args:
+        repeat: the idempotency of the class.
+        scope: the deduplication scope.
+        window_us: the deduplication window; 0 leaves scope and window out.
+    """
     service_class = SETTINGS["classes"][0] | {"repeat": repeat}
     if window_us:
         service_class |= {"dedupScope": scope, "dedupWindowUs": window_us}
     return {"classes": [service_class]}
 
 
-class BalancerProcess:
-    """The program, its signals, its log and its counters. `path`: its configuration's file."""
-
-    arguments: tuple[str, ...] = ()  # of the command line
-    file_size = resource.RLIM_INFINITY  # bytes that the program may write to a file
-    path: Path
-    node: subprocess.Popen[str] | None = None
-
-    @property
-    def process(self) -> subprocess.Popen[str]:
-        """The program, which has been started."""
-        assert self.node, "not started"
-        return self.node
-
-    def launch(self, files: int = 1024, stderr: int | IO[bytes] = subprocess.PIPE, **variables: str) -> None:
-        """Start the program on the configuration's file as it is."""
-        environ = {key: value for key, value in os.environ.items() if not key.startswith("RELAY_")}
-        self.node = subprocess.Popen(
-            [sys.executable, "-m", "wheatstile", *self.arguments],
-            cwd=ROOT,
-            env=environ | {"RELAY_CONFIG": str(self.path)} | variables,
-            stderr=stderr,
-            text=True,
-            preexec_fn=lambda: self.limit(files),
-        )
-
-    def limit(self, files: int) -> None:
-        """Limit this process, which is about to become the program."""
-        resource.setrlimit(resource.RLIMIT_NOFILE, (files, files))
-        resource.setrlimit(resource.RLIMIT_FSIZE, (self.file_size, self.file_size))
-
-    @contextmanager
-    def paused(self) -> Iterator[None]:
-        """Stop the program inside; all that happened meanwhile meets it at once after."""
-        self.process.send_signal(signal.SIGSTOP)
-        end_s = time.monotonic() + TIMEOUT_S
-        status = Path(f"/proc/{self.process.pid}/stat")
-        while status.read_text().rpartition(")")[2].split()[0] != "T":
-            assert time.monotonic() < end_s, "the program was not stopped"
-            time.sleep(POLL_INTERVAL_S)
-        yield
-        self.process.send_signal(signal.SIGCONT)
-
-    def terminate(self) -> None:
-        """Tell the program to end."""
-        self.process.send_signal(signal.SIGTERM)
-
-    def wait(self) -> int:
-        """Wait for the program's end; returns its exit status."""
-        return self.process.wait(TIMEOUT_S)
-
-    def stop(self) -> str:
-        """End the program by SIGKILL if it still runs; returns what it wrote to its standard error."""
-        if self.node is None:
-            return ""
-        self.node.kill()
-        _, errors = self.node.communicate()
-        self.node = None
-        return errors
-
-    def logged(self, *events: str) -> dict[str, Any]:
-        """Return the next line of the program's log that tells one of these events."""
-        assert self.process.stderr
-        watchdog = threading.Timer(TIMEOUT_S, self.process.kill)  # and the log ends
-        watchdog.start()
-        try:
-            while True:
-                line = self.process.stderr.readline()
-                assert line, f"the log ended without {events}"
-                entry: dict[str, Any] = json.loads(line)
-                if entry["event"] in events:
-                    return entry
-        finally:
-            watchdog.cancel()
-
-    def counters(self) -> dict[str, int]:
-        """Return the program's counters."""
-        self.process.send_signal(signal.SIGUSR1)
-        return self.logged("counters_reported")
-
-    def wait_for_counter(self, name: str, least: int) -> dict[str, int]:
-        """Wait until this counter has this value; returns all of them."""
-        end_s = time.monotonic() + TIMEOUT_S
-        while (counters := self.counters()).get(name, 0) < least:
-            assert time.monotonic() < end_s, f"{name}: {counters}"
-        return counters
+class Balancer(BalancerProcess):
+    """A balancer that knows one server and discovery, both played by the test.
 
+    The constructor opens the ports of both and makes a temporary folder. It starts no process.
+    `close` ends the process and removes the folder. The ports and the connections of the test stay open.
 
-class Balancer(BalancerProcess):
-    """One balancer, its configuration's file, and the ports of the server and the discovery that it knows."""
+    Attributes:
+        settings: the settings that differ from SETTINGS.
+        server: the port of the server.
+        discovery: the port of discovery.
+        folder: the temporary folder, with the configuration file.
+        listen: the address that the balancer listens on, once the configuration is written.
+    """
 
-    settings: dict[str, Any] = {}  # noqa: RUF012  what differs from SETTINGS
-    limits: dict[str, Any] = {}  # noqa: RUF012  what differs in the platform's limits
+    listen: tuple[str, int]
 
     def __init__(self, settings: dict[str, Any]) -> None:
         self.settings = settings
-        self.set_up()
-
-    def set_up(self) -> None:
-        """Open the ports and make the folder of its files."""
         self.server = Listener()
         self.discovery = Listener()
         self.folder = tempfile.TemporaryDirectory()
-        self.path = Path(self.folder.name) / "config.json"
+        super().__init__(Path(self.folder.name) / "config.json")
 
     def close(self) -> None:
-        """End the program, and remove its files."""
+        """Ends the process and removes the folder."""
         self.stop()
         self.folder.cleanup()
 
     def member(self, name: str = "s1", **changes: Any) -> dict[str, Any]:
-        """Return a server as discovery lists it, at the port that the test plays."""
-        member = {"id": name, "host_port": self.server.address, "locality": "here", "flavor": "m", "cell": 0}
-        return member | {"phase": "ready", "size": 1.0, "up_since_ms": 0} | changes
+        """Returns a ready server in the format of discovery, by default at the port of `server`."""
+        member = {
+            "id": name,
+            "host_port": self.server.address,
+            "locality": "here",
+            "flavor": "m",
+            "cell": 0,
+            "phase": "ready",
+            "size": 1.0,
+            "up_since_ms": 0,
+        }
+        return member | changes
 
     def config(self, members: Iterable[dict[str, Any]] | None = None) -> dict[str, Any]:
-        """Return a configuration with these servers, by default one, and a free port to listen on."""
-        with socket.create_server(("127.0.0.1", 0)) as free:
-            self.listen = free.getsockname()
+        """Returns a configuration with these servers, by default one, and a new free port to listen on."""
+        with socket.create_server(("127.0.0.1", 0)) as unused:
+            self.listen = unused.getsockname()
         known = [self.member()] if members is None else list(members)
         return {
             "name": "n0",
             "listen": f"127.0.0.1:{self.listen[1]}",
             "discovery": self.discovery.address,
             "seed": "8c1f30d27a5be964",
-            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024} | self.limits,
+            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
             "known": {"revision": 1, "complete": True, "members": known},
             "settings": SETTINGS | self.settings,
         }
 
     def write_config(self) -> None:
-        """Write the configuration's file, with one server."""
+        """Writes the configuration file with one server."""
         self.path.write_text(json.dumps(self.config()))
 
     def start(
@@ -198,37 +138,50 @@
         files: int = 1024,
         stderr: int | IO[bytes] = subprocess.PIPE,
     ) -> None:
-        """Start the program, and return once it answers PING (unless the configuration's text is given)."""
+        """Writes the configuration file, starts the process, and waits until it serves.
+
+        Args:
+            members: the servers that the balancer knows, by default one.
+            text: the content of the configuration file in place of the default. The method then does not
+                wait, since the process may reject the file.
+            files: the limit on open files.
+            stderr: where the log goes.
+        """
         self.path.write_text(json.dumps(self.config(members)) if text is None else text)
         self.launch(files, stderr)
         if text is None:
             self.ready()
 
     def ready(self) -> None:
-        """Return once the program answers PING."""
-        end_s = time.monotonic() + TIMEOUT_S
+        """Waits until the process answers PING."""
+        deadline_s = time.monotonic() + TIMEOUT_S
         while True:
             try:
                 self.pinged_client().close()
             except ConnectionRefusedError:
-                assert self.process.poll() is None, "the program ended"
-                assert time.monotonic() < end_s, "the program never listened"
-                time.sleep(0.02)
+                assert self.process.poll() is None, "the process ended"
+                assert time.monotonic() < deadline_s, "the process does not listen"
+                time.sleep(READY_POLL_INTERVAL_S)
             else:
                 return
 
     def reload(self, text: str = "", **changes: Any) -> dict[str, Any]:
-        """Replace the configuration file, or keys in it, and reload; returns what the program logs."""
+        """Changes the configuration file, sends SIGHUP, and returns the log entry of the result.
+
+        Args:
+            text: the new content of the file.
+            changes: without `text`, the top-level keys to replace.
+        """
         self.path.write_text(text or json.dumps(json.loads(self.path.read_text()) | changes))
         self.process.send_signal(signal.SIGHUP)
         return self.logged("config_reloaded", "config_reload_rejected")
 
     def client(self) -> Peer:
-        """Connect a client."""
+        """Returns a new connection to the balancer."""
         return Peer(socket.create_connection(self.listen, TIMEOUT_S))
 
     def pinged_client(self) -> Peer:
-        """Connect a client that asks for nothing but PONG, and has got it."""
+        """Returns a new connection on which the balancer has answered PING."""
         client = self.client()
         client.send("PING")
         assert client.line() == "PONG"
@@ -242,13 +195,21 @@
         group: str = "abc",
         client: Peer | None = None,
     ) -> Peer:
-        """Have a client, a new one if none is given, send its first line."""
+        """Sends an OPEN line, and returns the connection without waiting for the answer.
+
+        Args:
+            number: makes the request id and the key.
+            wait: the time that the client waits, in milliseconds.
+            more: further fields of the line, each after a comma.
+            group: the affinity group.
+            client: the connection to use, by default a new one.
+        """
         client = client or self.client()
         client.send(f"OPEN {number:016x} key{number} c=web,d={wait},g={group}{more}")
         return client
 
     def establish(self, number: int = 1, group: str = "abc") -> tuple[Peer, Peer]:
-        """Establish a session: returns the client's end and the server's."""
+        """Establishes a session at `server`, and returns the connections of the client and of the server."""
         client = self.open(number, group=group)
         server, _ = self.server.accept_session()
         server.send("UP r1")
@@ -256,7 +217,7 @@
         return client, server
 
     def check_serving(self, number: int) -> dict[str, int]:
-        """Check that the server's next session is this new client's, and that nothing has failed inside."""
+        """Establishes a session, checks that no internal error was counted, and returns the counters."""
         self.establish(number)
         counters = self.counters()
         assert "client_connections_failed" not in counters
--- /dev/null
+++ b/tests/support/balancer_process.py
@@ -0,0 +1,131 @@
+"""The balancer as a process: its start and end, signals, log and counters."""
+
+import json
+import os
+import resource
+import signal
+import subprocess
+import sys
+import threading
+import time
+from collections.abc import Iterator
+from contextlib import contextmanager
+from pathlib import Path
+from typing import IO, Any
+
+from support.peer import POLL_INTERVAL_S, TIMEOUT_S
+
+ROOT = Path(__file__).parent.parent.parent
+
+
+class BalancerProcess:
+    """A process that serves from a platform configuration file. `launch` starts it, and `stop` ends it.
+
+    Attributes:
+        path: the platform configuration file.
+        arguments: the arguments of the command line.
+        max_file_bytes: the limit on the size of any file that the process writes.
+    """
+
+    def __init__(self, path: Path) -> None:
+        self.path = path
+        self.arguments: tuple[str, ...] = ()
+        self.max_file_bytes = resource.RLIM_INFINITY
+        self._process: subprocess.Popen[str] | None = None
+
+    @property
+    def process(self) -> subprocess.Popen[str]:
+        """The process, which has to be started."""
+        assert self._process, "the balancer is not started"
+        return self._process
+
+    @process.setter
+    def process(self, process: subprocess.Popen[str]) -> None:
+        """Uses a process that the test has started itself. `stop` ends it."""
+        self._process = process
+
+    def launch(self, files: int = 1024, stderr: int | IO[bytes] = subprocess.PIPE, **variables: str) -> None:
+        """Starts the process on the existing configuration file, and does not wait until it serves.
+
+        Args:
+            files: the limit on open files.
+            stderr: where the log goes. `logged` and `counters` need the default.
+            variables: additional environment variables.
+        """
+        environ = {key: value for key, value in os.environ.items() if not key.startswith("RELAY_")}
+        self._process = subprocess.Popen(
+            [sys.executable, "-m", "wheatstile", *self.arguments],
+            cwd=ROOT,
+            env=environ | {"RELAY_CONFIG": str(self.path)} | variables,
+            stderr=stderr,
+            text=True,
+            preexec_fn=lambda: self._limit_resources(files),
+        )
+
+    def _limit_resources(self, files: int) -> None:
+        """Sets the limits of the child process before it executes the program."""
+        resource.setrlimit(resource.RLIMIT_NOFILE, (files, files))
+        resource.setrlimit(resource.RLIMIT_FSIZE, (self.max_file_bytes, self.max_file_bytes))
+
+    @contextmanager
+    def paused(self) -> Iterator[None]:
+        """Pauses the process by SIGSTOP, and resumes it at the end of the block.
+
+        The process then finds all events of the block ready at the same time.
+        """
+        self.process.send_signal(signal.SIGSTOP)
+        deadline_s = time.monotonic() + TIMEOUT_S
+        while self._state() != "T":
+            assert time.monotonic() < deadline_s, "SIGSTOP did not stop the process"
+            time.sleep(POLL_INTERVAL_S)
+        yield
+        self.process.send_signal(signal.SIGCONT)
+
+    def _state(self) -> str:
+        """Returns the state of the process by its letter in proc(5)."""
+        status = Path(f"/proc/{self.process.pid}/stat").read_text()
+        return status.rpartition(")")[2].split()[0]
+
+    def terminate(self) -> None:
+        """Sends SIGTERM, and does not wait for the end."""
+        self.process.send_signal(signal.SIGTERM)
+
+    def wait(self) -> int:
+        """Waits for the end of the process, and returns its exit status."""
+        return self.process.wait(TIMEOUT_S)
+
+    def stop(self) -> str:
+        """Kills the process if it still runs, and returns the part of its log that nobody has read."""
+        if self._process is None:
+            return ""
+        self._process.kill()
+        _, errors = self._process.communicate()
+        self._process = None
+        return errors
+
+    def logged(self, *events: str) -> dict[str, Any]:
+        """Waits for a log entry with one of these events, and returns it. Drops the entries before it."""
+        assert self.process.stderr
+        watchdog = threading.Timer(TIMEOUT_S, self.process.kill)  # ends the log, and so the wait
+        watchdog.start()
+        try:
+            while True:
+                line = self.process.stderr.readline()
+                assert line, f"the log ended without {events}"
+                entry: dict[str, Any] = json.loads(line)
+                if entry["event"] in events:
+                    return entry
+        finally:
+            watchdog.cancel()
+
+    def counters(self) -> dict[str, int]:
+        """Returns the counters that the process logs on SIGUSR1. Drops the log entries before them."""
+        self.process.send_signal(signal.SIGUSR1)
+        return self.logged("counters_reported")
+
+    def wait_for_counter(self, name: str, minimum: int) -> dict[str, int]:
+        """Waits until this counter has at least this value, and returns all counters."""
+        deadline_s = time.monotonic() + TIMEOUT_S
+        while (counters := self.counters()).get(name, 0) < minimum:
+            assert time.monotonic() < deadline_s, f"{name} stayed below {minimum}: {counters}"
+        return counters
--- a/tests/support/command_line.py
+++ b/tests/support/command_line.py
@@ -1,4 +1,4 @@
-"""The command line as a process: exit status, standard output and standard error of one call."""
+"""Runs one command of the program, and returns its exit status, standard output and standard error."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 ROOT = Path(__file__).parents[2]
 EXAMPLE_CONFIG = ROOT / "example" / "config.json"
 TIMEOUT_S = 60.0
-"""Only against a hang: no test's result depends on it."""
-OWN_VARIABLES = ("RELAY_", "WHEATSTILE_")
-"""How the variables begin that the program reads; a call has only those that it is given."""
+"""Upper bound for one command; a correct program never reaches it."""
+PROGRAM_VARIABLE_PREFIXES = ("RELAY_", "WHEATSTILE_")
+"""Prefixes of the environment variables that the program reads. A command does not inherit them."""
 
 
 @dataclass(frozen=True, slots=True)
 class CommandResult:
-    """What one call of the program came to."""
+    """The exit status of a command, its standard output and its standard error."""
 
     status: int
     output: str
@@ -26,9 +26,14 @@
 
 
 def run_command(*arguments: str, **variables: str) -> CommandResult:
-    """Call `wheatstile` with these arguments and environment variables; it must end without a trace."""
-    inherited = {key: value for key, value in os.environ.items() if not key.startswith(OWN_VARIABLES)}
-    done = subprocess.run(
+    """Runs `wheatstile` with these arguments and environment variables, and waits for its end.
+
+    Checks that the command printed no traceback.
+    """
+    inherited = {
+        key: value for key, value in os.environ.items() if not key.startswith(PROGRAM_VARIABLE_PREFIXES)
+    }
+    completed = subprocess.run(
         [sys.executable, "-m", "wheatstile", *arguments],
         env=inherited | {"PYTHONPATH": str(ROOT)} | variables,
         capture_output=True,
@@ -36,5 +41,5 @@
         text=True,
         timeout=TIMEOUT_S,
     )
-    assert "Traceback" not in done.stderr
-    return CommandResult(done.returncode, done.stdout, done.stderr)
+    assert "Traceback" not in completed.stderr
+    return CommandResult(completed.returncode, completed.stdout, completed.stderr)
--- a/tests/support/command_line_folder.py
+++ b/tests/support/command_line_folder.py
@@ -1,4 +1,4 @@
-"""The folder that each test's commands run in, with files of servers and an operator's file."""
+"""Fixtures for tests of commands: a working directory with endpoint files and an operator's file."""
 
 from __future__ import annotations
 
@@ -18,7 +18,11 @@
 
 @pytest.fixture
 def folder(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Path:
-    """The working directory: `new.json`, `few.json` with one server of three, `bad.json`, and `op.json`."""
+    """Makes a temporary folder with files, changes to it for the test, and returns it.
+
+    `new.json` lists three servers, `few.json` one of them. `bad.json` is an invalid endpoint file. `op.json`
+    is an operator's file that names `live.json`, which does not exist yet.
+    """
     monkeypatch.chdir(tmp_path)
     (tmp_path / "new.json").write_text(json.dumps({"servers": SERVERS, "generation": 1}, indent=1))
     (tmp_path / "few.json").write_text(json.dumps({"servers": SERVERS[:1], "generation": 9}))
@@ -30,6 +34,6 @@
 
 @pytest.fixture
 def live_file(folder: Path) -> Path:
-    """`live.json`, published from `new.json`."""
+    """Publishes `new.json` as `live.json` in `folder`, and returns its path."""
     assert run_command("servers", "publish", "new.json", "live.json").status == 0
     return folder / "live.json"
--- a/tests/support/described_balancer.py
+++ b/tests/support/described_balancer.py
@@ -89,7 +89,9 @@
         while time.monotonic() < end_s:
             listeners = {listener.sock: listener for listener in (self.server, self.other_zone)}
             checks = {
-                check.sock: (listener, check) for listener in listeners.values() for check in listener.probes
+                check.sock: (listener, check)
+                for listener in listeners.values()
+                for check in listener.health_checks
             }
             ready, _, _ = select.select([client.sock, *listeners, *checks], [], [], TIMEOUT_S)
             for sock in ready:
@@ -107,7 +109,7 @@
     if peer.line():
         peer.send(HEALTHY)
     else:
-        listener.probes.remove(peer)
+        listener.health_checks.remove(peer)
         peer.close()
 
 
@@ -119,7 +121,7 @@
     peer = listener.accept()
     if peer.line() == "STATS":
         peer.send(HEALTHY)
-        listener.probes.append(peer)
+        listener.health_checks.append(peer)
         return False
     peer.close(reset=True)
     return True
--- a/tests/support/peer.py
+++ b/tests/support/peer.py
@@ -1,4 +1,4 @@
-"""The peers of a balancer that a test plays itself: a client, a server, discovery; on loopback only."""
+"""The peers of a balancer that a test plays itself, on loopback: a client, a server, discovery."""
 
 import json
 import select
@@ -7,15 +7,15 @@
 from pathlib import Path
 from typing import Any
 
-TIMEOUT_S = 20.0  # within which whatever has to happen must have happened
-CONNECT_DROPPED_AFTER_S = 0.3  # a connect that took longer was dropped: the backlog is full
+TIMEOUT_S = 20.0  # upper bound for any single wait; a correct program never reaches it
+CONNECT_DROPPED_AFTER_S = 0.3  # a connect that takes longer was dropped because the backlog is full
 POLL_INTERVAL_S = 0.002
-SYN_SENT = "02"  # in /proc/net/tcp
-RESET_ON_CLOSE = b"\1\0\0\0\0\0\0\0"  # for SO_LINGER
+SYN_SENT = "02"  # state of a connecting socket in /proc/net/tcp
+RESET_ON_CLOSE = b"\1\0\0\0\0\0\0\0"  # value of SO_LINGER: on, 0 s
 
 
 class Peer:
-    """One end of a connection, read by whole lines."""
+    """One end of a connection, which is read by complete lines. `close` ends it."""
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock = sock
@@ -23,11 +23,14 @@
         self.buffer = b""
 
     def send(self, *lines: str) -> None:
-        """Send these lines, each with its end."""
+        """Sends these lines, each with its line end."""
         self.sock.sendall("".join(line + "\r\n" for line in lines).encode())
 
     def line(self) -> str:
-        """Return the next line without its end; empty at the end of the connection."""
+        """Returns the next line without its line end, or an empty string at the end of the connection.
+
+        Raises ConnectionResetError if the other side resets the connection, TimeoutError after TIMEOUT_S.
+        """
         while b"\r\n" not in self.buffer:
             data = self.sock.recv(4096)
             if not data:
@@ -37,7 +40,7 @@
         return line.decode()
 
     def lines_to_the_end(self) -> list[str]:
-        """Return all lines until the other side ends the connection; no part of a line may follow them."""
+        """Returns all lines until the end of the connection, and checks that the last one is complete."""
         lines = []
         while line := self.line():
             lines.append(line)
@@ -45,43 +48,50 @@
         return lines
 
     def ends(self) -> bool:
-        """Whether the other side ends the connection, in either way, without another line."""
+        """Waits, and returns whether the other side closes or resets the connection before another line."""
         try:
             return self.line() == ""
         except ConnectionResetError:
             return True
 
     def begin_watch(self) -> None:
-        """Answer a call to discovery with the head of a watch."""
+        """Answers a call to discovery with the response headers of a watch."""
         self.send("HTTP/1.1 200 OK", "Transfer-Encoding: chunked", "")
 
     def chunk(self, revision: int, *members: dict[str, Any], complete: bool = False) -> None:
-        """Send one list on a watch."""
+        """Sends one endpoint list on a watch, as one chunk. `complete`: the list replaces the earlier one."""
         body = json.dumps({"revision": revision, "complete": complete, "members": members}) + "\n"
         self.send(f"{len(body):x}", body)
 
     def close(self, reset: bool = False) -> None:
-        """Close this end, by a reset if asked."""
+        """Closes this end, on request by a reset."""
         if reset:
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
         self.sock.close()
 
 
 class Listener:
-    """A port that the balancer connects to: a server's or discovery's."""
+    """A port that the balancer connects to, as a server or as discovery.
+
+    The constructor opens the port. Connections are accepted only when a test asks for them.
+
+    Attributes:
+        address: the address of the port, `HOST:PORT`.
+        health_checks: the open connections on which health checks have come.
+    """
 
     def __init__(self) -> None:
         self.sock = socket.create_server(("127.0.0.1", 0))
         self.sock.settimeout(TIMEOUT_S)
-        self.probes: list[Peer] = []  # the connections that health checks have come on
+        self.health_checks: list[Peer] = []
         self.address = f"127.0.0.1:{self.sock.getsockname()[1]}"
 
     def accept(self) -> Peer:
-        """Return the next connection."""
+        """Returns the next connection."""
         return Peer(self.sock.accept()[0])
 
     def watch(self) -> tuple[Peer, str]:
-        """Return the next call to discovery, and its first line."""
+        """Accepts a call to discovery, reads its headers, and returns the connection and the request line."""
         peer = self.accept()
         request_line = peer.line()
         while peer.line():
@@ -89,12 +99,12 @@
         return peer, request_line
 
     def accept_session(self, load: float = 0.3) -> tuple[Peer, str]:
-        """Return the next connection that is no health check's, and its first line.
+        """Waits for an attempt to open a session, and returns its connection and its first line.
 
-        Health checks that come meanwhile are answered with this load.
+        Health checks before it are answered with this load, and their connections stay open.
         """
         while True:
-            socks = [self.sock, *(probe.sock for probe in self.probes)]
+            socks = [self.sock, *(health_check.sock for health_check in self.health_checks)]
             ready = select.select(socks, [], [], TIMEOUT_S)[0]
             assert ready, "no attempt came"
             self._answer_health_checks(ready, load)
@@ -104,50 +114,55 @@
                 if line != "STATS":
                     return peer, line
                 peer.send(f"PONG x0={load}")
-                self.probes.append(peer)
+                self.health_checks.append(peer)
 
     def _answer_health_checks(self, ready: list[socket.socket], load: float) -> None:
-        for probe in [probe for probe in self.probes if probe.sock in ready]:
-            if probe.line():
-                probe.send(f"PONG x0={load}")
+        """Answers the next line of each ready connection, and closes those that the balancer has ended."""
+        for health_check in [peer for peer in self.health_checks if peer.sock in ready]:
+            if health_check.line():
+                health_check.send(f"PONG x0={load}")
             else:
-                self.probes.remove(probe)
-                probe.close()
+                self.health_checks.remove(health_check)
+                health_check.close()
 
     def fill_backlog(self) -> list[socket.socket]:
-        """Fill the backlog: the next connection stays on its way until `accept_waiting` takes these."""
+        """Fills the backlog with connections, and returns their sockets, which stay open.
+
+        The next connect then remains pending until `accept_waiting` takes them.
+        """
         self.sock.listen(0)
-        ahead = []
+        filling: list[socket.socket] = []
         while True:
-            ahead.append(socket.socket())
-            ahead[-1].settimeout(CONNECT_DROPPED_AFTER_S)
+            sock = socket.socket()
+            sock.settimeout(CONNECT_DROPPED_AFTER_S)
             try:
-                ahead[-1].connect(self.sock.getsockname())
+                sock.connect(self.sock.getsockname())
             except TimeoutError:
-                ahead.pop().close()
-                return ahead
+                sock.close()
+                return filling
+            filling.append(sock)
 
     def has_waiting(self) -> bool:
-        """Whether a connection waits to be accepted."""
+        """Returns whether a connection waits to be accepted."""
         return bool(select.select([self.sock], [], [], 0)[0])
 
     def is_connecting(self) -> bool:
-        """Whether a connection to this port is on its way."""
+        """Returns whether a connect to this port is pending."""
         port = f":{self.sock.getsockname()[1]:04X}"
         rows = [row.split() for row in Path("/proc/net/tcp").read_text().splitlines()[1:]]
         return any(remote.endswith(port) and state == SYN_SENT for _, _, remote, state, *_ in rows)
 
     def wait_for_connect(self) -> None:
-        """Wait until a connection to this port is on its way."""
-        end_s = time.monotonic() + TIMEOUT_S
+        """Waits until a connect to this port is pending."""
+        deadline_s = time.monotonic() + TIMEOUT_S
         while not self.is_connecting():
-            assert time.monotonic() < end_s, "no connection was begun"
+            assert time.monotonic() < deadline_s, f"nobody connects to {self.address}"
             time.sleep(POLL_INTERVAL_S)
 
-    def accept_waiting(self, ahead: list[socket.socket]) -> Peer:
-        """Empty the backlog; returns the connection that was on its way, once it is up."""
-        own = {sock.getsockname() for sock in ahead}
+    def accept_waiting(self, filling: list[socket.socket]) -> Peer:
+        """Accepts the connections of `fill_backlog`, and returns the pending one once it is established."""
+        filling_addresses = {sock.getsockname() for sock in filling}
         while True:
             peer = self.accept()
-            if peer.sock.getpeername() not in own:
+            if peer.sock.getpeername() not in filling_addresses:
                 return peer
--- a/tests/support/served_balancer_factory.py
+++ b/tests/support/served_balancer_factory.py
@@ -1,4 +1,4 @@
-"""The fixture of tests of the running program with an endpoint file."""
+"""The fixture `make_balancer`, for tests of a balancer with an endpoint file."""
 
 from collections.abc import Callable, Iterator
 from contextlib import ExitStack
@@ -12,7 +12,7 @@
 
 @pytest.fixture
 def make_balancer() -> Iterator[MakeBalancer]:
-    """Prepare balancers that end with the test: `known` servers, and changes to the `servers` section."""
+    """Returns a function that makes a ServedBalancer from its arguments. All are closed with the test."""
     with ExitStack() as balancers:
 
         def make(known: tuple[str, ...] = ("s1", "s2"), **section: object) -> ServedBalancer:
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The README's example prints what the README says."""
+"""The example in the README prints the output that the README shows."""
 
 import re
 import subprocess
@@ -8,13 +8,15 @@
 ROOT = Path(__file__).parent.parent
 
 
-def test_example_prints_what_the_readme_says() -> None:
-    text = (ROOT / "README.md").read_text()
-    code = re.search(r"```python\n(.*?)```", text, re.DOTALL)
-    printed = re.search(r"```text\n(.*?)```", text, re.DOTALL)
+def test_example_prints_the_output_that_the_readme_shows() -> None:
+    page = (ROOT / "README.md").read_text()
+    code = re.search(r"```python\n(.*?)```", page, re.DOTALL)
+    output = re.search(r"```text\n(.*?)```", page, re.DOTALL)
     assert code
-    assert printed
-    run = subprocess.run(
+    assert output
+
+    completed = subprocess.run(
         [sys.executable, "-c", code[1]], cwd=ROOT, capture_output=True, text=True, check=False
     )
-    assert (run.stderr, run.stdout) == ("", printed[1])
+
+    assert (completed.stderr, completed.stdout) == ("", output[1])
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The wire: every message both ways, and a plain word for what is malformed."""
+"""The simulator's wire: every message in both directions, whole batches, and errors in the input."""
 
 import io
 import json
@@ -12,8 +12,8 @@
 from wheatstile.simulator import host, wire
 from wheatstile.simulator.line import Fields, parse_line
 
-NOTE = "STATUS_NOTE\tbalancer=3\trequestId=d8\tx=12.5\tserver=s1"
-PROFILE: dict[str, Any] = {
+STATUS_NOTE = "STATUS_NOTE\tbalancer=3\trequestId=d8\tx=12.5\tserver=s1"
+SETTINGS: dict[str, Any] = {
     "classes": [{"name": "web", "aimUs": 500000, "deadlineUs": 2000000, "repeat": "retryable", "new": 1}],
     "fleetSize": 4,
     "discovery": "on_request",
@@ -32,13 +32,15 @@
 }
 
 
-def batch(*lines: str, turn: int = 1, clock: int = 5_000_000) -> str:
-    return "\n".join([f"ROUND\tclockUs={clock}\tturn={turn}", *lines, "FLUSH", ""])
+def batch(*lines: str, turn: int = 1, clock_us: int = 5_000_000) -> str:
+    """Returns the lines as one batch of events at this time."""
+    return "\n".join([f"ROUND\tclockUs={clock_us}\tturn={turn}", *lines, "FLUSH", ""])
 
 
-def configure(instance: int, profile: dict[str, Any] | None = None, seed: int = 7) -> list[str]:
+def configure(instance: int, settings: dict[str, Any] | None = None, seed: int = 7) -> list[str]:
+    """Returns the lines that start an instance with two servers, `s1` in its zone and `s2` in another."""
     return [
-        f"CONFIGURE\tbalancer={instance}\tprng={seed}\tprofileData={json.dumps(profile or PROFILE)}",
+        f"CONFIGURE\tbalancer={instance}\tprng={seed}\tprofileData={json.dumps(settings or SETTINGS)}",
         "ROSTER\tbuffer=0\trowsIn=2",
         "ROW\tshare=1\taz=here\tstatus=Running\tserver=s1",
         "ROW\tshare=1\taz=there\tstatus=Running\tserver=s2\tnovelty=1",
@@ -47,9 +49,11 @@
 
 
 def serve(text: str) -> tuple[int, list[str], str]:
-    out, errors = io.StringIO(), io.StringIO()
-    status = host.serve(io.StringIO(text), out, errors)
-    return status, out.getvalue().splitlines(), errors.getvalue()
+    """Runs the host on this input. Returns its exit status, the lines of its output, and its errors."""
+    output = io.StringIO()
+    errors = io.StringIO()
+    status = host.serve(io.StringIO(text), output, errors)
+    return status, output.getvalue().splitlines(), errors.getvalue()
 
 
 @pytest.mark.parametrize(
@@ -78,13 +82,13 @@
             "CHECKED\tbalancer=3\tserver=s1\tverdict=pass\trttUs=5\tstats=x0:0.5,odd:3",
             api.HealthCheckResult("s1", api.AttemptOutcome.OK, 5, {"load": 0.5}),
         ),
-        (f"{NOTE}\ttopic=1", api.ConnectionLoadChanged("d8", "s1", 12.5)),
-        (f"{NOTE}\ttopic=2", api.MessageLatencyChanged("d8", "s1", 12.5)),
-        (f"{NOTE}\ttopic=9", None),
+        (f"{STATUS_NOTE}\ttopic=1", api.ConnectionLoadChanged("d8", "s1", 12.5)),
+        (f"{STATUS_NOTE}\ttopic=2", api.MessageLatencyChanged("d8", "s1", 12.5)),
+        (f"{STATUS_NOTE}\ttopic=9", None),
         ("BELL\tbalancer=3\ttag=slot", api.TimerFired(api.TimerToken(api.TimerKind.EXPLORATION_SLOT))),
     ],
 )
-def test_events_are_read(line: str, event: api.Event | None) -> None:
+def test_line_is_read_as_an_event(line: str, event: api.Event | None) -> None:
     name, fields = parse_line(line)
     assert wire.EVENTS[name](fields) == event
 
@@ -104,7 +108,7 @@
         (api.WatchEndpoints(), "STREAM_CHANGES\tbalancer=3\ton=1"),
     ],
 )
-def test_actions_are_rendered(action: api.Action, line: str) -> None:
+def test_action_is_written_as_a_line(action: api.Action, line: str) -> None:
     assert wire.action_line(3, action) == line
 
 
@@ -119,13 +123,13 @@
         (api.TimerToken(api.TimerKind.CANDIDATE_TIMEOUT, "d:8", 42), "hold:42:d:8"),
     ],
 )
-def test_timer_tokens_are_written_and_read(token: api.TimerToken, text: str) -> None:
+def test_timer_token_is_written_and_read(token: api.TimerToken, text: str) -> None:
     assert wire.timer_text(token) == text
     assert wire.timer_token(text) == token
 
 
 @pytest.mark.parametrize("text", ["unheard-of", "hold", "hold:x", "hold:x:d8", "slot::d8", "other:1:d8", ""])
-def test_unknown_timers_are_ignored(text: str) -> None:
+def test_unknown_timer_is_ignored(text: str) -> None:
     assert wire.EVENTS["BELL"](Fields({"tag": text})) is None
 
 
@@ -134,35 +138,35 @@
 
 
 @pytest.mark.parametrize("value", ["nan", "inf", "-1", "many", ""])
-def test_nonsense_in_a_report_counts_as_absent(value: str) -> None:
+def test_invalid_value_in_a_load_report_counts_as_absent(value: str) -> None:
     assert Fields({"stats": f"x0:{value},utilization:0.5"}).load_report() == {"busy": 0.5}
 
 
-def test_a_batch_is_answered_with_its_number() -> None:
+def test_batch_is_answered_with_its_number() -> None:
     assert serve(batch(turn=12)) == (0, ["READY\tturn=12"], "")
 
 
-def test_a_request_is_probed_for_and_sent() -> None:
+def test_request_is_sent_to_the_less_loaded_server_after_health_checks() -> None:
     text = batch(*configure(3)) + batch(
         "ARRIVAL\tbalancer=3\trequestId=d8\texpiresInUs=2000000\tservice=web\tresource=k",
         turn=2,
-        clock=5_100_000,
+        clock_us=5_100_000,
     )
     text += batch(
         "CHECKED\tbalancer=3\tserver=s1\tverdict=pass\tstats=x0:0.6",
         "CHECKED\tbalancer=3\tserver=s2\tverdict=pass\tstats=x0:0.1",
         turn=3,
-        clock=5_110_000,
+        clock_us=5_110_000,
     )
     status, lines, errors = serve(text)
     assert (status, errors) == (0, "")
-    probes = [line for line in lines if line.startswith("PROBE")]
-    assert sorted(probes) == ["PROBE\tbalancer=3\tserver=s1", "PROBE\tbalancer=3\tserver=s2"]
+    health_checks = [line for line in lines if line.startswith("PROBE")]
+    assert sorted(health_checks) == ["PROBE\tbalancer=3\tserver=s1", "PROBE\tbalancer=3\tserver=s2"]
     assert [line.split("\t")[3] for line in lines if line.startswith("TRANSMIT")] == ["server=s2"]
 
 
 @pytest.mark.parametrize(
-    ("lines", "word"),
+    ("lines", "reason"),
     [
         (["ARRIVAL\tbalancer=3\tservice=web"], "requestId is missing"),
         (["ARRIVAL\tbalancer=3\trequestId=d8\tservice=web\texpiresInUs=soon"], "expiresInUs is not a whole"),
@@ -174,65 +178,65 @@
         (["CONFIGURE\tbalancer=4\tprng=1\tprofileData={]"], "no JSON"),
     ],
 )
-def test_malformed_lines_end_in_a_plain_fault(lines: list[str], word: str) -> None:
-    status, out, errors = serve(batch(*configure(3)) + batch(*lines, turn=2))
+def test_malformed_line_ends_the_program_with_the_reason(lines: list[str], reason: str) -> None:
+    status, output, errors = serve(batch(*configure(3)) + batch(*lines, turn=2))
     assert status == 1
-    assert out[-2].startswith("FAULT\t")
-    assert word in out[-2]
-    assert out[-1] == "READY\tturn=2"
-    assert word in errors
+    assert output[-2].startswith("FAULT\t")
+    assert reason in output[-2]
+    assert output[-1] == "READY\tturn=2"
+    assert reason in errors
     assert "Traceback" not in errors
 
 
 @pytest.mark.parametrize("key", ["classes", "fleetSize", "discovery", "limits", "rules"])
-def test_a_missing_setting_is_named(key: str) -> None:
-    profile = {name: value for name, value in PROFILE.items() if name != key}
+def test_error_names_the_missing_setting(key: str) -> None:
+    settings = {name: value for name, value in SETTINGS.items() if name != key}
     with pytest.raises(SettingsError, match=f"lacks the key {key}"):
-        parse_settings(json.dumps(profile))
+        parse_settings(json.dumps(settings))
 
 
-def test_a_setting_nobody_could_balance_by_is_named() -> None:
+def test_error_names_the_setting_whose_value_is_out_of_range() -> None:
     with pytest.raises(ValueError, match="fleet_size must be 1 or more"):
-        parse_settings(json.dumps(PROFILE | {"fleetSize": 0}))
+        parse_settings(json.dumps(SETTINGS | {"fleetSize": 0}))
 
 
-def test_input_cut_off_inside_a_batch_is_said_and_a_clean_end_is_clean() -> None:
-    status, out, errors = serve("ROUND\tclockUs=1\tturn=1\n")
-    assert (status, out) == (1, [])
+def test_input_that_ends_inside_a_batch_is_an_error_and_empty_input_is_not() -> None:
+    status, output, errors = serve("ROUND\tclockUs=1\tturn=1\n")
+    assert (status, output) == (1, [])
     assert "inside a batch" in errors
     assert serve("") == (0, [], "")
 
 
-def test_unknown_messages_and_instances_are_passed_over() -> None:
+def test_unknown_messages_and_instances_are_ignored() -> None:
     lines = ["OMEN\tbalancer=3\tx=1", "MAIL\tbalancer=3\tby=1\tbody=00", "BELL\tbalancer=77\ttag=slot"]
     assert serve(batch(*lines))[:2] == (0, ["READY\tturn=1"])
 
 
-def test_a_stopped_instance_is_void() -> None:
+def test_stopped_instance_ignores_events() -> None:
     arrival = "ARRIVAL\tbalancer=3\trequestId=d8\texpiresInUs=2000000\tservice=web"
     text = batch(*configure(3)) + batch("TEARDOWN\tbalancer=3", arrival, turn=2)
     assert serve(text)[1][-1] == "READY\tturn=2"
     assert not any("d8" in line for line in serve(text)[1])
 
 
-def test_instances_act_alike_alone_and_together() -> None:
-    def events(instance: int, turn: int) -> list[str]:
+def test_instance_acts_the_same_alone_and_beside_others() -> None:
+    def request_lines(instance: int, turn: int) -> list[str]:
         return [
             f"ARRIVAL\tbalancer={instance}\trequestId={turn:02x}\texpiresInUs=2000000\tservice=web\tresource=k{turn}"
         ]
 
-    def play(instances: list[int]) -> list[str]:
+    def run_instances(instances: list[int]) -> list[str]:
         text = batch(*[line for number in instances for line in configure(number, seed=number)])
         for turn in range(2, 30):
             text += batch(
-                *[line for number in instances for line in events(number, turn)],
+                *[line for number in instances for line in request_lines(number, turn)],
                 turn=turn,
-                clock=5_000_000 + turn * 70_000,
+                clock_us=5_000_000 + turn * 70_000,
             )
         return serve(text)[1]
 
-    together = play([1, 2, 3])
+    together = run_instances([1, 2, 3])
     for number in (1, 2, 3):
-        mine = [line for line in together if f"\tbalancer={number}" in line]
-        assert mine == [line for line in play([number]) if f"\tbalancer={number}" in line]
-        assert len(mine) > 30
+        lines = [line for line in together if f"\tbalancer={number}" in line]
+        assert lines == [line for line in run_instances([number]) if f"\tbalancer={number}" in line]
+        assert len(lines) > 30
