--- a/tests/store/process_cluster.py
+++ b/tests/store/process_cluster.py
@@ -12,7 +12,7 @@
 from contextlib import suppress
 from pathlib import Path
 
-from fleet import Program
+from support.program_process import ProgramProcess
 
 from wheatstile.store.client import StoreClient
 
@@ -66,9 +66,9 @@
             f"{sender}:{recipient}:{self.proxy_ports[sender, recipient]}:{self.peer_ports[recipient]}"
             for sender, recipient in pairs
         ]
-        self.fault_proxy = Program("link", "--frames", "--seed", str(seed), *routes)
+        self.fault_proxy = ProgramProcess("link", "--frames", "--seed", str(seed), *routes)
         self.fault_proxy.expect("ready")
-        self.processes: dict[str, Program] = {}
+        self.processes: dict[str, ProgramProcess] = {}
         self.paused: set[str] = set()
         self.output: OutputByMember = {name: [] for name in names}
 
@@ -78,7 +78,7 @@
         `voters` are the initial voters (default: all names). Another member waits until it is added.
         """
         for name in names:
-            self.processes[name] = Program("store", "serve", *self.arguments(name, voters))
+            self.processes[name] = ProgramProcess("store", "serve", *self.arguments(name, voters))
         for name in names:
             self.processes[name].expect("ready")
 
@@ -128,7 +128,7 @@
 
     def inject(self, command: str) -> None:
         """Send the fault proxy a command, such as `cut a b` or `heal`, and wait until it is carried out."""
-        self.fault_proxy.tell(command)
+        self.fault_proxy.send_command(command)
 
     def member_options(self) -> list[str]:
         """Return the options `--member` for the client commands of `wheatstile store`."""
--- a/tests/store/test_backup.py
+++ b/tests/store/test_backup.py
@@ -14,9 +14,9 @@
 from pathlib import Path
 
 import pytest
-from fleet import Program
 from process_cluster import ProcessCluster, run_scenario
 from store_command import run_store_command
+from support.program_process import ProgramProcess
 
 from wheatstile.store.client import StoreClient
 from wheatstile.store.errors import OutcomeUnknownError
@@ -30,7 +30,7 @@
     directory: Path, cluster: str, use: Callable[[StoreClient], Awaitable[None]], name: str = "a"
 ) -> None:
     """Start one member on the directory, call `use` with a client, and end the member by SIGTERM."""
-    process = Program("store", "serve", "--name", name, "--cluster", cluster, "--dir", str(directory))
+    process = ProgramProcess("store", "serve", "--name", name, "--cluster", cluster, "--dir", str(directory))
 
     async def run(port: int) -> None:
         with closing(StoreClient({name: port}, 30)) as client:
@@ -110,7 +110,7 @@
 
 @pytest.fixture
 def member_with_small_files(tmp_path: Path) -> Iterator[subprocess.Popen[str]]:
-    """Start a member in `tmp_path / "a"` whose files cannot exceed `MAX_FILE_BYTES`; kills it at the end."""
+    """Start a member in `tmp_path / "a"` whose files cannot exceed `MAX_FILE_BYTES`, and kill it at the end."""
     member = subprocess.Popen(
         [sys.executable, "-m", "wheatstile", "store", "serve", "--dir", str(tmp_path / "a")],
         stdout=subprocess.PIPE,
