--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -56,7 +56,7 @@
     repetitions: int,
     prepare: Callable[[int], object] = lambda _: None,
 ) -> float:
-    """Returns the median time of one call of `work`, in seconds; both functions get the call's number."""
+    """Return the median time of one call of `work`, in seconds; both functions get the call's number."""
     durations_s = []
     for index in range(repetitions):
         prepare(index)
@@ -88,7 +88,7 @@
         )
 
     def _decide(self, index: int) -> None:
-        """One request from its arrival to its attempt, and its end."""
+        """Handle one request from its arrival to its attempt, and its end."""
         request_id = f"r{index}"
         self._harness.log.clear()
         self._harness.request(request_id, key=request_id, affinity_group=request_id)
@@ -96,18 +96,18 @@
         self._harness.dispatch(api.ClientDisconnected(request_id))
 
     def _begin_check(self, index: int) -> None:
-        """Puts a health check in flight, for `_report_load`."""
+        """Put a health check in flight, for `_report_load`."""
         balancer = self._harness.balancer
         server = balancer.endpoints.servers[self._names[index % len(self._names)]]
         balancer.health_checks.check(server, lambda _: None, next(iter(balancer.connections.established)))
 
     def _report_load(self, index: int) -> None:
-        """Answers one health check."""
+        """Answer one health check."""
         server = self._names[index % len(self._names)]
         self._harness.dispatch(api.HealthCheckResult(server, api.AttemptOutcome.OK, 1000, {"load": 0.4}))
 
     def _update_endpoint(self, index: int) -> None:
-        """One update of discovery, which changes one server."""
+        """Handle one update of discovery, which changes one server."""
         state = (api.EndpointState.DRAINING, api.EndpointState.READY)[index % 2]
         endpoint = api.Endpoint(self._names[0], state, "here")
         self._harness.dispatch(api.EndpointUpdate(api.EndpointUpdateKind.DELTA, [endpoint]))
--- a/tests/decisions/test_determinism.py
+++ b/tests/decisions/test_determinism.py
@@ -25,7 +25,7 @@
 
 
 def play(seed: int) -> list[api.Action]:
-    """Returns the actions of 200 requests and ten seconds."""
+    """Return the actions of 200 requests and ten seconds."""
     harness = BalancerHarness("a", "b", "c", seed=seed)
     for index in range(200):
         harness.request(f"r{index}", key=f"k{index}")
--- a/tests/decisions/test_endpoint_watch.py
+++ b/tests/decisions/test_endpoint_watch.py
@@ -9,12 +9,12 @@
 
 
 def watch_delays_us(actions: list[api.Action]) -> list[int]:
-    """Returns the delays of the timers that request the list."""
+    """Return the delays of the timers that request the list."""
     return [timer.delay_us for timer in of_type(actions, api.SetTimer) if timer.token == WATCH]
 
 
 def fail_call(harness: BalancerHarness) -> list[int]:
-    """Lets a call to discovery fail. Returns the delays until the next one."""
+    """Let a call to discovery fail. Return the delays until the next one."""
     return watch_delays_us(harness.dispatch(api.EndpointUpdate(api.EndpointUpdateKind.FAILED)))
 
 
--- a/tests/decisions/test_event_order.py
+++ b/tests/decisions/test_event_order.py
@@ -81,7 +81,7 @@
         return sorted(self.attempts_in_flight)[step.index % len(self.attempts_in_flight)]
 
     def check_new_actions(self) -> None:
-        """Checks the new actions: one attempt at a time, one final answer, nothing after it."""
+        """Check the new actions: one attempt at a time, one final answer, nothing after it."""
         for action in self.harness.log[self._checked_actions :]:
             if isinstance(action, api.StartAttempt):
                 assert action.id not in self.ended, "an attempt after the end"
--- a/tests/decisions/test_exploration.py
+++ b/tests/decisions/test_exploration.py
@@ -46,19 +46,19 @@
 
 
 def run_explore_slot(harness: BalancerHarness, connections: int) -> list[api.Migrate]:
-    """Adds connections c0, c1 and so on at server "a", and runs one slot. Returns the moves."""
+    """Add connections c0, c1 and so on at server "a", and run one slot. Return the moves."""
     for index in range(connections):
         harness.connect(f"c{index}", "a", f"k{index}")
     return of_type(harness.run(SLOT_US), api.Migrate)
 
 
 def key_of(move: api.Migrate) -> str:
-    """Returns the client key of a connection of `run_explore_slot`."""
+    """Return the client key of a connection of `run_explore_slot`."""
     return f"k{move.id[1:]}"
 
 
 def explore_one(harness: BalancerHarness) -> str:
-    """Moves one connection by exploration, and lets its client reconnect as "moved". Returns its server."""
+    """Move one connection by exploration, and let its client reconnect as "moved". Return its server."""
     moves = run_explore_slot(harness, 1000)
     assert moves
     harness.request("moved", key=key_of(moves[0]), reconnecting=True)
--- a/tests/decisions/test_lookup_table.py
+++ b/tests/decisions/test_lookup_table.py
@@ -16,7 +16,7 @@
 
 
 def weighted_harness(weights: dict[str, float]) -> BalancerHarness:
-    """Returns a balancer whose servers have these weights."""
+    """Return a balancer whose servers have these weights."""
     harness = BalancerHarness()
     harness.update_endpoints(*weighted_endpoints(weights), kind=api.EndpointUpdateKind.FULL)
     return harness
@@ -27,13 +27,13 @@
 
 
 def connection_of(group: str) -> Connection:
-    """Returns a request whose candidates are drawn from the hash of an affinity group."""
+    """Return a request whose candidates are drawn from the hash of an affinity group."""
     service_class = api.ServiceClass("web", 1)
     return Connection("id", "key", service_class, 0, placement_hash=crc32(group.encode()))
 
 
 def pick(harness: BalancerHarness, connection: Connection | None = None, excluded: str = "") -> str:
-    """Draws a server. Returns its name."""
+    """Draw a server. Return its name."""
     other = harness.server(excluded) if excluded else None
     server = harness.balancer.selector.pick(connection, other)
     assert server
--- a/tests/decisions/test_many_balancers.py
+++ b/tests/decisions/test_many_balancers.py
@@ -18,7 +18,7 @@
 
 
 def drain(fleet: FleetModel, *names: str, spread_us: int = SECOND_US) -> None:
-    """Drains these servers; all their clients disconnect now and reconnect within the spread."""
+    """Drain these servers; all their clients disconnect now and reconnect within the spread."""
     draining = [replace(fleet.endpoints[name], state=api.EndpointState.DRAINING) for name in names]
     fleet.update_endpoints(*draining)
     for id in [id for id, place in fleet.places.items() if place.server in names]:
@@ -43,7 +43,7 @@
 
 
 def attempts_at_a_starting_server(balancers: int, seed: int) -> int:
-    """Returns the attempts in one window after four of five servers drain: one full and one starting remain.
+    """Return the attempts in one window after four of five servers drain: one full and one starting remain.
 
     Each server has 9 connections at a load of 0.75, so that most balancers have one or two.
     """
--- a/tests/decisions/test_rebalancing.py
+++ b/tests/decisions/test_rebalancing.py
@@ -8,7 +8,7 @@
 
 
 def checks_of(server: str, actions: list[api.Action]) -> int:
-    """Returns the number of health checks of a server among these actions."""
+    """Return the number of health checks of a server among these actions."""
     return sum(check.server == server for check in of_type(actions, api.CheckHealth))
 
 
@@ -48,7 +48,7 @@
 
 
 def migrations_after_latencies(first_ms: float, second_ms: float) -> int:
-    """Returns the migrations from a server with a low reported load and these two latencies."""
+    """Return the migrations from a server with a low reported load and these two latencies."""
     harness = BalancerHarness("a", "b", "c", loads={"a": 0.1, "b": 0.4, "c": 0.4})
     harness.connect_many(60, "a")
     harness.server("a").load.record_message_latency(first_ms)
--- a/tests/decisions/test_retry_policy.py
+++ b/tests/decisions/test_retry_policy.py
@@ -7,7 +7,7 @@
 
 
 def classes_of(idempotency: api.Idempotency, window_us: int = 5 * SECOND_US) -> dict[str, api.ServiceClass]:
-    """Returns one class, whose servers discard repeats within a zone and this window."""
+    """Return one class, whose servers discard repeats within a zone and this window."""
     zone = api.DeduplicationScope.ZONE
     return {"web": api.ServiceClass("web", 500_000, idempotency, zone, window_us)}
 
@@ -17,7 +17,7 @@
 
 
 def fail_first(harness: BalancerHarness, outcome: api.AttemptOutcome) -> list[api.Action]:
-    """Lets the first attempt of a request "r" fail. Returns the actions of the second after it."""
+    """Let the first attempt of a request "r" fail. Return the actions of the second after it."""
     harness.request("r", 10 * SECOND_US)
     mark = len(harness.log)
     harness.end_attempt("r", outcome)
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -7,7 +7,7 @@
 
 
 def harness_in_slow_start(**changes: object) -> BalancerHarness:
-    """Returns a balancer with the server "a", and "b", which has just started."""
+    """Return a balancer with the server "a", and "b", which has just started."""
     harness = BalancerHarness("a", "b", loads={"a": 0.5, "b": 0.0}, **changes)  # type: ignore[arg-type]
     starting = endpoints("b", started_at_us=harness.now_us)
     harness.update_endpoints(*endpoints("a"), *starting, kind=api.EndpointUpdateKind.FULL)
--- a/tests/support/balancer_harness.py
+++ b/tests/support/balancer_harness.py
@@ -16,7 +16,7 @@
 
 
 def settings(**changes: object) -> api.Settings:
-    """Returns the settings of one zone with one idempotent class, with these changes."""
+    """Return the settings of one zone with one idempotent class, with these changes."""
     service_class = api.ServiceClass(SERVICE_CLASS, 500_000, message_latency_objective_us=50_000)
     values: dict[str, object] = {
         "fleet_size": 4,
@@ -34,12 +34,12 @@
 
 
 def endpoints(*names: str, **changes: object) -> list[api.Endpoint]:
-    """Returns ready endpoints of the balancer's zone, with these changes."""
+    """Return ready endpoints of the balancer's zone, with these changes."""
     return [api.Endpoint(name, api.EndpointState.READY, "here", **changes) for name in names]  # type: ignore[arg-type]
 
 
 def of_type(actions: Iterable[api.Action], kind: type[ActionT]) -> list[ActionT]:
-    """Returns the actions of one type."""
+    """Return the actions of one type."""
     return [action for action in actions if isinstance(action, kind)]
 
 
@@ -79,23 +79,23 @@
         return actions
 
     def dispatch(self, event: api.Event) -> list[api.Action]:
-        """Handles one event; health checks are not answered yet."""
+        """Handle one event; health checks are not answered yet."""
         return self._record(self.balancer.handle(self.now_us, event))
 
     def update_endpoints(
         self, *changed: api.Endpoint, kind: api.EndpointUpdateKind = api.EndpointUpdateKind.DELTA
     ) -> list[api.Action]:
-        """Handles an update of the list of servers."""
+        """Handle an update of the list of servers."""
         return self.dispatch(api.EndpointUpdate(kind, list(changed)))
 
     def answer_check(
         self, server: str, outcome: api.AttemptOutcome = api.AttemptOutcome.OK, **report: float
     ) -> list[api.Action]:
-        """Handles the result of one health check."""
+        """Handle the result of one health check."""
         return self.dispatch(api.HealthCheckResult(server, outcome, 1000, report))
 
     def answer_checks(self) -> list[api.Action]:
-        """Answers every pending health check, also those that the answers cause."""
+        """Answer every pending health check, also those that the answers cause."""
         answers: list[api.Action] = []
         while self.pending_checks:
             name = self.pending_checks.pop(0)
@@ -106,7 +106,7 @@
         return answers
 
     def run(self, duration_us: int) -> list[api.Action]:
-        """Lets time pass, while timers fire and health checks are answered."""
+        """Let time pass, while timers fire and health checks are answered."""
         end_us = self.now_us + duration_us
         answers: list[api.Action] = []
         while any(timer.due_us <= end_us for timer in self.timers):
@@ -116,18 +116,18 @@
         return answers
 
     def run_to_next_timer(self) -> list[api.Action]:
-        """Fires the next timer; health checks are not answered."""
+        """Fire the next timer; health checks are not answered."""
         timer = min(self.timers)
         self.now_us = max(self.now_us, timer.due_us)
         return self.fire(timer)
 
     def fire(self, timer: PendingTimer) -> list[api.Action]:
-        """Fires this timer now."""
+        """Fire this timer now."""
         self.timers.remove(timer)
         return self.dispatch(api.TimerFired(timer.token))
 
     def run_to_check_of(self, server: str) -> None:
-        """Fires timers until a health check of this server is pending, and takes it; others are answered."""
+        """Fire timers until a health check of this server is pending, and take it; answer the others."""
         while server not in self.pending_checks:
             self.run_to_next_timer()
             for name in [name for name in self.pending_checks if name != server]:
@@ -136,21 +136,21 @@
         self.pending_checks.remove(server)
 
     def request(self, id: str, expires_in_us: int = 2 * SECOND_US, **changes: object) -> list[api.Action]:
-        """Handles a client's request; the health checks of its candidates are answered at once."""
+        """Handle a client's request; the health checks of its candidates are answered at once."""
         event = api.Request(id, SERVICE_CLASS, expires_in_us, **changes)  # type: ignore[arg-type]
         return self.dispatch(event) + self.answer_checks()
 
     def connect(self, id: str, server: str, key: str = "") -> None:
-        """Adds a connection that was open at this server before the balancer started."""
+        """Add a connection that was open at this server before the balancer started."""
         self.dispatch(api.ExistingConnection(id, SERVICE_CLASS, server, key))
 
     def connect_many(self, number: int, server: str) -> None:
-        """Adds the connections c0, c1 and so on at this server."""
+        """Add the connections c0, c1 and so on at this server."""
         for index in range(number):
             self.connect(f"c{index}", server)
 
     def establish(self, id: str, attempt: int = 0) -> str:
-        """Lets a request's last attempt succeed. Returns its server."""
+        """Let a request's last attempt succeed. Return its server."""
         server = [sent.server for sent in self.attempts if sent.id == id][-1]
         self.dispatch(api.Established(id, attempt, server, 1000))
         return server
@@ -158,12 +158,12 @@
     def end_attempt(
         self, id: str, outcome: api.AttemptOutcome, attempt: int = 0, elapsed_us: int = 1000
     ) -> list[api.Action]:
-        """Lets a request's last attempt fail."""
+        """Let a request's last attempt fail."""
         server = [sent.server for sent in self.attempts if sent.id == id][-1]
         return self.dispatch(api.AttemptEnded(id, attempt, server, outcome, elapsed_us))
 
     def report_latency(self, id: str, server: str, latency_ms: float) -> list[api.Action]:
-        """Handles a message latency of one connection."""
+        """Handle a message latency of one connection."""
         return self.dispatch(api.MessageLatencyChanged(id, server, latency_ms))
 
     @property
@@ -177,12 +177,12 @@
         return [attempt.server for attempt in self.attempts]
 
     def final_answers(self, id: str) -> list[api.Reject | api.Fail]:
-        """Returns the final answers to a request."""
+        """Return the final answers to a request."""
         answers: list[api.Reject | api.Fail] = []
         answers += of_type(self.log, api.Reject)
         answers += of_type(self.log, api.Fail)
         return [answer for answer in answers if answer.id == id]
 
     def server(self, name: str) -> Server:
-        """Returns the module's record of a server."""
+        """Return the module's record of a server."""
         return self.balancer.endpoints.servers[name]
--- a/tests/support/decision_replay.py
+++ b/tests/support/decision_replay.py
@@ -70,7 +70,7 @@
 
 
 def replay() -> list[str]:
-    """Returns the actions of every variant with three seeds each, of which one is shut down."""
+    """Return the actions of every variant with three seeds each, of which one is shut down."""
     lines: list[str] = []
     for number, settings in enumerate(VARIANTS):
         for seed in (2 * number, 2 * number + 1, 2 * number + 100):
@@ -82,5 +82,5 @@
 
 
 def digest(lines: list[str]) -> str:
-    """Returns the SHA-256 of the lines."""
+    """Return the SHA-256 of the lines."""
     return hashlib.sha256("\n".join(lines).encode()).hexdigest()
--- a/tests/support/fleet_model.py
+++ b/tests/support/fleet_model.py
@@ -78,7 +78,7 @@
         self.dispatch(number, api.EndpointUpdate(api.EndpointUpdateKind.CACHED, endpoints))
 
     def run(self, duration_us: int) -> None:
-        """Lets time pass, and plays what is due."""
+        """Let time pass, and run the events that are due."""
         end_us = self.now_us + duration_us
         while self._due and self._due[0][0] <= end_us:
             self.now_us, _, work = heapq.heappop(self._due)
@@ -86,18 +86,18 @@
         self.now_us = end_us
 
     def update_endpoints(self, *changed: api.Endpoint) -> None:
-        """Gives every balancer these changes, each at its own time."""
+        """Give every balancer these changes, each at its own time."""
         self.endpoints |= {endpoint.name: endpoint for endpoint in changed}
         event = api.EndpointUpdate(api.EndpointUpdateKind.DELTA, list(changed))
         for number in range(len(self.balancers)):
             self._dispatch_later(self.random.randrange(DISCOVERY_SPREAD_US), number, lambda: event)
 
     def arrive(self, delay_us: int, reconnecting: bool = False) -> None:
-        """Lets a client request a connection at a random balancer."""
+        """Let a client request a connection at a random balancer."""
         self._later(delay_us, lambda: self._request(reconnecting))
 
     def end(self, id: str) -> None:
-        """Ends an open connection, and reports it to its balancer."""
+        """End an open connection, and report it to its balancer."""
         place = self.places.pop(id)
         self.open_connections[place.server] -= 1
         attempt = max(0, self._attempt_counts[id] - 1)
@@ -105,7 +105,7 @@
         self.dispatch(place.balancer, api.AttemptEnded(id, attempt, place.server, outcome, closed=True))
 
     def connect_at_each_server(self, number: int) -> None:
-        """Adds connections from before the start at each server, spread over the balancers."""
+        """Add connections from before the start at each server, spread over the balancers."""
         for server in self.endpoints:
             for index in range(number):
                 id = f"o{next(self._ids)}"
@@ -115,13 +115,13 @@
                 self.dispatch(balancer, api.ExistingConnection(id, "web", server, id))
 
     def max_attempts_within(self, server: str, window_us: int) -> int:
-        """Returns the largest number of attempts at a server within any window of this length."""
+        """Return the largest number of attempts at a server within any window of this length."""
         times = [attempt.at_us for attempt in self.attempts if attempt.server == server]
         counts = (sum(start_us <= time_us < start_us + window_us for time_us in times) for start_us in times)
         return max(counts, default=0)
 
     def dispatch(self, number: int, event: api.Event) -> None:
-        """Has a balancer handle an event now."""
+        """Have a balancer handle an event now."""
         self._carry_out(number, self.balancers[number].handle(self.now_us, event))
 
     def _later(self, delay_us: int, work: Callable[[], None]) -> None:
@@ -175,7 +175,7 @@
         return api.HealthCheckResult(server, api.AttemptOutcome.OK, ROUND_TRIP_US, report)
 
     def _load(self, server: str) -> float:
-        """Returns the open connections of a server divided by its present capacity."""
+        """Return the open connections of a server divided by its present capacity."""
         started_at_us = self.endpoints[server].started_at_us
         relative_age = (
             (self.now_us - started_at_us) / self.settings.slow_start_duration_us if started_at_us else 1.0
--- a/tests/support/replay_environment.py
+++ b/tests/support/replay_environment.py
@@ -76,7 +76,7 @@
         }
 
     def play(self, steps: int) -> list[str]:
-        """Returns one line of text for each action of the module in this number of steps."""
+        """Return one line of text for each action of the module in this number of steps."""
         self._state.record(self._now_us, self._balancer.start(self._now_us))
         listed = [self._draw_endpoint(name) for name in FIRST_SERVERS]
         self._dispatch(api.EndpointUpdate(api.EndpointUpdateKind.CACHED, listed))
@@ -87,7 +87,7 @@
         return self._state.lines
 
     def _play_step(self, step: int) -> None:
-        """Lets some time pass, then has one event happen."""
+        """Let some time pass, then dispatch one random event."""
         if step % 700 == 0:
             self._draw_conditions()
         if step % 997 == 500:
--- a/tests/support/replay_state.py
+++ b/tests/support/replay_state.py
@@ -37,23 +37,23 @@
         self._timers: list[ReplayTimer] = []
 
     def record(self, now_us: int, actions: list[api.Action]) -> None:
-        """Writes the actions down, and remembers what they ask for."""
+        """Write the actions down, and keep what has to be followed up."""
         for action in actions:
             self.lines.append(f"{now_us} {self._text(action)}")
             self._remember(now_us, action)
 
     def take_due_timers(self, now_us: int) -> list[ReplayTimer]:
-        """Removes and returns the timers that are due, in the order of their due times."""
+        """Remove and return the timers that are due, in the order of their due times."""
         due = sorted(timer for timer in self._timers if timer.due_us <= now_us)
         self._timers = [timer for timer in self._timers if timer.due_us > now_us]
         return due
 
     def attempting(self) -> list[Session]:
-        """Returns the sessions with an attempt in flight."""
+        """Return the sessions with an attempt in flight."""
         return [session for session in self.sessions.values() if session.server and not session.established]
 
     def established(self) -> list[Session]:
-        """Returns the open sessions."""
+        """Return the open sessions."""
         return [session for session in self.sessions.values() if session.established]
 
     def _remember(self, now_us: int, action: api.Action) -> None:
--- a/wheatstile/decisions/admission.py
+++ b/wheatstile/decisions/admission.py
@@ -36,7 +36,7 @@
         self.bucket = AdaptiveTokenBucket(rates, RENEWAL_TIME_S)
 
     def start(self) -> None:
-        """Starts the refill of tokens."""
+        """Start the refill of tokens."""
         self.bucket.updated_at_us = self._context.now_us
 
     @property
@@ -45,12 +45,12 @@
         return self.bucket.rate < INITIAL_RATE
 
     def on_attempt_failed(self, outcome: api.AttemptOutcome) -> None:
-        """Reduces the rate after an error or a time-out."""
+        """Reduce the rate after an error or a time-out."""
         if outcome in OVERLOAD_OUTCOMES:
             self.bucket.on_failure()
 
     def try_acquire(self) -> bool:
-        """Acquires a token for a repeated setup, if there is one.
+        """Acquire a token for a repeated setup, if there is one.
 
         The refill rate is proportional to the connections of this balancer.
         """
@@ -73,7 +73,7 @@
         self._fleet_load = fleet_load
 
     def rejects(self) -> bool:
-        """Returns whether a request is rejected at once; drawn at random while the fleet is full."""
+        """Return whether a request is rejected at once; drawn at random while the fleet is full."""
         if self._fleet_load.mean() <= OVERLOAD_THRESHOLD:
             return False
         return self._context.random.random() < EARLY_REJECTION_RATIO
--- a/wheatstile/decisions/balancer.py
+++ b/wheatstile/decisions/balancer.py
@@ -103,11 +103,11 @@
         return self.context.settings
 
     def configure(self, settings: api.Settings) -> None:
-        """Applies these settings from the next event on; timers that are already set are not changed."""
+        """Apply these settings from the next event on; timers that are already set are not changed."""
         self.context.settings = settings
 
     def start(self, now_us: int) -> list[api.Action]:
-        """Starts the timers. Called once, before any event. Returns the actions to carry out."""
+        """Start the timers; called once, before any event. Return the actions to carry out."""
         self.context.begin(now_us)
         self.setup_limiter.start()
         self.exploration.start()
@@ -116,7 +116,7 @@
         return self.context.actions
 
     def handle(self, now_us: int, event: api.Event) -> list[api.Action]:
-        """Handles one event at this time. Returns the actions to carry out.
+        """Handle one event at this time. Return the actions to carry out.
 
         An event about a connection or a server that is not known is ignored.
         """
--- a/wheatstile/decisions/candidate_selection.py
+++ b/wheatstile/decisions/candidate_selection.py
@@ -36,7 +36,7 @@
         self._retry_policy = retry_policy
 
     def is_eligible(self, server: Server, connection: Connection | None) -> bool:
-        """Returns whether a connection may go to this server; None: any connection."""
+        """Return whether a connection may go to this server; None: any connection."""
         if not server.endpoint.is_ready:
             return False
         if connection is None:
@@ -46,22 +46,22 @@
         return self._retry_policy.may_attempt_at(server, connection)
 
     def is_available(self, server: Server, connection: Connection) -> bool:
-        """Returns whether a connection may go to this server, which is not ejected."""
+        """Return whether a connection may go to this server, which is not ejected."""
         return not server.ejection.is_active(self._context.now_us) and self.is_eligible(server, connection)
 
     def pick(self, connection: Connection | None, excluded: Server | None = None) -> Server | None:
-        """Draws an eligible server by weight; an ejected one if no other is left, None if none is eligible.
+        """Draw an eligible server by weight; an ejected one if no other is left, None if none is eligible.
 
         From the same placement hash every balancer draws the same servers.
         """
         return self._pick(connection, excluded, own_zone_only=False)
 
     def pick_near(self, connection: Connection) -> Server | None:
-        """Draws an eligible server as `pick` does, from the own zone if crossing zones has a cost."""
+        """Draw an eligible server as `pick` does, from the own zone if crossing zones has a cost."""
         return self._pick(connection, None, own_zone_only=self._context.settings.cross_zone_cost > 0)
 
     def draw_candidates(self, connection: Connection) -> list[Server]:
-        """Draws up to two candidates for a connection."""
+        """Draw up to two candidates for a connection."""
         first = self.pick_near(connection)
         if first is None:
             return []
@@ -69,7 +69,7 @@
         return [first, second] if second else [first]
 
     def best_candidate(self, connection: Connection) -> Server | None:
-        """Returns the less loaded of the eligible candidates that have answered a health check."""
+        """Return the less loaded of the eligible candidates that have answered a health check."""
         found = [server for server in connection.candidates if self._is_usable(server, connection)]
         return min(self._without_ejected(found), key=self._load_with_crossing, default=None)
 
@@ -80,7 +80,7 @@
         return is_reachable and self.is_eligible(candidate, connection)
 
     def _load_with_crossing(self, server: Server) -> float:
-        """Returns a server's load, raised if the connection would cross zones."""
+        """Return a server's load, raised if the connection would cross zones."""
         load = self._fleet_load.load_of(server)
         settings = self._context.settings
         if server.endpoint.zone == settings.zone:
@@ -105,7 +105,7 @@
         return self._pick_from_all(connection, excluded)
 
     def _pick_from_all(self, connection: Connection | None, excluded: Server | None) -> Server | None:
-        """Draws from the whole list of servers, by weight."""
+        """Draw from the whole list of servers, by weight."""
         found = [
             server
             for server in self._endpoints.ready
@@ -119,6 +119,6 @@
         return self._context.random.choices(found, [server.endpoint.weight for server in found])[0]
 
     def _without_ejected(self, servers: list[Server]) -> list[Server]:
-        """Returns the servers that are not ejected; all of them if every one is ejected."""
+        """Return the servers that are not ejected; all of them if every one is ejected."""
         now_us = self._context.now_us
         return [server for server in servers if not server.ejection.is_active(now_us)] or servers
--- a/wheatstile/decisions/connection_table.py
+++ b/wheatstile/decisions/connection_table.py
@@ -20,42 +20,42 @@
         self._established: dict[Connection, None] = {}  # an ordered set
 
     def __len__(self) -> int:
-        """The number of requests without an answer and of open connections."""
+        """Return the number of requests without an answer and of open connections."""
         return len(self._by_id)
 
     def __contains__(self, id: str) -> bool:
         return id in self._by_id
 
     def get(self, id: str) -> Connection | None:
-        """Returns the connection with this id, unless it has ended."""
+        """Return the connection with this id, unless it has ended."""
         return self._by_id.get(id)
 
     def add(self, connection: Connection) -> None:
-        """Adds a request."""
+        """Add a request."""
         self._by_id[connection.id] = connection
 
     def begin_attempt(self, connection: Connection, server: Server) -> None:
-        """Records that an attempt at a server is in flight."""
+        """Record that an attempt at a server is in flight."""
         connection.phase = _ATTEMPTING
         connection.server = server
         connection.candidates = []
         connection.attempts += 1
 
     def end_attempt(self, connection: Connection, outcome: AttemptOutcome, started_at_us: int) -> None:
-        """Records that the attempt in flight has failed, and the request waits again."""
+        """Record that the attempt in flight has failed, and the request waits again."""
         connection.phase = _WAITING
         connection.is_repeated_setup = True
         if connection.server and not connection.first_forward and outcome.may_have_run:
             connection.first_forward = FirstForward(started_at_us, connection.server)
 
     def establish(self, connection: Connection, now_us: int) -> None:
-        """Records that the attempt in flight has succeeded, and the connection is open."""
+        """Record that the attempt in flight has succeeded, and the connection is open."""
         connection.phase = _ESTABLISHED
         connection.established_at_us = now_us
         self._established[connection] = None
 
     def restore(self, connection: Connection, server: Server) -> None:
-        """Records a connection that was open at a server before this balancer started."""
+        """Record a connection that was open at a server before this balancer started."""
         self.add(connection)
         connection.phase = _ESTABLISHED
         connection.server = server
@@ -63,7 +63,7 @@
         self._established[connection] = None
 
     def remove(self, connection: Connection) -> None:
-        """Removes a connection that has its final answer, is closed, or whose client has disconnected."""
+        """Remove a connection that has its final answer, is closed, or whose client has disconnected."""
         connection.phase = _ENDED
         self._by_id.pop(connection.id, None)
         self._established.pop(connection, None)
@@ -74,9 +74,9 @@
         return self._established.keys()
 
     def established_at(self, server: Server) -> list[Connection]:
-        """Returns the open connections of this server."""
+        """Return the open connections of this server."""
         return [connection for connection in self._established if connection.server is server]
 
     def unanswered(self) -> list[Connection]:
-        """Returns the requests that have no final answer yet."""
+        """Return the requests that have no final answer yet."""
         return [connection for connection in self._by_id.values() if connection not in self._established]
--- a/wheatstile/decisions/endpoint_table.py
+++ b/wheatstile/decisions/endpoint_table.py
@@ -19,7 +19,7 @@
         self.lookup: WeightedLookupTable[Server] = WeightedLookupTable([], [])
 
     def update(self, event: api.EndpointUpdate) -> list[Server]:
-        """Applies a list of endpoints or its changes. Returns the servers whose process is new."""
+        """Apply a list of endpoints or its changes. Return the servers whose process is new."""
         started = []
         for endpoint in event.endpoints:
             server, is_new_process = self._apply(endpoint)
@@ -33,7 +33,7 @@
         return started
 
     def _apply(self, endpoint: api.Endpoint) -> tuple[Server, bool]:
-        """Applies one endpoint. Returns its server, and whether the server's process is new."""
+        """Apply one endpoint. Return its server, and whether the server's process is new."""
         server = self.servers.get(endpoint.name)
         if server is None:
             server = Server(endpoint, crc32(endpoint.name.encode()))
--- a/wheatstile/decisions/endpoint_watch.py
+++ b/wheatstile/decisions/endpoint_watch.py
@@ -16,25 +16,25 @@
         self._backoff_us = INITIAL_BACKOFF_US
 
     def start(self) -> None:
-        """Requests the list soon, if the settings ask for polling."""
+        """Request the list soon, if the settings ask for polling."""
         settings = self._context.settings
         if settings.poll_endpoints:
             max_delay_us = min(MAX_START_DELAY_US, settings.poll_interval_us * 3 // 4)
             self._context.set_jittered_timer(max_delay_us, api.TimerKind.WATCH_ENDPOINTS)
 
     def on_update(self, kind: api.EndpointUpdateKind) -> None:
-        """Ends the back-off; if discovery has moved, requests the list at its new address."""
+        """End the back-off; if discovery has moved, request the list at its new address."""
         self._backoff_us = INITIAL_BACKOFF_US
         if kind == api.EndpointUpdateKind.MOVED:
             self.watch()
 
     def on_failure(self) -> None:
-        """Repeats a failed call after the back-off."""
+        """Repeat a failed call after the back-off."""
         jittered_us = int(self._backoff_us * (0.5 + self._context.random.random()))
         max_backoff_us = min(MAX_BACKOFF_US, 2 * self._context.settings.poll_interval_us)
         self._backoff_us = min(2 * self._backoff_us, max_backoff_us)
         self._context.set_timer(jittered_us, api.TimerKind.WATCH_ENDPOINTS)
 
     def watch(self) -> None:
-        """Requests the list and its changes now."""
+        """Request the list and its changes now."""
         self._context.act(api.WatchEndpoints())
--- a/wheatstile/decisions/event_context.py
+++ b/wheatstile/decisions/event_context.py
@@ -20,7 +20,7 @@
         self.actions: list[api.Action] = []
 
     def begin(self, now_us: int) -> None:
-        """Starts an event at this time, with no actions yet."""
+        """Start an event at this time, with no actions yet."""
         self.now_us = now_us
         self.actions = []
 
@@ -30,13 +30,13 @@
         return self.settings.health_checks_enabled and bool(self.settings.load_metrics)
 
     def act(self, action: api.Action) -> None:
-        """Adds an action to the answer to this event."""
+        """Add an action to the answer to this event."""
         self.actions.append(action)
 
     def set_timer(self, delay_us: int, kind: api.TimerKind, connection_id: str = "", due_us: int = 0) -> None:
-        """Requests a timer."""
+        """Request a timer."""
         self.actions.append(api.SetTimer(delay_us, api.TimerToken(kind, connection_id, due_us)))
 
     def set_jittered_timer(self, max_delay_us: float, kind: api.TimerKind, connection_id: str = "") -> None:
-        """Requests a timer with a delay drawn uniformly from 1 to `max_delay_us`."""
+        """Request a timer with a delay drawn uniformly from 1 to `max_delay_us`."""
         self.set_timer(1 + int(self.random.random() * max_delay_us), kind, connection_id)
--- a/wheatstile/decisions/exploration.py
+++ b/wheatstile/decisions/exploration.py
@@ -23,12 +23,12 @@
 
 
 def gamma_at(t: int) -> float:
-    """Returns the exploration probability of slot t."""
+    """Return the exploration probability of slot t."""
     return float(min(GAMMA_CAP, max(t, 1) ** -BETA))
 
 
 def return_probability(x_i: float, x_j: float, n: int, gamma: float) -> float:
-    """Returns the probability of a move back to load x_i after a move to load x_j (Proposition 1)."""
+    """Return the probability of a move back to load x_i after a move to load x_j (Proposition 1)."""
     if x_j >= x_i:
         return 1.0
     if n < MIN_SERVERS or x_j <= x_i * (1 - n * gamma / (n - 1)):
@@ -66,11 +66,11 @@
         return self._pending
 
     def start(self) -> None:
-        """Starts the slots, at a random phase."""
+        """Start the slots, at a random phase."""
         self._context.set_jittered_timer(SLOT_US, api.TimerKind.EXPLORATION_SLOT)
 
     def on_slot(self) -> None:
-        """Begins a slot: odd slots explore, even slots compare loads."""
+        """Begin a slot: odd slots explore, even slots compare loads."""
         self._context.set_timer(SLOT_US, api.TimerKind.EXPLORATION_SLOT)
         self._slot += 1
         self._expire_moves()
@@ -83,31 +83,31 @@
             self._compare_all()
 
     def take_pending(self, key: str) -> ExplorationMove | None:
-        """Removes and returns the move of a client that reconnects; None if it has none or comes too late."""
+        """Remove and return the move of a client that reconnects; None if it has none or comes too late."""
         move = self._pending.pop(key, None)
         if move is None or move.expires_at_us <= self._context.now_us:
             return None
         return move
 
     def on_destination_chosen(self, connection: Connection, move: ExplorationMove) -> None:
-        """Records that a reconnecting client is sent to the destination of its move."""
+        """Record that a reconnecting client is sent to the destination of its move."""
         connection.exploration = None if move.is_return else move
 
     def end_move(self, connection: Connection) -> ExplorationMove | None:
-        """Ends the move of a connection whose attempt has failed, and returns the move."""
+        """End the move of a connection whose attempt has failed, and return the move."""
         move = connection.exploration
         connection.exploration = None
         return move
 
     def on_connection_ended(self, connection: Connection, has_failed: bool) -> None:
-        """Counts a failure after a move as a load above X_i, so that a client that reconnects goes back."""
+        """Count a failure after a move as a load above X_i, so that a client that reconnects goes back."""
         move = connection.exploration
         if move and has_failed and connection.key:
             move.is_return = True
             self._pending[connection.key] = move
 
     def _draw_skip_count(self) -> int:
-        """Draws how many connections in a row do not explore, in place of one draw for each connection."""
+        """Draw how many connections in a row do not explore, in place of one draw for each connection."""
         return int(log(1 - self._context.random.random()) / log(1 - gamma_at(self._slot)))
 
     def _explore_from(self, next_index: int) -> None:
@@ -122,7 +122,7 @@
                 self._health_checks.check_server_of(connection, self._compare)
 
     def _explore(self, connection: Connection) -> None:
-        """Migrates a connection to another server, drawn at random, now that X_i has been read."""
+        """Migrate a connection to another server, drawn at random, now that X_i has been read."""
         origin = connection.server
         target = self._selector.pick(None, excluded=origin)
         if not connection.is_established or not origin or not target:
@@ -131,7 +131,7 @@
         self._migrate(connection, ExplorationMove(origin, target, x_i, gamma_at(self._slot)))
 
     def _compare(self, connection: Connection) -> None:
-        """Applies the ratio rule, one slot after the move."""
+        """Apply the ratio rule, one slot after the move."""
         move = self.end_move(connection)
         if not move or not connection.server or not connection.is_established:
             return
@@ -144,7 +144,7 @@
             self._migrate(connection, move)
 
     def _migrate(self, connection: Connection, move: ExplorationMove) -> None:
-        """Migrates a connection, and remembers its client's move until MOVE_TIMEOUT_US from now."""
+        """Migrate a connection, and keep its client's move until MOVE_TIMEOUT_US from now."""
         if connection.key:
             move.expires_at_us = self._context.now_us + MOVE_TIMEOUT_US
             self._pending[connection.key] = move
--- a/wheatstile/decisions/final_answer.py
+++ b/wheatstile/decisions/final_answer.py
@@ -18,7 +18,7 @@
         self._connections = connections
 
     def give(self, connection: Connection) -> None:
-        """Rejects a request, or fails it if an attempt may have run and a retry could do harm."""
+        """Reject a request, or fail it if an attempt may have run and a retry could do harm."""
         may_have_run = connection.first_forward is not None or connection.phase is _ATTEMPTING
         self._connections.remove(connection)
         if may_have_run and not connection.service_class.is_client_retry_harmless:
@@ -27,7 +27,7 @@
             self._context.act(api.Reject(connection.id, self._draw_retry_after_us()))
 
     def _draw_retry_after_us(self) -> int:
-        """Draws the time after which the client should retry; 0 if the settings do not allow to name it."""
+        """Draw the time after which the client should retry; 0 if the settings do not allow to name it."""
         settings = self._context.settings
         if not settings.retry_after_enabled:
             return 0
--- a/wheatstile/decisions/fleet_load.py
+++ b/wheatstile/decisions/fleet_load.py
@@ -19,11 +19,11 @@
         self._mean: float | None = None  # None: not computed for this event
 
     def begin_event(self) -> None:
-        """Has the mean computed anew when it is next needed."""
+        """Discard the mean, which the event before may have changed."""
         self._mean = None
 
     def mean(self) -> float:
-        """Returns the mean load of the ready servers, each counted once.
+        """Return the mean load of the ready servers, each counted once.
 
         An unreachable server is left out. An old report counts as ASSUMED_LOAD, since a balancer that rejects
         requests because of it receives no newer one.
@@ -33,12 +33,12 @@
         return self._mean
 
     def load_of(self, server: Server) -> float:
-        """Returns a server's load as last reported; the mean if it is unknown."""
+        """Return a server's load as last reported; the mean if it is unknown."""
         load = server.load.value
         return self.mean() if load is None else load
 
     def is_overloaded(self) -> bool:
-        """Returns whether the fleet as a whole is full."""
+        """Return whether the fleet as a whole is full."""
         return self.mean() >= OVERLOAD_THRESHOLD
 
     def _compute_mean(self) -> float:
--- a/wheatstile/decisions/health_checks.py
+++ b/wheatstile/decisions/health_checks.py
@@ -22,15 +22,15 @@
         self._waiters: dict[Server, list[CheckWaiter]] = {}  # keyed by the server being checked
 
     def is_in_flight(self, server: Server) -> bool:
-        """Returns whether the result of a health check of this server is awaited."""
+        """Return whether the result of a health check of this server is awaited."""
         return server in self._waiters
 
     def is_any_in_flight(self, servers: list[Server]) -> bool:
-        """Returns whether the result of a health check of any of these servers is awaited."""
+        """Return whether the result of a health check of any of these servers is awaited."""
         return not self._waiters.keys().isdisjoint(servers)
 
     def check(self, server: Server, callback: CheckCallback, connection: Connection) -> None:
-        """Calls back with the connection once the server has been checked; at once if checks are disabled."""
+        """Call back with the connection once the server has been checked; at once if checks are disabled."""
         if not self._context.health_checks_enabled:
             callback(connection)
             return
@@ -42,12 +42,12 @@
         self._context.act(api.CheckHealth(server.endpoint.name))
 
     def check_server_of(self, connection: Connection, callback: CheckCallback) -> None:
-        """Checks the server of a connection."""
+        """Check the server of a connection."""
         if connection.server:
             self.check(connection.server, callback, connection)
 
     def on_result(self, event: api.HealthCheckResult) -> Server | None:
-        """Records a result and calls back. Returns the server, unless no health check of it was in flight."""
+        """Record a result and call back. Return the server, unless no health check of it was in flight."""
         server = self._endpoints.servers.get(event.server)
         if server is None or server not in self._waiters:
             return None
@@ -64,7 +64,7 @@
             self._record_failure(server, event.outcome)
 
     def _record_failure(self, server: Server, outcome: api.AttemptOutcome) -> None:
-        """Ejects the server; its connections are migrated only if it counts as unreachable."""
+        """Eject the server; its connections are migrated only if it counts as unreachable."""
         if outcome is api.AttemptOutcome.ERROR or _is_first_rejection(server, outcome):
             server.load.forget()
         else:
@@ -73,7 +73,7 @@
 
 
 def _is_first_rejection(server: Server, outcome: api.AttemptOutcome) -> bool:
-    """Returns whether a server in normal state rejects a health check for the first time.
+    """Return whether a server in normal state rejects a health check for the first time.
 
     Many balancers that check a healthy server at the same moment can overload it briefly.
     """
--- a/wheatstile/decisions/lookup_table.py
+++ b/wheatstile/decisions/lookup_table.py
@@ -56,7 +56,7 @@
         self._slots[index] = item
 
     def draw(self, seed: int, draws: int, is_skipped: Callable[[Item], bool]) -> Iterator[Item]:
-        """Yields the items of this number of draws, except skipped items and those that do not accept.
+        """Yield the items of this number of draws, except skipped items and those that do not accept.
 
         A skipped item uses no draw for its acceptance ratio. The generator for equal weights (31 bits)
         favours some items by a few percent; the one for unequal weights (64 bits, Knuth's MMIX) does not.
--- a/wheatstile/decisions/outlier_ejection.py
+++ b/wheatstile/decisions/outlier_ejection.py
@@ -15,15 +15,15 @@
         self._consecutive_failures = 0
 
     def is_active(self, now_us: int) -> bool:
-        """Returns whether the server is ejected now."""
+        """Return whether the server is ejected now."""
         return self.until_us > now_us
 
     def record_failure(self, now_us: int) -> None:
-        """Ejects the server, for longer after each consecutive failure."""
+        """Eject the server, for longer after each consecutive failure."""
         doublings = min(self._consecutive_failures, MAX_EJECTION_DOUBLINGS)
         self.until_us = now_us + min(BASE_EJECTION_US << doublings, MAX_EJECTION_US)
         self._consecutive_failures += 1
 
     def record_success(self) -> None:
-        """Resets the count of consecutive failures; a current ejection runs on."""
+        """Reset the count of consecutive failures; a current ejection runs on."""
         self._consecutive_failures = 0
--- a/wheatstile/decisions/placement.py
+++ b/wheatstile/decisions/placement.py
@@ -9,7 +9,7 @@
 
 
 def placement_hash(request: api.Request) -> int:
-    """Returns the seed of a request's first candidates, or RANDOM.
+    """Return the seed of a request's first candidates, or RANDOM.
 
     All clients of an affinity group have the same candidates, since each server that has any of the group's
     connections does the group's work once. A reconnecting client without a group gets other candidates.
@@ -22,5 +22,5 @@
 
 
 def next_placement_hash(current: int) -> int:
-    """Returns the seed of the candidates after those of `current`; RANDOM stays RANDOM."""
+    """Return the seed of the candidates after those of `current`; RANDOM stays RANDOM."""
     return crc32(_NEXT_CANDIDATES, current) if current != RANDOM else RANDOM
--- a/wheatstile/decisions/rebalancing.py
+++ b/wheatstile/decisions/rebalancing.py
@@ -42,17 +42,17 @@
         self._next_rebalance_us: dict[Server, int] = {}  # earliest time of the next one at each server
 
     def start(self) -> None:
-        """Starts the load checks, where message latencies are not reported."""
+        """Start the load checks, where message latencies are not reported."""
         context = self._context
         if context.health_checks_enabled and not context.settings.reports_message_latency:
             context.set_jittered_timer(MIN_LOAD_CHECK_INTERVAL_US, api.TimerKind.LOAD_CHECK)
 
     def on_endpoints_changed(self) -> None:
-        """Checks loads more often: the clients of a server that leaves reconnect to others."""
+        """Check loads more often: the clients of a server that leaves reconnect to others."""
         self._load_check_interval_us = MIN_LOAD_CHECK_INTERVAL_US
 
     def on_load_check_due(self) -> None:
-        """Checks a server, drawn by the load of its connections here, and schedules the next check."""
+        """Check a server, drawn by the load of its connections here, and schedule the next check."""
         self._context.set_timer(self._load_check_interval_us, api.TimerKind.LOAD_CHECK)
         longer_us = self._load_check_interval_us * 3 // 2
         self._load_check_interval_us = min(longer_us, MAX_LOAD_CHECK_INTERVAL_US)
@@ -63,15 +63,15 @@
             self._health_checks.check_server_of(connection, self.on_load_read)
 
     def on_repeated_load_check_due(self, connection: Connection) -> None:
-        """Checks the server of a connection again, which was severely overloaded."""
+        """Check the server of a connection again, which was severely overloaded."""
         self._health_checks.check_server_of(connection, self.on_load_read)
 
     def on_rebalance_due(self, connection: Connection) -> None:
-        """Checks the server of a connection, and rebalances it by the result."""
+        """Check the server of a connection, then rebalance it."""
         self._health_checks.check_server_of(connection, self.rebalance)
 
     def on_server_read(self, server: Server) -> None:
-        """Rebalances after any health check that reports severe overload, not only after a load check."""
+        """Rebalance after any health check that reports severe overload, not only after a load check."""
         if self._context.settings.reports_message_latency:
             return
         if self._fleet_load.load_of(server) <= SEVERE_OVERLOAD_THRESHOLD:
@@ -81,7 +81,7 @@
             self.on_load_read(connections[0])
 
     def on_message_latency(self, connection: Connection, latency_ms: float) -> None:
-        """Schedules a rebalance of a server whose messages miss their objective, at most once an interval."""
+        """Schedule a rebalance of a server whose messages miss their objective, at most once an interval."""
         server = connection.server
         if not connection.is_established or not server:
             return
@@ -91,7 +91,7 @@
             self._context.set_jittered_timer(MAX_REBALANCE_JITTER_US, api.TimerKind.REBALANCE, connection.id)
 
     def on_load_read(self, connection: Connection) -> None:
-        """Rebalances a connection's server if it is overloaded while the fleet has room.
+        """Rebalance a connection's server if it is overloaded while the fleet has room.
 
         A server that did not answer is checked a second time first, since it may only have paused.
         """
@@ -112,7 +112,7 @@
             self._context.set_timer(REBALANCE_INTERVAL_US, kind, remaining[0].id)
 
     def rebalance(self, connection: Connection) -> None:
-        """Migrates the share above OVERLOAD_THRESHOLD of the connections of a connection's server.
+        """Migrate the share above OVERLOAD_THRESHOLD of the connections of a connection's server.
 
         Nearly all connections of an unreachable server are migrated.
         """
@@ -127,13 +127,13 @@
                 self._connections.remove(candidate)
 
     def _try_begin_interval(self, server: Server) -> bool:
-        """Begins a server's next interval, unless the last one is not over. Returns whether it did."""
+        """Begin a server's next interval, unless the last one is not over. Return whether it did."""
         if self._next_rebalance_us.get(server, 0) > self._context.now_us:
             return False
         self._next_rebalance_us[server] = self._context.now_us + REBALANCE_INTERVAL_US
         return True
 
     def _is_settled(self, connection: Connection) -> bool:
-        """Returns whether a connection is old enough to be migrated, where only loads show an overload."""
+        """Return whether a connection is old enough to be migrated, where only loads show an overload."""
         age_us = self._context.now_us - connection.established_at_us
         return self._context.settings.reports_message_latency or age_us >= SETTLING_TIME_US
--- a/wheatstile/decisions/request_lifecycle.py
+++ b/wheatstile/decisions/request_lifecycle.py
@@ -53,7 +53,7 @@
         self._is_shutting_down = False
 
     def on_request(self, event: api.Request) -> None:
-        """Handles a new request: rejects it, sends it to a known destination, or checks two candidates."""
+        """Handle a new request: reject it, send it to a known destination, or check two candidates."""
         if event.id in self._connections:
             return
         connection = self._add_request(event)
@@ -65,19 +65,19 @@
             self._check_candidates(connection)
 
     def on_existing(self, event: api.ExistingConnection, server: Server) -> None:
-        """Adds a connection that was open before this balancer started."""
+        """Add a connection that was open before this balancer started."""
         connection = self._connections.get(event.id) or self._new_connection(event, deadline_us=0)
         self._connections.restore(connection, server)
 
     def on_established(self, event: api.Established) -> None:
-        """Records that the attempt in flight has succeeded."""
+        """Record that the attempt in flight has succeeded."""
         connection = self._connections.get(event.id)
         if connection and connection.phase is _ATTEMPTING and connection.server:
             connection.server.ejection.record_success()
             self._connections.establish(connection, self._context.now_us)
 
     def on_attempt_ended(self, event: api.AttemptEnded) -> None:
-        """Handles the end of an attempt or of an open connection: retries, answers, or forgets it."""
+        """Handle the end of an attempt or of an open connection: retry, answer, or forget it."""
         connection = self._connections.get(event.id)
         if connection is None or not _is_last_attempt(connection, event):
             return
@@ -96,17 +96,17 @@
             self._retry(connection, self._exploration.end_move(connection))
 
     def on_client_disconnected(self, event: api.ClientDisconnected) -> None:
-        """Forgets a request or an open connection whose client has disconnected."""
+        """Forget a request or an open connection whose client has disconnected."""
         if connection := self._connections.get(event.id):
             self._connections.remove(connection)
 
     def on_candidate_timeout(self, connection: Connection, due_us: int) -> None:
-        """Decides without further answers of the candidates, unless a later timer was set."""
+        """Decide without further answers of the candidates, unless a later timer was set."""
         if due_us == connection.next_decision_at_us:
             self._choose_candidate(connection, is_timed_out=True)
 
     def on_shutdown(self, _event: api.ShutdownStarted) -> None:
-        """Answers all waiting requests now, and every later request at its arrival."""
+        """Answer all waiting requests now, and every later request at its arrival."""
         self._is_shutting_down = True
         for connection in self._connections.unanswered():
             self._final_answer.give(connection)
@@ -122,13 +122,13 @@
         return connection
 
     def _new_connection(self, event: api.Request | api.ExistingConnection, deadline_us: int) -> Connection:
-        """Returns a record for a connection; an unknown class counts as the first one."""
+        """Return a record for a connection; an unknown class counts as the first one."""
         classes = self._context.settings.classes
         service_class = classes.get(event.service_class) or next(iter(classes.values()))
         return Connection(event.id, event.key, service_class, deadline_us)
 
     def _try_follow_exploration(self, connection: Connection) -> bool:
-        """Sends a client that was migrated by exploration to its destination. Returns whether it did."""
+        """Send a client that was migrated by exploration to its destination. Return whether it did."""
         if self._is_shutting_down or not connection.key:
             return False
         move = self._exploration.take_pending(connection.key)
@@ -139,7 +139,7 @@
         return True
 
     def _try_mid_flow(self, event: api.Request, connection: Connection) -> bool:
-        """Sends mid-flow packets to the server that probably has their connection, if there is one.
+        """Send mid-flow packets to the server that probably has their connection, if there is one.
 
         Any other server would set the connection up anew.
         """
@@ -152,7 +152,7 @@
         return True
 
     def _check_candidates(self, connection: Connection) -> None:
-        """Draws two candidates and checks both. A repeated setup waits for a token first."""
+        """Draw two candidates and check both. A repeated setup waits for a token first."""
         if self._retry_policy.is_repeat_window_over(connection):
             self._final_answer.give(connection)
             return
@@ -177,7 +177,7 @@
         connection.placement_hash = next_placement_hash(connection.placement_hash)
 
     def _choose_candidate(self, connection: Connection, is_timed_out: bool = False) -> None:
-        """Sends a waiting request to the less loaded candidate, once both have answered or time is up."""
+        """Send a waiting request to the less loaded candidate, once both have answered or time is up."""
         if connection.phase is not _WAITING:
             return
         if not is_timed_out and self._health_checks.is_any_in_flight(connection.candidates):
@@ -194,7 +194,7 @@
             self._defer(connection, CANDIDATE_TIMEOUT_US << connection.candidate_draws >> 1)
 
     def _defer(self, connection: Connection, delay_us: int) -> None:
-        """Schedules the next decision on a waiting request, by its deadline at the latest.
+        """Schedule the next decision on a waiting request, by its deadline at the latest.
 
         It replaces the decision that was scheduled before.
         """
@@ -203,7 +203,7 @@
         self._context.set_timer(delay_us, _CANDIDATE_TIMEOUT, connection.id, connection.next_decision_at_us)
 
     def _start_attempt(self, connection: Connection, server: Server) -> None:
-        """Starts an attempt at a server, or answers if the deadline has passed."""
+        """Start an attempt at a server, or answer if the deadline has passed."""
         remaining_us = connection.deadline_us - self._context.now_us
         if remaining_us <= 0:
             self._final_answer.give(connection)
@@ -215,7 +215,7 @@
         self._context.act(api.StartAttempt(connection.id, server.endpoint.name, timeout_us, send_before_us))
 
     def _retry(self, connection: Connection, move: ExplorationMove | None) -> None:
-        """Retries a failed attempt, at the origin of the client's move if it had one."""
+        """Retry a failed attempt, at the origin of the client's move if it had one."""
         if not self._retry_policy.may_attempt_again(connection):
             self._final_answer.give(connection)
         elif move and self._selector.is_available(move.origin, connection):
@@ -225,6 +225,6 @@
 
 
 def _is_last_attempt(connection: Connection, event: api.AttemptEnded) -> bool:
-    """Returns whether an event is about the connection's last attempt, in flight or established."""
+    """Return whether an event is about the connection's last attempt, in flight or established."""
     is_last = connection.attempts == event.attempt + 1
     return is_last and (connection.phase is _ATTEMPTING or connection.is_established)
--- a/wheatstile/decisions/retry_policy.py
+++ b/wheatstile/decisions/retry_policy.py
@@ -15,24 +15,24 @@
         self._context = context
 
     def may_attempt_again(self, connection: Connection) -> bool:
-        """Returns whether the number of attempts and the deadline allow another attempt."""
+        """Return whether the number of attempts and the deadline allow another attempt."""
         is_below_limit = connection.attempts < self._context.settings.max_attempts
         return is_below_limit and self._context.now_us < connection.deadline_us
 
     def repeat_window_end_us(self, connection: Connection) -> int | None:
-        """Returns when a repeat stops being harmless; None if that time is not limited."""
+        """Return when a repeat stops being harmless; None if that time is not limited."""
         first_forward = connection.first_forward
         if first_forward is None or connection.service_class.idempotency is _IDEMPOTENT:
             return None
         return first_forward.at_us + int(connection.service_class.repeat_window_us)
 
     def is_repeat_window_over(self, connection: Connection) -> bool:
-        """Returns whether an attempt may have run and another would not be harmless any more."""
+        """Return whether an attempt may have run and another would not be harmless any more."""
         end_us = self.repeat_window_end_us(connection)
         return end_us is not None and self._context.now_us >= end_us
 
     def may_attempt_at(self, server: Server, connection: Connection) -> bool:
-        """Returns whether an attempt at this server is harmless."""
+        """Return whether an attempt at this server is harmless."""
         first_forward = connection.first_forward
         service_class = connection.service_class
         if first_forward is None or service_class.idempotency is _IDEMPOTENT:
@@ -42,7 +42,7 @@
         return server.endpoint.shares_scope(first_forward.server.endpoint, service_class.deduplication_scope)
 
     def attempt_timeout_us(self, connection: Connection, remaining_us: int) -> int:
-        """Returns the time-out of the next attempt, given the time until the deadline.
+        """Return the time-out of the next attempt, given the time until the deadline.
 
         It is half of that time, which leaves the rest for retries, or the latency objective if that is
         longer. The last attempt gets all of it.
--- a/wheatstile/decisions/server_load.py
+++ b/wheatstile/decisions/server_load.py
@@ -15,9 +15,9 @@
 
 
 def load_in(report: LoadReport) -> float | None:
-    """Returns the load that a report shows, from the first metric of LOAD_METRIC_PREFERENCE in it.
+    """Return the load that a report shows, from the first metric of LOAD_METRIC_PREFERENCE in it.
 
-    A count ranks servers but never reaches OVERLOAD_THRESHOLD. Returns None if the report has no such metric.
+    A count ranks servers but never reaches OVERLOAD_THRESHOLD. Return None if the report has no such metric.
     """
     metric = next((metric for metric in LOAD_METRIC_PREFERENCE if metric in report), None)
     if metric is None:
@@ -44,20 +44,20 @@
         return self.value is not None and self.value != UNREACHABLE_LOAD
 
     def record_report(self, report: LoadReport, now_us: int) -> None:
-        """Records the load that a report shows, or that it shows none."""
+        """Record the load that a report shows, or that it shows none."""
         self.value = load_in(report)
         self.read_at_us = now_us
 
     def record_message_latency(self, latency_ms: float) -> None:
-        """Records a message latency; the server counts as full while its latency grows."""
+        """Record a message latency; the server counts as full while its latency grows."""
         is_growing = latency_ms > self._message_latency_ms
         self.lower_bound = LOAD_WHERE_LATENCY_GROWS if is_growing else 0.0
         self._message_latency_ms = latency_ms
 
     def mark_unreachable(self) -> None:
-        """Records that a health check got no answer."""
+        """Record that a health check got no answer."""
         self.value = UNREACHABLE_LOAD
 
     def forget(self) -> None:
-        """Makes the load unknown."""
+        """Make the load unknown."""
         self.value = None
--- a/wheatstile/decisions/slow_start.py
+++ b/wheatstile/decisions/slow_start.py
@@ -28,14 +28,14 @@
         self._fleet_load = fleet_load
 
     def begin(self, server: Server) -> None:
-        """Starts the slow start of a new process; the load of the process before it no longer counts."""
+        """Start the slow start of a new process; the load of the process before it no longer counts."""
         context = self._context
         window_us = context.settings.slow_start_overload_window_us
         server.slow_start.reset(server.endpoint.started_at_us, context.now_us, window_us, context.random)
         server.load.forget()
 
     def permits(self, server: Server, is_retry: bool) -> bool:
-        """Returns whether one more attempt is within the server's budget; always, once slow start is over."""
+        """Return whether one more attempt is within the server's budget; always, once slow start is over."""
         started_at_us = server.endpoint.started_at_us
         if started_at_us <= 0:
             return True
@@ -49,7 +49,7 @@
         return server.slow_start.permits(cost, tokens_per_us, window_us, context.now_us, context.random)
 
     def _tokens_per_us(self, age_us: int) -> float:
-        """Returns the refill rate for a server of this age.
+        """Return the refill rate for a server of this age.
 
         The connections here, divided by the ready servers, make the mean load. So the shares of all balancers
         together fill one server to OVERLOAD_THRESHOLD.
--- a/wheatstile/decisions/slow_start_budget.py
+++ b/wheatstile/decisions/slow_start_budget.py
@@ -24,7 +24,7 @@
         self._last_attempt_at_us = -1
 
     def reset(self, started_at_us: int, now_us: int, window_us: int, random: Random) -> None:
-        """Resets the budget of a restarted server.
+        """Reset the budget of a restarted server.
 
         An attempt that was sent after the restart, but before discovery reported it, is charged to the new
         budget.
@@ -37,13 +37,13 @@
             self._draw_expires_at_us = self._last_attempt_at_us + window_us
 
     def charge(self, now_us: int) -> None:
-        """Charges an attempt that is sent now, and uses up the draw of this window."""
+        """Charge an attempt that is sent now, and use up the draw of this window."""
         self.tokens -= FIRST_ATTEMPT_COST
         self._draw = SPENT
         self._last_attempt_at_us = now_us
 
     def permits(self, cost: int, tokens_per_us: float, window_us: int, now_us: int, random: Random) -> bool:
-        """Refills the bucket. Returns whether an attempt of this cost (tokens) is within the budget."""
+        """Refill the bucket. Return whether an attempt of this cost (tokens) is within the budget."""
         tokens_per_window = window_us * tokens_per_us
         self._refill(tokens_per_us, tokens_per_window, now_us)
         if tokens_per_window >= 1:
--- a/wheatstile/decisions/token_bucket.py
+++ b/wheatstile/decisions/token_bucket.py
@@ -30,15 +30,15 @@
         self.updated_at_us = 0
 
     def on_failure(self) -> None:
-        """Reduces the rate."""
+        """Reduce the rate."""
         self.rate = max(self._rates.min, self.rate * self._rates.decrease_factor)
 
     def seconds_since_update(self, now_us: int) -> float:
-        """Returns the seconds since the last call of `try_acquire`."""
+        """Return the seconds since the last call of `try_acquire`."""
         return (now_us - self.updated_at_us) / SECOND_US
 
     def try_acquire(self, now_us: int, size: float) -> bool:
-        """Refills the bucket and takes one token. Returns whether there was one."""
+        """Refill the bucket and take one token. Return whether there was one."""
         elapsed_s = self.seconds_since_update(now_us)
         self.updated_at_us = now_us
         self.rate = min(self._rates.max, self.rate + self._rates.increase_per_s * size * elapsed_s)
--- a/wheatstile/interface/endpoint.py
+++ b/wheatstile/interface/endpoint.py
@@ -27,7 +27,7 @@
         return self.state == _READY
 
     def shares_scope(self, other: "Endpoint", scope: DeduplicationScope) -> bool:
-        """Whether both servers recognize the same idempotency key as a repeat."""
+        """Return whether both servers recognize the same idempotency key as a repeat."""
         match scope:
             case DeduplicationScope.ALL:
                 return True
--- a/wheatstile/interface/settings.py
+++ b/wheatstile/interface/settings.py
@@ -20,7 +20,7 @@
 
     @property
     def repeat_window_us(self) -> float:
-        """Returns how long after a first attempt that may have run another attempt is harmless.
+        """How long after a first attempt that may have run another attempt is harmless, in microseconds.
 
         This holds for servers in the deduplication scope. Infinite for IDEMPOTENT, 0 for NON_IDEMPOTENT.
         """
--- a/wheatstile/simulator/host.py
+++ b/wheatstile/simulator/host.py
@@ -31,9 +31,9 @@
         self.reply: list[str] = []
 
     def receive(self, line: str) -> bool:
-        """Handles one line of a batch. Returns whether the batch, and so its reply, is complete.
+        """Handle one line of a batch. Return whether the batch, and so its reply, is complete.
 
-        Raises WireError, or SettingsError for an instance's settings.
+        Raise WireError, or SettingsError for an instance's settings.
         """
         name, fields = parse_line(line)
         if name == Message.BATCH_STARTED:
@@ -77,7 +77,7 @@
         self.rows_due -= 1
 
     def _handle(self, name: str, fields: Fields, now_us: int) -> None:
-        """Handles a message to one instance, and adds the actions to the reply."""
+        """Handle a message to one instance, and add the actions to the reply."""
         self.instance = fields.integer("balancer")
         if name == Message.START_INSTANCE:
             self._start_instance(fields, now_us)
@@ -95,7 +95,7 @@
         self._add_actions(balancer.start(now_us))
 
     def _endpoint_update(self, fields: Fields) -> api.EndpointUpdate | None:
-        """Returns the update of an endpoint list; None for an unknown kind."""
+        """Return the update of an endpoint list; None for an unknown kind."""
         kind = wire.UPDATE_KINDS.get(fields.text("kind"))
         if kind is api.EndpointUpdateKind.FAILED:
             return api.EndpointUpdate(kind, [])
@@ -114,7 +114,7 @@
 
 
 def serve(source: TextIO, sink: TextIO, errors: TextIO) -> int:
-    """Answers batches until the input ends. Returns the exit status."""
+    """Answer batches until the input ends. Return the exit status."""
     host = Host()
     for raw_line in source:
         line = raw_line.rstrip("\n")
--- a/wheatstile/simulator/line.py
+++ b/wheatstile/simulator/line.py
@@ -18,14 +18,14 @@
         self._values = values
 
     def text(self, key: str, default: str | None = None) -> str:
-        """Returns the value unchanged; without a default the key is required."""
+        """Return the value unchanged; without a default the key is required."""
         value = self._values.get(key, default)
         if value is None:
             raise WireError(f"{key} is missing")
         return value
 
     def integer(self, key: str, default: int | None = None) -> int:
-        """Returns the integer at this key; without a default the key is required."""
+        """Return the integer at this key; without a default the key is required."""
         value = self._values.get(key)
         if value is None:
             if default is None:
@@ -37,24 +37,24 @@
             raise WireError(f"{key} is not a whole number: {value}") from None
 
     def number(self, key: str, default: float) -> float:
-        """Returns the number at this key."""
+        """Return the number at this key."""
         try:
             return float(self._values.get(key, default))
         except ValueError:
             raise WireError(f"{key} is not a number: {self._values[key]}") from None
 
     def flag(self, key: str) -> bool:
-        """Returns whether the key is present and its value is 1."""
+        """Return whether the key is present and its value is 1."""
         return self._values.get(key) == FLAG_SET
 
     def load_report(self) -> api.LoadReport | None:
-        """Returns the load report in `stats`, if the message has one."""
+        """Return the load report in `stats`, if the message has one."""
         stats = self._values.get("stats")
         return parse_load_report(stats, ":", LOAD_METRICS) if stats else None
 
 
 def parse_line(line: str) -> tuple[str, Fields]:
-    """Splits a line into the message's name and its fields. Raises WireError."""
+    """Split a line into the message's name and its fields. Raise WireError."""
     name, *parts = line.split("\t")
     values = {}
     for part in parts:
--- a/wheatstile/simulator/wire.py
+++ b/wheatstile/simulator/wire.py
@@ -114,7 +114,7 @@
 
 
 def _outcome(fields: Fields) -> api.AttemptOutcome:
-    """Returns the outcome; an unknown word counts as ERROR, since the attempt may have run."""
+    """Return the outcome; an unknown word counts as ERROR, since the attempt may have run."""
     return OUTCOMES.get(fields.text("verdict"), api.AttemptOutcome.ERROR)
 
 
@@ -140,7 +140,7 @@
 
 
 def timer_text(token: api.TimerToken) -> str:
-    """Returns a timer's text: `WORD`, or `WORD:DUE:CONNECTION` for a timer of one connection."""
+    """Return a timer's text: `WORD`, or `WORD:DUE:CONNECTION` for a timer of one connection."""
     word = TIMER_WORDS[token.kind]
     if not token.connection_id:
         return word
@@ -148,7 +148,7 @@
 
 
 def timer_token(text: str) -> api.TimerToken | None:
-    """Returns the timer of a text that `timer_text` made; None for any other text."""
+    """Return the timer of a text that `timer_text` made; None for any other text."""
     word, _, rest = text.partition(TIMER_SEPARATOR)
     due, _, connection_id = rest.partition(TIMER_SEPARATOR)  # the connection's id may contain a separator
     if not connection_id:
@@ -179,7 +179,7 @@
 
 
 def endpoint(fields: Fields) -> api.Endpoint:
-    """Returns one row of an endpoint list; an unknown state counts as draining."""
+    """Return one row of an endpoint list; an unknown state counts as draining."""
     return api.Endpoint(
         fields.text("server"),
         STATES.get(fields.text("status"), api.EndpointState.DRAINING),
@@ -212,7 +212,7 @@
 
 
 def action_line(instance: int, action: api.Action) -> str:
-    """Returns the line of a reply that carries this action of an instance."""
+    """Return the line of a reply that carries this action of an instance."""
     form = ACTIONS[type(action)]
     line = f"{form.name}\tbalancer={instance}"
     for key, attribute in form.attributes.items():
@@ -225,11 +225,11 @@
 
 
 def ready_line(turn: str) -> str:
-    """Returns the line that ends the reply to a batch."""
+    """Return the line that ends the reply to a batch."""
     return f"READY\tturn={turn}"
 
 
 def fault_line(instance: int, message: str) -> str:
-    """Returns the line that ends a run with a plain message."""
+    """Return the line that ends a run with a plain message."""
     plain = " ".join(message.split())
     return f"FAULT\tbalancer={instance}\twhat={plain}"
