--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -88,7 +88,7 @@
         )
 
     def _decide(self, index: int) -> None:
-        """One request from its arrival to its attempt, and its end."""
+        """Handle one request from its arrival to its attempt, and its end."""
         request_id = f"r{index}"
         self._harness.log.clear()
         self._harness.request(request_id, key=request_id, affinity_group=request_id)
@@ -102,12 +102,12 @@
         balancer.health_checks.check(server, lambda _: None, next(iter(balancer.connections.established)))
 
     def _report_load(self, index: int) -> None:
-        """Answers one health check."""
+        """Answer one health check."""
         server = self._names[index % len(self._names)]
         self._harness.dispatch(api.HealthCheckResult(server, api.AttemptOutcome.OK, 1000, {"load": 0.4}))
 
     def _update_endpoint(self, index: int) -> None:
-        """One update of discovery, which changes one server."""
+        """Handle one update of discovery, which changes one server."""
         state = (api.EndpointState.DRAINING, api.EndpointState.READY)[index % 2]
         endpoint = api.Endpoint(self._names[0], state, "here")
         self._harness.dispatch(api.EndpointUpdate(api.EndpointUpdateKind.DELTA, [endpoint]))
