--- a/tests/store/process_cluster.py
+++ b/tests/store/process_cluster.py
@@ -113,7 +113,7 @@
         self.paused.discard(name)
         process.signal(signal.SIGKILL)
         process.process.wait()
-        self.output[name] += process.rest()
+        self.output[name] += process.all_output()
 
     def pause(self, name: str) -> None:
         """Pauses a member by SIGSTOP until `resume_all`."""
--- a/tests/store/test_backup.py
+++ b/tests/store/test_backup.py
@@ -110,7 +110,7 @@
 
 @pytest.fixture
 def member_with_small_files(tmp_path: Path) -> Iterator[subprocess.Popen[str]]:
-    """Start a member in `tmp_path / "a"` whose files cannot exceed `MAX_FILE_BYTES`, and kill it at the end."""
+    """Start a member in `tmp_path / "a"` whose files cannot exceed `MAX_FILE_BYTES`; kill it at the end."""
     member = subprocess.Popen(
         [sys.executable, "-m", "wheatstile", "store", "serve", "--dir", str(tmp_path / "a")],
         stdout=subprocess.PIPE,
