--- a/benchmarks/running_balancer.py
+++ b/benchmarks/running_balancer.py
@@ -39,15 +39,15 @@
         return int(self._histogram.total_count)
 
     def record_since(self, started_ns: int) -> None:
-        """Records the time since `started_ns` of the monotonic clock."""
+        """Record the time since `started_ns` of the monotonic clock."""
         self._histogram.record_value(max(1, (time.monotonic_ns() - started_ns) // 1000))
 
     def percentile_ms(self, percentile: float) -> str:
-        """Returns the duration at this percentile (100: the longest), in milliseconds, as text."""
+        """Return the duration at this percentile (100: the longest), in milliseconds, as text."""
         return f"{self._histogram.get_value_at_percentile(percentile) / 1000:.1f}"
 
     def summary_ms(self) -> list[str]:
-        """Returns the median, the 99th percentile and the maximum, in milliseconds, as text."""
+        """Return the median, the 99th percentile and the maximum, in milliseconds, as text."""
         return [self.percentile_ms(percentile) for percentile in PERCENTILES]
 
 
@@ -58,7 +58,7 @@
     """
 
     def __init__(self, operator_settings: JsonObject, servers_file: bytes = b"") -> None:
-        """Writes the operator's file, and `servers_file` into `servers.json` in the same folder."""
+        """Write the operator's file, and `servers_file` into `servers.json` in the same folder."""
         super().__init__({})
         folder = Path(self.folder.name)
         self.servers_file = folder / "servers.json"
@@ -75,12 +75,12 @@
         self.close()
 
     def resident_kb(self) -> int:
-        """Returns the resident memory, in kB."""
+        """Return the resident memory, in kB."""
         status = Path(f"/proc/{self.process.pid}/status").read_text()
         return next(int(line.split()[1]) for line in status.splitlines() if line.startswith("VmRSS"))
 
     def processor_s(self) -> float:
-        """Returns the processor time used so far, user and system, in seconds (proc(5), stat: 14 and 15)."""
+        """Return the processor time used so far, user and system, in seconds (proc(5), stat: 14 and 15)."""
         fields = Path(f"/proc/{self.process.pid}/stat").read_text().rpartition(")")[2].split()
         user_ticks, system_ticks = (int(field) for field in fields[11:13])
         return (user_ticks + system_ticks) / os.sysconf("SC_CLK_TCK")
@@ -100,7 +100,7 @@
         self.start()
 
     def run(self) -> None:
-        """Sends PING and records the time to each answer until `stop` is called."""
+        """Send PING and record the time to each answer until `stop` is called."""
         while not self._ended.wait(PING_PAUSE_S):
             started_ns = time.monotonic_ns()
             self._sock.sendall(b"PING\r\n")
@@ -108,7 +108,7 @@
             self._durations.record_since(started_ns)
 
     def stop(self) -> Durations:
-        """Ends the thread, closes the connection, and returns the times to the answers."""
+        """End the thread, close the connection, and return the times to the answers."""
         self._ended.set()
         self.join()
         self._sock.close()
--- a/example/client.py
+++ b/example/client.py
@@ -9,14 +9,14 @@
 
 
 def open_line() -> str:
-    """Returns the first line of a connection: request id, key, class, time to wait in ms, affinity group."""
+    """Return the first line of a connection: request id, key, class, time to wait in ms, affinity group."""
     request_id = secrets.token_hex(8)
     group = secrets.token_hex(4)
     return f"OPEN {request_id} me c=chat,d=2000,g={group}"
 
 
 def main() -> None:
-    """Connects to the balancer that `make run` or `make demo` has started."""
+    """Connect to the balancer that `make run` or `make demo` has started."""
     with (
         socket.create_connection(BALANCER_ADDRESS, timeout=TIMEOUT_S) as sock,
         sock.makefile("rw", newline=LINE_END) as stream,
--- a/example/toy_server.py
+++ b/example/toy_server.py
@@ -24,7 +24,7 @@
         self._open_connections = 0
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Serves one connection until it ends."""
+        """Serve one connection until it ends."""
         try:
             while line := (await reader.readline()).decode().strip():
                 if line.startswith("OPEN "):
@@ -37,7 +37,7 @@
             writer.close()
 
     def _control_reply(self, line: str) -> str:
-        """Returns the reply to a line outside a session."""
+        """Return the reply to a line outside a session."""
         match line:
             case "PING":
                 return "PONG"
@@ -47,7 +47,7 @@
                 return "SYNTAX"
 
     async def _serve_session(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Accepts the session, then echoes every line."""
+        """Accept the session, then echo every line."""
         self._open_connections += 1
         try:
             await send_line(writer, f"UP {self._name}")
@@ -58,13 +58,13 @@
 
 
 async def send_line(writer: asyncio.StreamWriter, line: str) -> None:
-    """Sends one line of the protocol. Raises ConnectionError."""
+    """Send one line of the protocol. Raises ConnectionError."""
     writer.write(f"{line}\r\n".encode())
     await writer.drain()
 
 
 def endpoint_snapshot() -> bytes:
-    """Returns the complete list of servers as JSON, in the format of discovery."""
+    """Return the complete list of servers as JSON, in the format of discovery."""
     members = [
         {
             "id": name,
@@ -98,7 +98,7 @@
 
 
 async def send_watch(writer: asyncio.StreamWriter) -> None:
-    """Sends the list, then an empty line at each interval, since the list never changes.
+    """Send the list, then an empty line at each interval, since the list never changes.
 
     Raises ConnectionError.
     """
@@ -112,7 +112,7 @@
 
 
 async def main() -> None:
-    """Serves until interrupted."""
+    """Serve until interrupted."""
     for name, port in SERVER_PORTS.items():
         await asyncio.start_server(ToyServer(name).serve, LOOPBACK, port)
     async with await asyncio.start_server(serve_discovery, LOOPBACK, DISCOVERY_PORT) as server:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -14,13 +14,13 @@
 
 @pytest.fixture
 def settings() -> dict[str, Any]:
-    """Returns the settings of `balancer` that differ from SETTINGS. A module or a test overrides it."""
+    """Return the settings of `balancer` that differ from SETTINGS. A module or a test overrides it."""
     return {}
 
 
 @pytest.fixture
 def balancer(settings: dict[str, Any]) -> Iterator[Balancer]:
-    """Returns a balancer that is not started. It is closed with the test."""
+    """Return a balancer that is not started. It is closed with the test."""
     balancer = Balancer(settings)
     try:
         yield balancer
--- a/tests/support/balancer.py
+++ b/tests/support/balancer.py
@@ -57,7 +57,7 @@
 
 
 def with_class(repeat: str, scope: str = "all", window_us: int = 0) -> dict[str, Any]:
-    """Returns settings with one class, given by the keywords of the platform.
+    """Return settings with one class, given by the keywords of the platform.
 
     Args:
         repeat: the idempotency of the class.
@@ -94,12 +94,12 @@
         super().__init__(Path(self.folder.name) / "config.json")
 
     def close(self) -> None:
-        """Ends the process and removes the folder."""
+        """End the process and remove the folder."""
         self.stop()
         self.folder.cleanup()
 
     def member(self, name: str = "s1", **changes: Any) -> dict[str, Any]:
-        """Returns a ready server in the format of discovery, by default at the port of `server`."""
+        """Return a ready server in the format of discovery, by default at the port of `server`."""
         member = {
             "id": name,
             "host_port": self.server.address,
@@ -113,7 +113,7 @@
         return member | changes
 
     def config(self, members: Iterable[dict[str, Any]] | None = None) -> dict[str, Any]:
-        """Returns a configuration with these servers, by default one, and a new free port to listen on."""
+        """Return a configuration with these servers, by default one, and a new free port to listen on."""
         with socket.create_server(("127.0.0.1", 0)) as unused:
             self.listen = unused.getsockname()
         known = [self.member()] if members is None else list(members)
@@ -128,7 +128,7 @@
         }
 
     def write_config(self) -> None:
-        """Writes the configuration file with one server."""
+        """Write the configuration file with one server."""
         self.path.write_text(json.dumps(self.config()))
 
     def start(
@@ -138,7 +138,7 @@
         files: int = 1024,
         stderr: int | IO[bytes] = subprocess.PIPE,
     ) -> None:
-        """Writes the configuration file, starts the process, and waits until it serves.
+        """Write the configuration file, start the process, and wait until it serves.
 
         Args:
             members: the servers that the balancer knows, by default one.
@@ -153,7 +153,7 @@
             self.ready()
 
     def ready(self) -> None:
-        """Waits until the process answers PING."""
+        """Wait until the process answers PING."""
         deadline_s = time.monotonic() + TIMEOUT_S
         while True:
             try:
@@ -166,7 +166,7 @@
                 return
 
     def reload(self, text: str = "", **changes: Any) -> dict[str, Any]:
-        """Changes the configuration file, sends SIGHUP, and returns the log entry of the result.
+        """Change the configuration file, send SIGHUP, and return the log entry of the result.
 
         Args:
             text: the new content of the file.
@@ -177,11 +177,11 @@
         return self.logged("config_reloaded", "config_reload_rejected")
 
     def client(self) -> Peer:
-        """Returns a new connection to the balancer."""
+        """Return a new connection to the balancer."""
         return Peer(socket.create_connection(self.listen, TIMEOUT_S))
 
     def pinged_client(self) -> Peer:
-        """Returns a new connection on which the balancer has answered PING."""
+        """Return a new connection on which the balancer has answered PING."""
         client = self.client()
         client.send("PING")
         assert client.line() == "PONG"
@@ -195,7 +195,7 @@
         group: str = "abc",
         client: Peer | None = None,
     ) -> Peer:
-        """Sends an OPEN line, and returns the connection without waiting for the answer.
+        """Send an OPEN line, and return the connection without waiting for the answer.
 
         Args:
             number: makes the request id and the key.
@@ -209,7 +209,7 @@
         return client
 
     def establish(self, number: int = 1, group: str = "abc") -> tuple[Peer, Peer]:
-        """Establishes a session at `server`, and returns the connections of the client and of the server."""
+        """Establish a session at `server`, and return the connections of the client and of the server."""
         client = self.open(number, group=group)
         server, _ = self.server.accept_session()
         server.send("UP r1")
@@ -217,7 +217,7 @@
         return client, server
 
     def check_serving(self, number: int) -> dict[str, int]:
-        """Establishes a session, checks that no internal error was counted, and returns the counters."""
+        """Establish a session, check that no internal error was counted, and return the counters."""
         self.establish(number)
         counters = self.counters()
         assert "client_connections_failed" not in counters
--- a/tests/support/balancer_process.py
+++ b/tests/support/balancer_process.py
@@ -41,11 +41,11 @@
 
     @process.setter
     def process(self, process: subprocess.Popen[str]) -> None:
-        """Uses a process that the test has started itself. `stop` ends it."""
+        """Use a process that the test has started itself. `stop` ends it."""
         self._process = process
 
     def launch(self, files: int = 1024, stderr: int | IO[bytes] = subprocess.PIPE, **variables: str) -> None:
-        """Starts the process on the existing configuration file, and does not wait until it serves.
+        """Start the process on the existing configuration file, and do not wait until it serves.
 
         Args:
             files: the limit on open files.
@@ -63,7 +63,7 @@
         )
 
     def _limit_resources(self, files: int) -> None:
-        """Sets the limits of the child process before it executes the program."""
+        """Set the limits of the child process before it executes the program."""
         resource.setrlimit(resource.RLIMIT_NOFILE, (files, files))
         resource.setrlimit(resource.RLIMIT_FSIZE, (self.max_file_bytes, self.max_file_bytes))
 
@@ -82,16 +82,16 @@
         self.process.send_signal(signal.SIGCONT)
 
     def _state(self) -> str:
-        """Returns the state of the process by its letter in proc(5)."""
+        """Return the state of the process by its letter in proc(5)."""
         status = Path(f"/proc/{self.process.pid}/stat").read_text()
         return status.rpartition(")")[2].split()[0]
 
     def terminate(self) -> None:
-        """Sends SIGTERM, and does not wait for the end."""
+        """Send SIGTERM, and do not wait for the end."""
         self.process.send_signal(signal.SIGTERM)
 
     def wait(self) -> int:
-        """Waits for the end of the process, and returns its exit status."""
+        """Wait for the end of the process, and return its exit status."""
         return self.process.wait(TIMEOUT_S)
 
     def stop(self) -> str:
@@ -104,7 +104,7 @@
         return errors
 
     def logged(self, *events: str) -> dict[str, Any]:
-        """Waits for a log entry with one of these events, and returns it. Drops the entries before it."""
+        """Wait for a log entry with one of these events, and return it. Drops the entries before it."""
         assert self.process.stderr
         watchdog = threading.Timer(TIMEOUT_S, self.process.kill)  # ends the log, and so the wait
         watchdog.start()
@@ -119,12 +119,12 @@
             watchdog.cancel()
 
     def counters(self) -> dict[str, int]:
-        """Returns the counters that the process logs on SIGUSR1. Drops the log entries before them."""
+        """Return the counters that the process logs on SIGUSR1. Drops the log entries before them."""
         self.process.send_signal(signal.SIGUSR1)
         return self.logged("counters_reported")
 
     def wait_for_counter(self, name: str, minimum: int) -> dict[str, int]:
-        """Waits until this counter has at least this value, and returns all counters."""
+        """Wait until this counter has at least this value, and return all counters."""
         deadline_s = time.monotonic() + TIMEOUT_S
         while (counters := self.counters()).get(name, 0) < minimum:
             assert time.monotonic() < deadline_s, f"{name} stayed below {minimum}: {counters}"
--- a/tests/support/command_line.py
+++ b/tests/support/command_line.py
@@ -26,7 +26,7 @@
 
 
 def run_command(*arguments: str, **variables: str) -> CommandResult:
-    """Runs `wheatstile` with these arguments and environment variables, and waits for its end.
+    """Run `wheatstile` with these arguments and environment variables, and wait for its end.
 
     Checks that the command printed no traceback.
     """
--- a/tests/support/command_line_folder.py
+++ b/tests/support/command_line_folder.py
@@ -18,7 +18,7 @@
 
 @pytest.fixture
 def folder(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Path:
-    """Makes a temporary folder with files, changes to it for the test, and returns it.
+    """Make a temporary folder with files, change to it for the test, and return it.
 
     `new.json` lists three servers, `few.json` one of them. `bad.json` is an invalid endpoint file. `op.json`
     is an operator's file that names `live.json`, which does not exist yet.
@@ -34,6 +34,6 @@
 
 @pytest.fixture
 def live_file(folder: Path) -> Path:
-    """Publishes `new.json` as `live.json` in `folder`, and returns its path."""
+    """Publish `new.json` as `live.json` in `folder`, and return its path."""
     assert run_command("servers", "publish", "new.json", "live.json").status == 0
     return folder / "live.json"
--- a/tests/support/echo_servers.py
+++ b/tests/support/echo_servers.py
@@ -33,7 +33,7 @@
         asyncio.run_coroutine_threadsafe(self._listen(list(names)), self._loop).result()
 
     def close(self) -> None:
-        """Ends all connections and the thread."""
+        """End all connections and the thread."""
         asyncio.run_coroutine_threadsafe(self._cancel_connections(), self._loop).result()
         self._loop.call_soon_threadsafe(self._loop.stop)
         self._thread.join()
@@ -44,7 +44,7 @@
             self.addresses[name] = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
 
     def _connection_handler(self, name: str) -> ConnectionHandler:
-        """Returns the callback for the connections of one server."""
+        """Return the callback for the connections of one server."""
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             task = asyncio.current_task()
@@ -62,7 +62,7 @@
         return serve
 
     def _reply(self, name: str, line: bytes) -> bytes:
-        """Returns the reply of this server to a line, and counts a session."""
+        """Return the reply of this server to a line, and count a session."""
         if line.startswith(b"STATS"):
             return HEALTHY
         if line.startswith(b"OPEN "):
@@ -71,7 +71,7 @@
         return line
 
     async def _cancel_connections(self) -> None:
-        """Cancels the tasks of all connections, and lets them run once so that they end."""
+        """Cancel the tasks of all connections, and let them run once so that they end."""
         for task in self._tasks:
             task.cancel()
         await asyncio.sleep(0)
--- a/tests/support/peer.py
+++ b/tests/support/peer.py
@@ -23,11 +23,11 @@
         self.buffer = b""
 
     def send(self, *lines: str) -> None:
-        """Sends these lines, each with its line end."""
+        """Send these lines, each with its line end."""
         self.sock.sendall("".join(line + "\r\n" for line in lines).encode())
 
     def line(self) -> str:
-        """Returns the next line without its line end, or an empty string at the end of the connection.
+        """Return the next line without its line end, or an empty string at the end of the connection.
 
         Raises ConnectionResetError if the other side resets the connection, TimeoutError after TIMEOUT_S.
         """
@@ -40,7 +40,7 @@
         return line.decode()
 
     def lines_to_the_end(self) -> list[str]:
-        """Returns all lines until the end of the connection, and checks that the last one is complete."""
+        """Return all lines until the end of the connection, and check that the last one is complete."""
         lines = []
         while line := self.line():
             lines.append(line)
@@ -48,7 +48,7 @@
         return lines
 
     def ends(self) -> bool:
-        """Waits, and returns whether the other side closes or resets the connection before another line."""
+        """Wait, and return whether the other side closes or resets the connection before another line."""
         try:
             return self.line() == ""
         except ConnectionResetError:
@@ -59,12 +59,12 @@
         self.send("HTTP/1.1 200 OK", "Transfer-Encoding: chunked", "")
 
     def chunk(self, revision: int, *members: dict[str, Any], complete: bool = False) -> None:
-        """Sends one endpoint list on a watch, as one chunk. `complete`: the list replaces the earlier one."""
+        """Send one endpoint list on a watch, as one chunk. `complete`: the list replaces the earlier one."""
         body = json.dumps({"revision": revision, "complete": complete, "members": members}) + "\n"
         self.send(f"{len(body):x}", body)
 
     def close(self, reset: bool = False) -> None:
-        """Closes this end, on request by a reset."""
+        """Close this end, on request by a reset."""
         if reset:
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
         self.sock.close()
@@ -87,11 +87,11 @@
         self.address = f"127.0.0.1:{self.sock.getsockname()[1]}"
 
     def accept(self) -> Peer:
-        """Returns the next connection."""
+        """Return the next connection."""
         return Peer(self.sock.accept()[0])
 
     def watch(self) -> tuple[Peer, str]:
-        """Accepts a call to discovery, reads its headers, and returns the connection and the request line."""
+        """Accept a call to discovery, read its headers, and return the connection and the request line."""
         peer = self.accept()
         request_line = peer.line()
         while peer.line():
@@ -99,7 +99,7 @@
         return peer, request_line
 
     def accept_session(self, load: float = 0.3) -> tuple[Peer, str]:
-        """Waits for an attempt to open a session, and returns its connection and its first line.
+        """Wait for an attempt to open a session, and return its connection and its first line.
 
         Health checks before it are answered with this load, and their connections stay open.
         """
@@ -126,7 +126,7 @@
                 health_check.close()
 
     def fill_backlog(self) -> list[socket.socket]:
-        """Fills the backlog with connections, and returns their sockets, which stay open.
+        """Fill the backlog with connections, and return their sockets, which stay open.
 
         The next connect then remains pending until `accept_waiting` takes them.
         """
@@ -143,24 +143,24 @@
             filling.append(sock)
 
     def has_waiting(self) -> bool:
-        """Returns whether a connection waits to be accepted."""
+        """Return whether a connection waits to be accepted."""
         return bool(select.select([self.sock], [], [], 0)[0])
 
     def is_connecting(self) -> bool:
-        """Returns whether a connect to this port is pending."""
+        """Return whether a connect to this port is pending."""
         port = f":{self.sock.getsockname()[1]:04X}"
         rows = [row.split() for row in Path("/proc/net/tcp").read_text().splitlines()[1:]]
         return any(remote.endswith(port) and state == SYN_SENT for _, _, remote, state, *_ in rows)
 
     def wait_for_connect(self) -> None:
-        """Waits until a connect to this port is pending."""
+        """Wait until a connect to this port is pending."""
         deadline_s = time.monotonic() + TIMEOUT_S
         while not self.is_connecting():
             assert time.monotonic() < deadline_s, f"nobody connects to {self.address}"
             time.sleep(POLL_INTERVAL_S)
 
     def accept_waiting(self, filling: list[socket.socket]) -> Peer:
-        """Accepts the connections of `fill_backlog`, and returns the pending one once it is established."""
+        """Accept the connections of `fill_backlog`, and return the pending one once it is established."""
         filling_addresses = {sock.getsockname() for sock in filling}
         while True:
             peer = self.accept()
--- a/tests/support/program_process.py
+++ b/tests/support/program_process.py
@@ -42,7 +42,7 @@
         self._unread_lines.put(END_OF_OUTPUT)
 
     def expect(self, prefix: str, timeout_s: float = 60.0) -> str:
-        """Returns the next line that starts with `prefix`, and drops the lines before it.
+        """Return the next line that starts with `prefix`, and drop the lines before it.
 
         Raises queue.Empty if the process prints nothing for `timeout_s`.
         """
@@ -53,23 +53,23 @@
                 return line
 
     def send_command(self, command: str) -> str:
-        """Sends one line to the standard input, and returns the next line of the output."""
+        """Send one line to the standard input, and return the next line of the output."""
         assert self.process.stdin
         self.process.stdin.write(command + "\n")
         self.process.stdin.flush()
         return self.expect("")
 
     def all_output(self) -> list[str]:
-        """Returns all lines of the output. Waits until the process has closed it."""
+        """Return all lines of the output. Waits until the process has closed it."""
         self._reader.join()
         return self.history
 
     def signal(self, number: int) -> None:
-        """Sends a signal to this process alone."""
+        """Send a signal to this process alone."""
         self.process.send_signal(number)
 
     def close(self) -> int:
-        """Closes the standard input, waits for the end or kills the process, and returns its exit status."""
+        """Close the standard input, wait for the end or kill the process, and return its exit status."""
         if self.process.stdin:
             self.process.stdin.close()
         try:
--- a/tests/support/served_balancer.py
+++ b/tests/support/served_balancer.py
@@ -44,16 +44,16 @@
         self._numbers = itertools.count(1)
 
     def close(self) -> None:
-        """Ends the balancer and the echo servers, and removes the files."""
+        """End the balancer and the echo servers, and remove the files."""
         super().close()
         self.echo_servers.close()
 
     def write_operator(self, **changes: object) -> None:
-        """Writes the operator's file with these changes to its section."""
+        """Write the operator's file with these changes to its section."""
         self.operator_file.write_text(json.dumps({"servers": DEFAULT_SECTION | self.section | changes}))
 
     def document(self, *names: str, generation: int = 1, seal: bool = True, **changes: object) -> bytes:
-        """Returns an endpoint file that lists these echo servers. The changes apply to every row."""
+        """Return an endpoint file that lists these echo servers. The changes apply to every row."""
         rows = [
             {"id": name, "address": self.echo_servers.addresses[name], "site": "here"} | changes
             for name in names
@@ -64,34 +64,34 @@
         return json.dumps(value).encode()
 
     def discovered(self, name: str, **changes: object) -> dict[str, Any]:
-        """Returns an echo server in the format of discovery."""
+        """Return an echo server in the format of discovery."""
         return self.member(name, host_port=self.echo_servers.addresses[name], **changes)
 
     def start_with_known_servers(self) -> None:
-        """Starts the balancer with the servers of `known`, and waits until it serves."""
+        """Start the balancer with the servers of `known`, and wait until it serves."""
         self.start([self.discovered(name) for name in self.known])
 
     def wait_accepted(self) -> dict[str, Any]:
-        """Waits until an endpoint file is accepted, and returns the log entry."""
+        """Wait until an endpoint file is accepted, and return the log entry."""
         return self.logged(ACCEPTED_EVENT)
 
     def wait_generation(self, generation: int) -> None:
-        """Waits until the endpoint file of this generation is accepted."""
+        """Wait until the endpoint file of this generation is accepted."""
         while self.wait_accepted()["generation"] != generation:
             pass
 
     def wait_source(self) -> str:
-        """Waits until a source of endpoints is selected, and returns its name."""
+        """Wait until a source of endpoints is selected, and return its name."""
         source: str = self.logged("endpoint_source_selected")["source"]
         return source
 
     def open_client(self, group: str | None = None) -> Peer:
-        """Sends an OPEN line on a new connection, by default with a new affinity group."""
+        """Send an OPEN line on a new connection, by default with a new affinity group."""
         number = next(self._numbers)
         return self.open(number, CLIENT_DEADLINE_MS, group=group or f"g{next(self._numbers)}")
 
     def reply_to_new_client(self) -> str:
-        """Returns the keyword of the reply to a new client, and closes its connection."""
+        """Return the keyword of the reply to a new client, and close its connection."""
         client = self.open_client()
         try:
             keyword: str = client.line().partition(" ")[0]
@@ -100,13 +100,13 @@
             client.close()
 
     def served_by(self, clients: int = 12) -> set[str]:
-        """Opens sessions, which all have to succeed, and returns the names of their servers."""
+        """Open sessions, which all have to succeed, and return the names of their servers."""
         before = self.echo_servers.opened.copy()
         assert {self.reply_to_new_client() for _ in range(clients)} == {"UP"}
         return set(self.echo_servers.opened - before)
 
     def wait_served_by(self, names: set[str]) -> None:
-        """Opens sessions until exactly these servers get six of them."""
+        """Open sessions until exactly these servers get six of them."""
         deadline_s = time.monotonic() + TIMEOUT_S
         while self.served_by(6) != names:
             assert time.monotonic() < deadline_s, f"the sessions do not go to {sorted(names)}"
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -33,12 +33,12 @@
 
 
 def batch(*lines: str, turn: int = 1, clock_us: int = 5_000_000) -> str:
-    """Returns the lines as one batch of events at this time."""
+    """Return the lines as one batch of events at this time."""
     return "\n".join([f"ROUND\tclockUs={clock_us}\tturn={turn}", *lines, "FLUSH", ""])
 
 
 def configure(instance: int, settings: dict[str, Any] | None = None, seed: int = 7) -> list[str]:
-    """Returns the lines that start an instance with two servers, `s1` in its zone and `s2` in another."""
+    """Return the lines that start an instance with two servers, `s1` in its zone and `s2` in another."""
     return [
         f"CONFIGURE\tbalancer={instance}\tprng={seed}\tprofileData={json.dumps(settings or SETTINGS)}",
         "ROSTER\tbuffer=0\trowsIn=2",
@@ -49,7 +49,7 @@
 
 
 def serve(text: str) -> tuple[int, list[str], str]:
-    """Runs the host on this input. Returns its exit status, the lines of its output, and its errors."""
+    """Run the host on this input. Returns its exit status, the lines of its output, and its errors."""
     output = io.StringIO()
     errors = io.StringIO()
     status = host.serve(io.StringIO(text), output, errors)
