--- a/tests/decisions/test_server_load.py
+++ b/tests/decisions/test_server_load.py
@@ -1,8 +1,72 @@
-"""How loads are read from reports."""
+"""The load that a report shows, and what is recorded of a server's load."""
 
+import pytest
 from support.balancer_harness import SECOND_US, BalancerHarness
 
 from wheatstile import interface as api
+from wheatstile.decisions.server_load import UNREACHABLE_LOAD, ServerLoad, load_in
+
+NOW_US = 100 * SECOND_US
+
+
+@pytest.mark.parametrize(
+    ("report", "load"),
+    [
+        ({"load": 1.4}, 1.4),
+        ({"busy": 0.5}, 0.5),
+        ({"backlog_s": 0.2}, 0.2),
+        ({"load": 0.0}, 0.0),
+        ({"inflight": 0.0}, 0.0),
+        ({"inflight": 100.0}, 0.35),
+        ({"queue": 300.0}, 0.525),
+        ({}, None),
+        ({"latency_ms": 7.0, "served_per_s": 3.0, "errors_per_s": 1.0}, None),
+    ],
+)
+def test_load_in_a_report(report: api.LoadReport, load: float | None) -> None:
+    assert load_in(report) == load
+
+
+def test_first_metric_in_the_order_of_preference_is_the_load() -> None:
+    report = {"queue": 300.0, "inflight": 100.0, "backlog_s": 0.2, "busy": 0.5, "load": 0.3}
+    loads = []
+    while report:
+        loads.append(load_in(report))
+        report.popitem()
+    assert loads == [0.3, 0.5, 0.2, 0.35, 0.525]
+
+
+def test_count_never_reaches_the_overload_threshold() -> None:
+    load = load_in({"inflight": 1e9})
+    assert load is not None
+    assert 0.699_999 < load < 0.7
+
+
+def test_report_sets_the_load_and_its_time() -> None:
+    load = ServerLoad()
+    assert (load.value, load.is_measured) == (None, False)
+    load.record_report({"load": 0.6}, NOW_US)
+    assert (load.value, load.read_at_us, load.is_measured) == (0.6, NOW_US, True)
+    load.record_report({}, NOW_US + 1)
+    assert (load.value, load.read_at_us, load.is_measured) == (None, NOW_US + 1, False)
+
+
+def test_failed_checks_leave_no_measured_load() -> None:
+    load = ServerLoad()
+    load.record_report({"load": 0.6}, NOW_US)
+    load.mark_unreachable()
+    assert (load.value, load.is_measured) == (UNREACHABLE_LOAD, False)
+    load.forget()
+    assert (load.value, load.is_measured) == (None, False)
+
+
+def test_lower_bound_follows_the_change_of_the_message_latency() -> None:
+    load = ServerLoad()
+    bounds = []
+    for latency_ms in (10.0, 20.0, 20.0, 30.0, 5.0):
+        load.record_message_latency(latency_ms)
+        bounds.append(load.lower_bound)
+    assert bounds == [1.0, 1.0, 0.0, 1.0, 0.0]
 
 
 def test_reports_of_attempts_are_read_without_health_checks() -> None:
--- a/wheatstile/decisions/admission.py
+++ b/wheatstile/decisions/admission.py
@@ -8,16 +8,16 @@
 from wheatstile.decisions.server_load import OVERLOAD_THRESHOLD
 from wheatstile.decisions.token_bucket import AdaptiveTokenBucket, TokenRates
 
-RENEWAL_TIME_S = 60  # a rate of 1 admits one setup for each connection in this time
-INITIAL_RATE = 240.0  # admits a whole reconnect burst within a second or two
+RENEWAL_TIME_S = 60  # unit of the rates below: setups for each connection in this time
+INITIAL_RATE = 240.0  # four a second for each connection, enough for a whole reconnect burst
 MAX_RATE = 480.0
 MIN_RATE = 1.0
-RATE_INCREASE_PER_S = 0.6  # multiplied by the number of connections, as failures are
+RATE_INCREASE_PER_S = 0.6  # for each connection, since failures are proportional to connections
 RATE_DECREASE_FACTOR = 0.7  # applied at each failure
-MIN_CONNECTIONS_PER_SERVER = 27  # estimate for a balancer that has just started and holds few connections
-PEAK_DECAY_PER_S = 0.01
-MAX_PEAK_DECAY_TIME_S = 1.0  # counted between two setups
-EARLY_REJECTION_RATIO = 0.7  # share of requests that are rejected without a health check in a full fleet
+MIN_CONNECTIONS_PER_SERVER = 27  # in the whole fleet; assumed while this balancer has fewer connections
+PEAK_DECAY_PER_S = 0.01  # share of the peak
+MAX_PEAK_DECAY_TIME_S = 1.0  # longest time between two setups that counts for the decay
+EARLY_REJECTION_RATIO = 0.7  # share of the requests to a full fleet
 OVERLOAD_OUTCOMES = (api.AttemptOutcome.ERROR, api.AttemptOutcome.TIMEOUT)  # reduce the rate
 
 
@@ -37,7 +37,7 @@
 
     def start(self) -> None:
         """Start the refill of tokens."""
-        self.bucket.updated_at_us = self._context.now_us
+        self.bucket.start(self._context.now_us)
 
     @property
     def is_reduced(self) -> bool:
@@ -52,16 +52,19 @@
     def try_acquire(self) -> bool:
         """Acquire a token for a repeated setup, if there is one.
 
-        The refill rate is proportional to the connections of this balancer.
+        The refill rate is proportional to the recent peak of this balancer's connections, which includes
+        those that have just broken.
         """
-        now_us = self._context.now_us
-        self._update_peak(min(self.bucket.seconds_since_update(now_us), MAX_PEAK_DECAY_TIME_S))
+        self._update_peak()
         fleet_size = self._context.settings.fleet_size
-        share_of_fleet = MIN_CONNECTIONS_PER_SERVER * len(self._endpoints.ready) / fleet_size
-        return self.bucket.try_acquire(now_us, max(self._peak_connections, share_of_fleet))
-
-    def _update_peak(self, elapsed_s: float) -> None:
-        decayed = self._peak_connections * (1 - PEAK_DECAY_PER_S * elapsed_s)
+        assumed_connections = MIN_CONNECTIONS_PER_SERVER * len(self._endpoints.ready) / fleet_size
+        size = max(self._peak_connections, assumed_connections)
+        return self.bucket.try_acquire(self._context.now_us, size)
+
+    def _update_peak(self) -> None:
+        elapsed_s = self.bucket.seconds_since_update(self._context.now_us)
+        decay_time_s = min(elapsed_s, MAX_PEAK_DECAY_TIME_S)
+        decayed = self._peak_connections * (1 - PEAK_DECAY_PER_S * decay_time_s)
         self._peak_connections = max(decayed, len(self._connections.established))
 
 
@@ -73,7 +76,7 @@
         self._fleet_load = fleet_load
 
     def rejects(self) -> bool:
-        """Return whether a request is rejected at once; drawn at random while the fleet is full."""
+        """Return whether to reject a request at once: at random, and only while the fleet is full."""
         if self._fleet_load.mean() <= OVERLOAD_THRESHOLD:
             return False
         return self._context.random.random() < EARLY_REJECTION_RATIO
--- a/wheatstile/decisions/balancer.py
+++ b/wheatstile/decisions/balancer.py
@@ -104,7 +104,7 @@
 
     def configure(self, settings: api.Settings) -> None:
         """Apply these settings from the next event on; timers that are already set are not changed."""
-        self.context.settings = settings
+        self.context.configure(settings)
 
     def start(self, now_us: int) -> list[api.Action]:
         """Start the timers; called once, before any event. Return the actions to carry out."""
@@ -151,7 +151,7 @@
 
     def _on_connection_load(self, event: api.ConnectionLoadChanged) -> None:
         if connection := self.connections.get(event.id):
-            connection.load = event.load
+            connection.record_load(event.load)
 
     def _on_timer(self, event: api.TimerFired) -> None:
         token = event.token
--- a/wheatstile/decisions/candidate_selection.py
+++ b/wheatstile/decisions/candidate_selection.py
@@ -5,7 +5,7 @@
 from wheatstile.decisions.event_context import EventContext
 from wheatstile.decisions.fleet_load import FleetLoad
 from wheatstile.decisions.health_checks import HealthChecks
-from wheatstile.decisions.placement import RANDOM
+from wheatstile.decisions.placement import RANDOM_PLACEMENT
 from wheatstile.decisions.retry_policy import RetryPolicy
 from wheatstile.decisions.server import Server
 from wheatstile.decisions.server_load import UNREACHABLE_LOAD
@@ -39,20 +39,20 @@
         """Return whether a connection may go to this server; None: any connection."""
         if not server.endpoint.is_ready:
             return False
-        if connection is None:
+        if connection is None or connection.attempts == 0:
             return self._slow_start.permits(server, is_retry=False)
-        if not self._slow_start.permits(server, is_retry=connection.attempts > 0):
-            return False
-        return self._retry_policy.may_attempt_at(server, connection)
+        is_permitted = self._slow_start.permits(server, is_retry=True)
+        return is_permitted and self._retry_policy.may_attempt_at(server, connection)
 
     def is_available(self, server: Server, connection: Connection) -> bool:
-        """Return whether a connection may go to this server, which is not ejected."""
+        """Return whether a connection may go to this server and the server is not ejected."""
         return not server.ejection.is_active(self._context.now_us) and self.is_eligible(server, connection)
 
     def pick(self, connection: Connection | None, excluded: Server | None = None) -> Server | None:
         """Draw an eligible server by weight; an ejected one if no other is left, None if none is eligible.
 
-        From the same placement hash every balancer draws the same servers.
+        With the same placement hash every balancer draws the same servers. A connection of None, or one
+        without a placement hash, gets a random one.
         """
         return self._pick(connection, excluded, own_zone_only=False)
 
@@ -90,8 +90,8 @@
     def _pick(
         self, connection: Connection | None, excluded: Server | None, own_zone_only: bool
     ) -> Server | None:
-        seed = connection.placement_hash if connection else RANDOM
-        if seed == RANDOM:
+        seed = connection.placement_hash if connection else RANDOM_PLACEMENT
+        if seed == RANDOM_PLACEMENT:
             seed = self._context.random.getrandbits(RANDOM_SEED_BITS)
         now_us = self._context.now_us
 
--- a/wheatstile/decisions/connection.py
+++ b/wheatstile/decisions/connection.py
@@ -1,11 +1,11 @@
-"""The records of one connection: its phase, its attempts, and the exploration that moved it."""
+"""The record of one connection: its phase, its attempts, and the exploration that moved it."""
 
 from dataclasses import dataclass, field
 from enum import Enum, auto
 
-from wheatstile import interface as api
-from wheatstile.decisions.placement import RANDOM
+from wheatstile.decisions.placement import RANDOM_PLACEMENT, next_placement_hash
 from wheatstile.decisions.server import Server
+from wheatstile.interface import AttemptOutcome, ServiceClass
 
 
 class ConnectionPhase(Enum):
@@ -17,7 +17,11 @@
     ENDED = auto()  # answered, closed, migrated, or the client has disconnected
 
 
-_ESTABLISHED = ConnectionPhase.ESTABLISHED  # cached: access to an enumeration's member is slow in Python 3.11
+# Cached: access to an enumeration's member is slow in Python 3.11.
+_WAITING = ConnectionPhase.WAITING
+_ATTEMPTING = ConnectionPhase.ATTEMPTING
+_ESTABLISHED = ConnectionPhase.ESTABLISHED
+_ENDED = ConnectionPhase.ENDED
 
 
 @dataclass(frozen=True, slots=True)
@@ -49,29 +53,71 @@
 class Connection:
     """A request that waits for its answer, or the open connection that it became.
 
-    `ConnectionTable` writes the phase and the attempts, `Exploration` the move, `RequestLifecycle` the rest.
+    Only the methods of this class write its fields, except `exploration_move`, which `Exploration` writes.
     """
 
     id: str
     key: str  # identifies the client; empty: unknown
-    service_class: api.ServiceClass
+    service_class: ServiceClass
     deadline_us: int
     is_repeated_setup: bool = False  # an earlier setup failed, here or at another balancer
     phase: ConnectionPhase = ConnectionPhase.WAITING
-    placement_hash: int = RANDOM  # seed of the next candidates
+    placement_hash: int = RANDOM_PLACEMENT  # seed of the next candidates
     attempts: int = 0  # number of attempts so far
     server: Server | None = None  # where the attempt is in flight or the connection open
-    candidates: list[Server] = field(
-        default_factory=list
-    )  # servers whose health checks the request waits for
-    candidate_draws: int = 0
+    candidates: list[Server] = field(default_factory=list)  # the request waits for their health checks
+    candidate_draws: int = 0  # number of pairs drawn so far
     next_decision_at_us: int = 0  # due time of the request's last timer; earlier timers are ignored
-    first_forward: FirstForward | None = None
+    first_forward: FirstForward | None = None  # None: no attempt may have run
     established_at_us: int = 0
-    load: float = 1.0  # work at its server, as last reported
-    exploration: ExplorationMove | None = None  # the move that brought the connection to its server
+    load: float = 1.0  # microseconds of work a second, as last reported
+    exploration_move: ExplorationMove | None = None  # the move that brought the connection to its server
 
     @property
     def is_established(self) -> bool:
         """Whether the connection is open."""
         return self.phase is _ESTABLISHED
+
+    def wait_for_candidates(self, candidates: list[Server]) -> None:
+        """Record the candidates of the next attempt. Those drawn after them have another placement hash."""
+        self.is_repeated_setup = False
+        self.candidates = candidates
+        self.candidate_draws += 1
+        self.placement_hash = next_placement_hash(self.placement_hash)
+
+    def schedule_decision(self, due_us: int) -> None:
+        """Record the due time of the next decision, which replaces the one scheduled before."""
+        self.next_decision_at_us = due_us
+
+    def begin_attempt(self, server: Server) -> None:
+        """Record that an attempt at a server is in flight."""
+        self.phase = _ATTEMPTING
+        self.server = server
+        self.candidates = []
+        self.attempts += 1
+
+    def end_attempt(self, outcome: AttemptOutcome, started_at_us: int) -> None:
+        """Record that the attempt in flight has failed, and the request waits again."""
+        self.phase = _WAITING
+        self.is_repeated_setup = True
+        if self.server and not self.first_forward and outcome.may_have_run:
+            self.first_forward = FirstForward(started_at_us, self.server)
+
+    def establish(self, now_us: int) -> None:
+        """Record that the attempt in flight has succeeded, and the connection is open."""
+        self.phase = _ESTABLISHED
+        self.established_at_us = now_us
+
+    def restore(self, server: Server) -> None:
+        """Record that the connection was open at a server before this balancer started."""
+        self.phase = _ESTABLISHED
+        self.server = server
+        self.attempts = 1
+
+    def record_load(self, load: float) -> None:
+        """Record a reported load."""
+        self.load = load
+
+    def end(self) -> None:
+        """Record that the connection has ended."""
+        self.phase = _ENDED
--- a/wheatstile/decisions/connection_table.py
+++ b/wheatstile/decisions/connection_table.py
@@ -2,18 +2,12 @@
 
 from collections.abc import Collection
 
-from wheatstile.decisions.connection import Connection, ConnectionPhase, FirstForward
+from wheatstile.decisions.connection import Connection
 from wheatstile.decisions.server import Server
-from wheatstile.interface import AttemptOutcome
-
-_WAITING = ConnectionPhase.WAITING  # cached: access to an enumeration's member is slow in Python 3.11
-_ATTEMPTING = ConnectionPhase.ATTEMPTING
-_ESTABLISHED = ConnectionPhase.ESTABLISHED
-_ENDED = ConnectionPhase.ENDED
 
 
 class ConnectionTable:
-    """Requests without an answer, and open connections. Records their phases and attempts."""
+    """Requests without an answer, and open connections."""
 
     def __init__(self) -> None:
         self._by_id: dict[str, Connection] = {}
@@ -34,37 +28,20 @@
         """Add a request."""
         self._by_id[connection.id] = connection
 
-    def begin_attempt(self, connection: Connection, server: Server) -> None:
-        """Record that an attempt at a server is in flight."""
-        connection.phase = _ATTEMPTING
-        connection.server = server
-        connection.candidates = []
-        connection.attempts += 1
-
-    def end_attempt(self, connection: Connection, outcome: AttemptOutcome, started_at_us: int) -> None:
-        """Record that the attempt in flight has failed, and the request waits again."""
-        connection.phase = _WAITING
-        connection.is_repeated_setup = True
-        if connection.server and not connection.first_forward and outcome.may_have_run:
-            connection.first_forward = FirstForward(started_at_us, connection.server)
-
     def establish(self, connection: Connection, now_us: int) -> None:
-        """Record that the attempt in flight has succeeded, and the connection is open."""
-        connection.phase = _ESTABLISHED
-        connection.established_at_us = now_us
+        """Add a connection, whose attempt has succeeded, to the open ones."""
+        connection.establish(now_us)
         self._established[connection] = None
 
     def restore(self, connection: Connection, server: Server) -> None:
-        """Record a connection that was open at a server before this balancer started."""
+        """Add a connection that was open at a server before this balancer started."""
         self.add(connection)
-        connection.phase = _ESTABLISHED
-        connection.server = server
-        connection.attempts = 1
+        connection.restore(server)
         self._established[connection] = None
 
     def remove(self, connection: Connection) -> None:
-        """Remove a connection that has its final answer, is closed, or whose client has disconnected."""
-        connection.phase = _ENDED
+        """End a connection that is answered, closed, migrated, or without a client, and remove it."""
+        connection.end()
         self._by_id.pop(connection.id, None)
         self._established.pop(connection, None)
 
--- a/wheatstile/decisions/endpoint_table.py
+++ b/wheatstile/decisions/endpoint_table.py
@@ -1,6 +1,5 @@
 """The servers of one balancer, as discovery lists them."""
 
-from dataclasses import replace
 from zlib import crc32
 
 from wheatstile import interface as api
@@ -19,31 +18,28 @@
         self.lookup: WeightedLookupTable[Server] = WeightedLookupTable([], [])
 
     def update(self, event: api.EndpointUpdate) -> list[Server]:
-        """Apply a list of endpoints or its changes. Return the servers whose process is new."""
-        started = []
+        """Apply a list of endpoints or its changes. Return the servers that are new or have restarted."""
+        started_servers = []
         for endpoint in event.endpoints:
-            server, is_new_process = self._apply(endpoint)
-            if is_new_process:
-                started.append(server)
+            server, has_started = self._apply(endpoint)
+            if has_started:
+                started_servers.append(server)
         if event.kind != api.EndpointUpdateKind.DELTA:
             self._mark_absent_as_gone(event.endpoints)
         self.ready = [server for _, server in sorted(self.servers.items()) if server.endpoint.is_ready]
         self.ready_loads = [server.load for server in self.ready]
         self.lookup = WeightedLookupTable(self.ready, [server.endpoint.weight for server in self.ready])
-        return started
+        return started_servers
 
     def _apply(self, endpoint: api.Endpoint) -> tuple[Server, bool]:
-        """Apply one endpoint. Return its server, and whether the server's process is new."""
+        """Apply one endpoint. Return its server, and whether the server is new or has restarted."""
         server = self.servers.get(endpoint.name)
         if server is None:
             server = Server(endpoint, crc32(endpoint.name.encode()))
             self.servers[endpoint.name] = server
             return server, True
-        has_restarted = server.endpoint.started_at_us != endpoint.started_at_us
-        server.endpoint = endpoint
-        return server, has_restarted
+        return server, server.update_endpoint(endpoint)
 
     def _mark_absent_as_gone(self, listed: list[api.Endpoint]) -> None:
         for name in self.servers.keys() - {endpoint.name for endpoint in listed}:
-            server = self.servers[name]
-            server.endpoint = replace(server.endpoint, state=api.EndpointState.GONE)
+            self.servers[name].mark_gone()
--- a/wheatstile/decisions/endpoint_watch.py
+++ b/wheatstile/decisions/endpoint_watch.py
@@ -3,7 +3,7 @@
 from wheatstile import interface as api
 from wheatstile.decisions.event_context import EventContext
 
-INITIAL_BACKOFF_US = 1_000_000
+INITIAL_BACKOFF_US = 1_000_000  # doubles with each failed call
 MAX_BACKOFF_US = 8_000_000
 MAX_START_DELAY_US = 4_000_000  # spreads the first calls of balancers that start together
 
--- a/wheatstile/decisions/event_context.py
+++ b/wheatstile/decisions/event_context.py
@@ -8,27 +8,27 @@
 class EventContext:
     """The time of the event, the settings, the random generator, and the actions that answer the event.
 
-    Only `Balancer` sets the time and the settings. All times are in microseconds.
+    Only `Balancer` calls `begin` and `configure`. All times are in microseconds.
     """
 
-    __slots__ = ("actions", "now_us", "random", "settings")
+    __slots__ = ("actions", "health_checks_enabled", "now_us", "random", "settings")
 
     def __init__(self, settings: api.Settings, random: Random) -> None:
-        self.settings = settings
         self.random = random
+        self.configure(settings)
         self.now_us = 0
         self.actions: list[api.Action] = []
 
+    def configure(self, settings: api.Settings) -> None:
+        """Apply these settings. Health checks are made only if a report can contain a load metric."""
+        self.settings = settings
+        self.health_checks_enabled = settings.health_checks_enabled and bool(settings.load_metrics)
+
     def begin(self, now_us: int) -> None:
-        """Start an event at this time, with no actions yet."""
+        """Begin an event at this time, with no actions yet."""
         self.now_us = now_us
         self.actions = []
 
-    @property
-    def health_checks_enabled(self) -> bool:
-        """Whether servers can be asked for their load."""
-        return self.settings.health_checks_enabled and bool(self.settings.load_metrics)
-
     def act(self, action: api.Action) -> None:
         """Add an action to the answer to this event."""
         self.actions.append(action)
--- a/wheatstile/decisions/exploration.py
+++ b/wheatstile/decisions/exploration.py
@@ -18,7 +18,7 @@
 SLOT_US = 4_000_000  # long enough for a migration to show in reports that are seconds late
 BETA = 0.75  # the middle of the range for which the paper proves convergence
 GAMMA_CAP = 0.01  # each migration costs its client a gap and a setup
-MIN_SERVERS = 2  # exploration needs another server
+MIN_SERVERS = 2  # ready servers that exploration needs
 MOVE_TIMEOUT_US = 2 * SLOT_US  # a client that reconnects later is placed as a new one
 
 
@@ -76,8 +76,9 @@
         self._expire_moves()
         if not self._context.health_checks_enabled or len(self._endpoints.ready) < MIN_SERVERS:
             return
-        first_index = self._draw_skip_count()  # drawn in every slot, also where it is not used
-        if self._slot % 2:
+        first_index = self._draw_skip_count()  # drawn in even slots as well, where it is not used
+        is_odd_slot = self._slot % 2 == 1
+        if is_odd_slot:
             self._explore_from(first_index)
         else:
             self._compare_all()
@@ -91,23 +92,26 @@
 
     def on_destination_chosen(self, connection: Connection, move: ExplorationMove) -> None:
         """Record that a reconnecting client is sent to the destination of its move."""
-        connection.exploration = None if move.is_return else move
+        connection.exploration_move = None if move.is_return else move
 
     def end_move(self, connection: Connection) -> ExplorationMove | None:
         """End the move of a connection whose attempt has failed, and return the move."""
-        move = connection.exploration
-        connection.exploration = None
+        move = connection.exploration_move
+        connection.exploration_move = None
         return move
 
     def on_connection_ended(self, connection: Connection, has_failed: bool) -> None:
-        """Count a failure after a move as a load above X_i, so that a client that reconnects goes back."""
-        move = connection.exploration
+        """Send the client of a connection that failed after a move back, if it reconnects in time.
+
+        The failure counts as a load above X_i.
+        """
+        move = connection.exploration_move
         if move and has_failed and connection.key:
             move.is_return = True
             self._pending[connection.key] = move
 
     def _draw_skip_count(self) -> int:
-        """Draw how many connections in a row do not explore, in place of one draw for each connection."""
+        """Draw how many connections to skip until one explores, in place of a draw for each connection."""
         return int(log(1 - self._context.random.random()) / log(1 - gamma_at(self._slot)))
 
     def _explore_from(self, next_index: int) -> None:
@@ -118,7 +122,7 @@
 
     def _compare_all(self) -> None:
         for connection in self._connections.established:
-            if connection.exploration:
+            if connection.exploration_move:
                 self._health_checks.check_server_of(connection, self._compare)
 
     def _explore(self, connection: Connection) -> None:
--- a/wheatstile/decisions/fleet_load.py
+++ b/wheatstile/decisions/fleet_load.py
@@ -6,8 +6,8 @@
 from wheatstile.decisions.server_load import OVERLOAD_THRESHOLD, UNREACHABLE_LOAD
 
 ASSUMED_LOAD = 0.5  # counted in the mean for a server without a recent report
-LOAD_REPORT_TTL_US = 4_000_000
-FULL = 1.0  # highest load that one server adds to the mean
+LOAD_REPORT_TTL_US = 4_000_000  # age from which a report is old
+FULL_LOAD = 1.0  # highest load that one server adds to the mean
 
 
 class FleetLoad:
@@ -19,7 +19,7 @@
         self._mean: float | None = None  # None: not computed for this event
 
     def begin_event(self) -> None:
-        """Discard the mean, which the event before may have changed."""
+        """Discard the mean, which the last event may have changed."""
         self._mean = None
 
     def mean(self) -> float:
@@ -38,7 +38,7 @@
         return self.mean() if load is None else load
 
     def is_overloaded(self) -> bool:
-        """Return whether the fleet as a whole is full."""
+        """Return whether the mean load has reached OVERLOAD_THRESHOLD."""
         return self.mean() >= OVERLOAD_THRESHOLD
 
     def _compute_mean(self) -> float:
@@ -53,5 +53,5 @@
             elif load.read_at_us <= oldest_us:
                 loads.append(ASSUMED_LOAD)
             else:
-                loads.append(value if value < FULL else FULL)
+                loads.append(value if value < FULL_LOAD else FULL_LOAD)
         return sum(loads) / len(loads) if loads else ASSUMED_LOAD
--- a/wheatstile/decisions/health_checks.py
+++ b/wheatstile/decisions/health_checks.py
@@ -10,7 +10,6 @@
 from wheatstile.decisions.server import Server
 
 CheckCallback: TypeAlias = Callable[[Connection], None]
-CheckWaiter: TypeAlias = tuple[CheckCallback, Connection]
 
 
 class HealthChecks:
@@ -19,7 +18,7 @@
     def __init__(self, context: EventContext, endpoints: EndpointTable) -> None:
         self._context = context
         self._endpoints = endpoints
-        self._waiters: dict[Server, list[CheckWaiter]] = {}  # keyed by the server being checked
+        self._waiters: dict[Server, list[Callable[[], None]]] = {}  # keyed by the server being checked
 
     def is_in_flight(self, server: Server) -> bool:
         """Return whether the result of a health check of this server is awaited."""
@@ -35,11 +34,10 @@
             callback(connection)
             return
         waiters = self._waiters.get(server)
-        if waiters is not None:
-            waiters.append((callback, connection))
-            return
-        self._waiters[server] = [(callback, connection)]
-        self._context.act(api.CheckHealth(server.endpoint.name))
+        if waiters is None:
+            waiters = self._waiters[server] = []
+            self._context.act(api.CheckHealth(server.endpoint.name))
+        waiters.append(lambda: callback(connection))
 
     def check_server_of(self, connection: Connection, callback: CheckCallback) -> None:
         """Check the server of a connection."""
@@ -53,8 +51,8 @@
             return None
         waiters = self._waiters.pop(server)
         self._record(server, event)
-        for callback, connection in waiters:
-            callback(connection)
+        for notify in waiters:
+            notify()
         return server
 
     def _record(self, server: Server, event: api.HealthCheckResult) -> None:
@@ -64,8 +62,12 @@
             self._record_failure(server, event.outcome)
 
     def _record_failure(self, server: Server, outcome: api.AttemptOutcome) -> None:
-        """Eject the server; its connections are migrated only if it counts as unreachable."""
-        if outcome is api.AttemptOutcome.ERROR or _is_first_rejection(server, outcome):
+        """Eject the server, and record its load as unknown or as unreachable.
+
+        Rebalancing migrates the connections of an unreachable server.
+        """
+        is_reachable = outcome is api.AttemptOutcome.ERROR or _is_first_rejection(server, outcome)
+        if is_reachable:
             server.load.forget()
         else:
             server.load.mark_unreachable()
@@ -73,9 +75,10 @@
 
 
 def _is_first_rejection(server: Server, outcome: api.AttemptOutcome) -> bool:
-    """Return whether a server in normal state rejects a health check for the first time.
+    """Return whether a server rejects a health check while its load is known and its latency does not grow.
 
-    Many balancers that check a healthy server at the same moment can overload it briefly.
+    Many balancers that check a healthy server at the same moment can overload it briefly. The load is unknown
+    after the first rejection, so that the second in a row counts as no answer.
     """
     is_rejection = outcome is api.AttemptOutcome.OVERLOADED
     return is_rejection and server.load.is_measured and not server.load.lower_bound
--- a/wheatstile/decisions/lookup_table.py
+++ b/wheatstile/decisions/lookup_table.py
@@ -11,7 +11,6 @@
     """What the table needs of its items."""
 
     name_hash: int
-    acceptance_ratio: float  # share of the draws of its entries that the item accepts; set by the table
 
 
 Item = TypeVar("Item", bound=TableItem)
@@ -42,18 +41,21 @@
         mean_weight = sum(weights) / max(len(weights), 1)
         counts = [1 if self.has_equal_weights else ceil(weight / mean_weight) for weight in weights]
         self._generator = _FOR_EQUAL_WEIGHTS if self.has_equal_weights else _FOR_UNEQUAL_WEIGHTS
-        self._slots: list[Item | None] = [None] * (4 << sum(counts).bit_length())
+        slot_count = 4 << sum(counts).bit_length()
+        self._slots: list[Item | None] = [None] * slot_count
+        self._acceptance_ratios = [1.0] * slot_count  # share of the draws of a slot that its item accepts
         for item, weight, count in zip(items, weights, counts, strict=True):
-            item.acceptance_ratio = 1.0 if self.has_equal_weights else weight / (count * mean_weight)
+            acceptance_ratio = 1.0 if self.has_equal_weights else weight / (count * mean_weight)
             for entry in range(count):
-                self._insert(item, entry)
+                self._insert(item, entry, acceptance_ratio)
 
-    def _insert(self, item: Item, entry: int) -> None:
+    def _insert(self, item: Item, entry: int, acceptance_ratio: float) -> None:
         mask = len(self._slots) - 1
         index = (crc32(b"%d" % entry, item.name_hash) if entry else item.name_hash) & mask
         while self._slots[index]:
             index = (index + 1) & mask
         self._slots[index] = item
+        self._acceptance_ratios[index] = acceptance_ratio
 
     def draw(self, seed: int, draws: int, is_skipped: Callable[[Item], bool]) -> Iterator[Item]:
         """Yield the items of this number of draws, except skipped items and those that do not accept.
@@ -66,14 +68,17 @@
         modulus = self._generator.modulus
         low_bits = self._generator.low_bits
         slots = self._slots
+        acceptance_ratios = self._acceptance_ratios
         value = seed
         for _ in range(draws):
             value = (value * factor + step) % modulus
-            item = slots[(value >> low_bits) % len(slots)]
+            index = (value >> low_bits) % len(slots)
+            item = slots[index]
             if item is None or is_skipped(item):
                 continue
-            if item.acceptance_ratio < 1:
+            acceptance_ratio = acceptance_ratios[index]
+            if acceptance_ratio < 1:
                 value = (value * factor + step) % modulus
-                if value >= item.acceptance_ratio * modulus:
+                if value >= acceptance_ratio * modulus:
                     continue
             yield item
--- a/wheatstile/decisions/outlier_ejection.py
+++ b/wheatstile/decisions/outlier_ejection.py
@@ -2,7 +2,7 @@
 
 BASE_EJECTION_US = 1_000_000  # doubles with each consecutive failure
 MAX_EJECTION_US = 8_000_000
-MAX_EJECTION_DOUBLINGS = 4
+MAX_EJECTION_DOUBLINGS = 4  # reaches MAX_EJECTION_US; keeps the shift small after many failures
 
 
 class OutlierEjection:
@@ -11,7 +11,7 @@
     __slots__ = ("_consecutive_failures", "until_us")
 
     def __init__(self) -> None:
-        self.until_us = 0
+        self.until_us = 0  # end of the last ejection
         self._consecutive_failures = 0
 
     def is_active(self, now_us: int) -> bool:
@@ -25,5 +25,5 @@
         self._consecutive_failures += 1
 
     def record_success(self) -> None:
-        """Reset the count of consecutive failures; a current ejection runs on."""
+        """Reset the count of consecutive failures. An ejection that has begun is not shortened."""
         self._consecutive_failures = 0
--- a/wheatstile/decisions/rebalancing.py
+++ b/wheatstile/decisions/rebalancing.py
@@ -1,4 +1,7 @@
-"""Rebalancing: connections are migrated away from overloaded servers while the fleet has room."""
+"""Rebalancing: connections are migrated away from overloaded servers.
+
+Where only load checks show an overload, the fleet as a whole must have room.
+"""
 
 from wheatstile import interface as api
 from wheatstile.decisions.connection import Connection
@@ -15,12 +18,11 @@
 
 US_PER_MS = 1000
 REBALANCE_INTERVAL_US = 1_000_000  # time for the effect to show in late reports
-MAX_REBALANCE_JITTER_US = (
-    REBALANCE_INTERVAL_US / 2
-)  # all balancers learn of a high latency at the same moment
+# All balancers learn of a high latency at the same moment.
+MAX_REBALANCE_JITTER_US = REBALANCE_INTERVAL_US / 2
 UNREACHABLE_RECHECK_US = REBALANCE_INTERVAL_US // 2  # a paused server may answer again
 SETTLING_TIME_US = 2_000_000  # a connection's setup shows as load for this time
-MIN_LOAD_CHECK_INTERVAL_US = 1_000_000
+MIN_LOAD_CHECK_INTERVAL_US = 1_000_000  # after an overload or a change of the list of servers
 MAX_LOAD_CHECK_INTERVAL_US = 4_000_000  # reached while no server is overloaded
 
 
@@ -48,7 +50,7 @@
             context.set_jittered_timer(MIN_LOAD_CHECK_INTERVAL_US, api.TimerKind.LOAD_CHECK)
 
     def on_endpoints_changed(self) -> None:
-        """Check loads more often: the clients of a server that leaves reconnect to others."""
+        """Check loads more often, since the clients of a server that leaves reconnect to others."""
         self._load_check_interval_us = MIN_LOAD_CHECK_INTERVAL_US
 
     def on_load_check_due(self) -> None:
@@ -63,7 +65,7 @@
             self._health_checks.check_server_of(connection, self.on_load_read)
 
     def on_repeated_load_check_due(self, connection: Connection) -> None:
-        """Check the server of a connection again, which was severely overloaded."""
+        """Check the server of a connection again, since it was severely overloaded."""
         self._health_checks.check_server_of(connection, self.on_load_read)
 
     def on_rebalance_due(self, connection: Connection) -> None:
@@ -93,7 +95,8 @@
     def on_load_read(self, connection: Connection) -> None:
         """Rebalance a connection's server if it is overloaded while the fleet has room.
 
-        A server that did not answer is checked a second time first, since it may only have paused.
+        A server that did not answer is checked a second time first, since it may only have paused. A severely
+        overloaded one is checked again after the interval.
         """
         server = connection.server
         if not server or self._fleet_load.is_overloaded():
@@ -114,7 +117,7 @@
     def rebalance(self, connection: Connection) -> None:
         """Migrate the share above OVERLOAD_THRESHOLD of the connections of a connection's server.
 
-        Nearly all connections of an unreachable server are migrated.
+        At UNREACHABLE_LOAD that share is nearly 1.
         """
         server = connection.server
         if server is None:
@@ -127,13 +130,13 @@
                 self._connections.remove(candidate)
 
     def _try_begin_interval(self, server: Server) -> bool:
-        """Begin a server's next interval, unless the last one is not over. Return whether it did."""
+        """Begin a server's next interval if the last one is over. Return whether it was."""
         if self._next_rebalance_us.get(server, 0) > self._context.now_us:
             return False
         self._next_rebalance_us[server] = self._context.now_us + REBALANCE_INTERVAL_US
         return True
 
     def _is_settled(self, connection: Connection) -> bool:
-        """Return whether a connection is old enough to be migrated, where only loads show an overload."""
+        """Return whether a connection may be migrated: at any age where latencies are reported."""
         age_us = self._context.now_us - connection.established_at_us
         return self._context.settings.reports_message_latency or age_us >= SETTLING_TIME_US
--- a/wheatstile/decisions/request_lifecycle.py
+++ b/wheatstile/decisions/request_lifecycle.py
@@ -10,13 +10,13 @@
 from wheatstile.decisions.final_answer import FinalAnswer
 from wheatstile.decisions.fleet_load import FleetLoad
 from wheatstile.decisions.health_checks import HealthChecks
-from wheatstile.decisions.placement import next_placement_hash, placement_hash
+from wheatstile.decisions.placement import placement_hash
 from wheatstile.decisions.retry_policy import RetryPolicy
 from wheatstile.decisions.server import Server
 from wheatstile.decisions.server_load import OVERLOAD_THRESHOLD
 
 CANDIDATE_TIMEOUT_US = 50_000  # time for both health checks, which is several round trips
-MAX_ACQUIRE_DELAY_TIMEOUTS = 4  # longest wait without a token, in candidate time-outs
+MAX_TOKEN_WAIT_TIMEOUTS = 4  # longest wait of a setup without a token, in multiples of CANDIDATE_TIMEOUT_US
 ANSWER_MARGIN_US = 8_000  # the final answer is sent this long before the client's deadline
 
 _WAITING = ConnectionPhase.WAITING  # cached: access to an enumeration's member is slow in Python 3.11
@@ -66,7 +66,10 @@
 
     def on_existing(self, event: api.ExistingConnection, server: Server) -> None:
         """Add a connection that was open before this balancer started."""
-        connection = self._connections.get(event.id) or self._new_connection(event, deadline_us=0)
+        connection = self._connections.get(event.id)
+        if connection is None:
+            service_class = self._service_class(event.service_class)
+            connection = Connection(event.id, event.key, service_class, deadline_us=0)
         self._connections.restore(connection, server)
 
     def on_established(self, event: api.Established) -> None:
@@ -81,18 +84,13 @@
         connection = self._connections.get(event.id)
         if connection is None or not _is_last_attempt(connection, event):
             return
-        has_failed = event.outcome.is_failure
-        if event.report and connection.server:
-            connection.server.load.record_report(event.report, self._context.now_us)
-        if has_failed and connection.server and not connection.is_established:
-            connection.server.ejection.record_failure(self._context.now_us)
-            self._setup_limiter.on_attempt_failed(event.outcome)
+        self._record_outcome(connection, event)
         if connection.is_established or event.closed or event.outcome.is_ok:
-            self._exploration.on_connection_ended(connection, has_failed)
+            self._exploration.on_connection_ended(connection, event.outcome.is_failure)
             self._connections.remove(connection)
         else:
             started_at_us = self._context.now_us - event.elapsed_us
-            self._connections.end_attempt(connection, event.outcome, started_at_us)
+            connection.end_attempt(event.outcome, started_at_us)
             self._retry(connection, self._exploration.end_move(connection))
 
     def on_client_disconnected(self, event: api.ClientDisconnected) -> None:
@@ -111,21 +109,36 @@
         for connection in self._connections.unanswered():
             self._final_answer.give(connection)
 
+    def _record_outcome(self, connection: Connection, event: api.AttemptEnded) -> None:
+        """Record the load report of the server, and the failure of an attempt."""
+        server = connection.server
+        if server is None:
+            return
+        if event.report:
+            server.load.record_report(event.report, self._context.now_us)
+        if event.outcome.is_failure and not connection.is_established:
+            server.ejection.record_failure(self._context.now_us)
+            self._setup_limiter.on_attempt_failed(event.outcome)
+
     def _add_request(self, event: api.Request) -> Connection:
         deadline_us = self._context.now_us + event.expires_in_us - ANSWER_MARGIN_US
-        connection = self._new_connection(event, deadline_us)
-        # While setups fail, a mid-flow reconnect counts as a retry, since every miss is another setup.
+        # While setups fail, a mid-flow request counts as a repeated setup, since every miss is another setup.
         is_limited_mid_flow = event.midflow and self._setup_limiter.is_reduced
-        connection.is_repeated_setup = event.reconnecting or is_limited_mid_flow
-        connection.placement_hash = placement_hash(event)
+        connection = Connection(
+            event.id,
+            event.key,
+            self._service_class(event.service_class),
+            deadline_us,
+            is_repeated_setup=event.reconnecting or is_limited_mid_flow,
+            placement_hash=placement_hash(event),
+        )
         self._connections.add(connection)
         return connection
 
-    def _new_connection(self, event: api.Request | api.ExistingConnection, deadline_us: int) -> Connection:
-        """Return a record for a connection; an unknown class counts as the first one."""
+    def _service_class(self, name: str) -> api.ServiceClass:
+        """Return the class with this name; the first one if the name is unknown."""
         classes = self._context.settings.classes
-        service_class = classes.get(event.service_class) or next(iter(classes.values()))
-        return Connection(event.id, event.key, service_class, deadline_us)
+        return classes.get(name) or next(iter(classes.values()))
 
     def _try_follow_exploration(self, connection: Connection) -> bool:
         """Send a client that was migrated by exploration to its destination. Return whether it did."""
@@ -159,25 +172,24 @@
         if connection.is_repeated_setup and not self._setup_limiter.try_acquire():
             self._wait_for_token(connection)
             return
-        connection.is_repeated_setup = False
-        self._draw_candidates(connection)
+        connection.wait_for_candidates(self._selector.draw_candidates(connection))
         for server in connection.candidates:
             self._health_checks.check(server, self._choose_candidate, connection)
         if connection.phase is not _ATTEMPTING:
             self._defer(connection, CANDIDATE_TIMEOUT_US)
 
     def _wait_for_token(self, connection: Connection) -> None:
+        """Have a repeated setup ask for a token again after a jittered delay."""
         random_share = self._context.random.random()
-        timeouts = 1 + (MAX_ACQUIRE_DELAY_TIMEOUTS - 1) * random_share
+        timeouts = 1 + (MAX_TOKEN_WAIT_TIMEOUTS - 1) * random_share
         self._defer(connection, int(CANDIDATE_TIMEOUT_US * timeouts))
 
-    def _draw_candidates(self, connection: Connection) -> None:
-        connection.candidates = self._selector.draw_candidates(connection)
-        connection.candidate_draws += 1
-        connection.placement_hash = next_placement_hash(connection.placement_hash)
-
     def _choose_candidate(self, connection: Connection, is_timed_out: bool = False) -> None:
-        """Send a waiting request to the less loaded candidate, once both have answered or time is up."""
+        """Decide on a waiting request, once both candidates have answered or the time-out has passed.
+
+        Starts an attempt at the less loaded candidate if that has room, answers the request if nothing has
+        room before its deadline, and else waits or draws other candidates.
+        """
         if connection.phase is not _WAITING:
             return
         if not is_timed_out and self._health_checks.is_any_in_flight(connection.candidates):
@@ -185,13 +197,16 @@
         best = self._selector.best_candidate(connection)
         if best and self._fleet_load.load_of(best) < OVERLOAD_THRESHOLD:
             self._start_attempt(connection, best)
-        elif self._context.now_us >= connection.deadline_us or (best and self._fleet_load.is_overloaded()):
+            return
+        is_expired = self._context.now_us >= connection.deadline_us
+        if is_expired or (best and self._fleet_load.is_overloaded()):
             self._final_answer.give(connection)
         elif is_timed_out:
             self._check_candidates(connection)
         elif best:
             # Reports are late: a check right now would return the same loads.
-            self._defer(connection, CANDIDATE_TIMEOUT_US << connection.candidate_draws >> 1)
+            doublings = connection.candidate_draws - 1
+            self._defer(connection, CANDIDATE_TIMEOUT_US << doublings)
 
     def _defer(self, connection: Connection, delay_us: int) -> None:
         """Schedule the next decision on a waiting request, by its deadline at the latest.
@@ -199,8 +214,9 @@
         It replaces the decision that was scheduled before.
         """
         delay_us = max(1, min(delay_us, connection.deadline_us - self._context.now_us))
-        connection.next_decision_at_us = self._context.now_us + delay_us
-        self._context.set_timer(delay_us, _CANDIDATE_TIMEOUT, connection.id, connection.next_decision_at_us)
+        due_us = self._context.now_us + delay_us
+        connection.schedule_decision(due_us)
+        self._context.set_timer(delay_us, _CANDIDATE_TIMEOUT, connection.id, due_us)
 
     def _start_attempt(self, connection: Connection, server: Server) -> None:
         """Start an attempt at a server, or answer if the deadline has passed."""
@@ -208,7 +224,7 @@
         if remaining_us <= 0:
             self._final_answer.give(connection)
             return
-        self._connections.begin_attempt(connection, server)
+        connection.begin_attempt(server)
         server.slow_start.charge(self._context.now_us)
         timeout_us = self._retry_policy.attempt_timeout_us(connection, remaining_us)
         send_before_us = self._retry_policy.repeat_window_end_us(connection)
--- a/wheatstile/decisions/retry_policy.py
+++ b/wheatstile/decisions/retry_policy.py
@@ -9,7 +9,7 @@
 
 
 class RetryPolicy:
-    """Decides on repeats. Once an attempt may have run, another goes only where a repeat is harmless."""
+    """Decides on further attempts. Once one may have run, another goes only where a repeat is harmless."""
 
     def __init__(self, context: EventContext) -> None:
         self._context = context
--- a/wheatstile/decisions/server.py
+++ b/wheatstile/decisions/server.py
@@ -1,4 +1,6 @@
-"""The record of one server. Each of its parts is written by its own methods only."""
+"""The record of one server: its endpoint, and one part for each kind of state."""
+
+from dataclasses import replace
 
 from wheatstile import interface as api
 from wheatstile.decisions.outlier_ejection import OutlierEjection
@@ -7,14 +9,23 @@
 
 
 class Server:
-    """What this balancer knows of one server."""
+    """One server, as this balancer knows it. The endpoint is written by the methods of this class only."""
 
-    __slots__ = ("acceptance_ratio", "ejection", "endpoint", "load", "name_hash", "slow_start")
+    __slots__ = ("ejection", "endpoint", "load", "name_hash", "slow_start")
 
     def __init__(self, endpoint: api.Endpoint, name_hash: int) -> None:
-        self.endpoint = endpoint  # set by EndpointTable
+        self.endpoint = endpoint
         self.name_hash = name_hash
-        self.acceptance_ratio = 1.0  # set by WeightedLookupTable
         self.load = ServerLoad()
         self.ejection = OutlierEjection()
         self.slow_start = SlowStartBudget()
+
+    def update_endpoint(self, endpoint: api.Endpoint) -> bool:
+        """Record what discovery lists now. Return whether the server's process has restarted."""
+        has_restarted = self.endpoint.started_at_us != endpoint.started_at_us
+        self.endpoint = endpoint
+        return has_restarted
+
+    def mark_gone(self) -> None:
+        """Record that discovery lists the server no longer."""
+        self.endpoint = replace(self.endpoint, state=api.EndpointState.GONE)
--- a/wheatstile/decisions/server_load.py
+++ b/wheatstile/decisions/server_load.py
@@ -9,8 +9,8 @@
 SEVERE_OVERLOAD_THRESHOLD = 0.8  # a single report above this load is evidence enough, despite its noise
 UNREACHABLE_LOAD = 1e6  # recorded when a health check gets no answer
 LOAD_WHERE_LATENCY_GROWS = 1.0  # lower bound of the load while message latency is growing
-COUNT_METRICS = (LoadMetric.IN_FLIGHT, LoadMetric.QUEUE_LENGTH)  # without a known capacity
-HALF_THRESHOLD_COUNT = 100  # a count that reads as half of OVERLOAD_THRESHOLD
+COUNT_METRICS = (LoadMetric.IN_FLIGHT, LoadMetric.QUEUE_LENGTH)  # no capacity is known to divide them by
+HALF_THRESHOLD_COUNT = 100  # a count of this size is read as a load of half of OVERLOAD_THRESHOLD
 LOAD_METRIC_PREFERENCE = (LoadMetric.LOAD, LoadMetric.BUSY_SHARE, LoadMetric.BACKLOG_S, *COUNT_METRICS)
 
 
@@ -34,22 +34,22 @@
 
     def __init__(self) -> None:
         self.value: float | None = None  # last reported load; None: unknown
-        self.read_at_us = 0
+        self.read_at_us = 0  # time of the last report
         self.lower_bound = 0.0  # implied by message latency, which is more recent than a report
         self._message_latency_ms = 0.0
 
     @property
     def is_measured(self) -> bool:
-        """Whether the last health check or report gave a load."""
+        """Whether a load was reported, and no later health check failed."""
         return self.value is not None and self.value != UNREACHABLE_LOAD
 
     def record_report(self, report: LoadReport, now_us: int) -> None:
-        """Record the load that a report shows, or that it shows none."""
+        """Record the load that a report shows; it becomes unknown if the report shows none."""
         self.value = load_in(report)
         self.read_at_us = now_us
 
     def record_message_latency(self, latency_ms: float) -> None:
-        """Record a message latency; the server counts as full while its latency grows."""
+        """Record a message latency. It sets the lower bound of the load if it is longer than the last one."""
         is_growing = latency_ms > self._message_latency_ms
         self.lower_bound = LOAD_WHERE_LATENCY_GROWS if is_growing else 0.0
         self._message_latency_ms = latency_ms
--- a/wheatstile/decisions/slow_start.py
+++ b/wheatstile/decisions/slow_start.py
@@ -8,8 +8,8 @@
 from wheatstile.decisions.server_load import OVERLOAD_THRESHOLD
 from wheatstile.decisions.slow_start_budget import FIRST_ATTEMPT_COST, RETRY_COST
 
-SECOND_US = 1_000_000
-MIN_MEAN_LOAD = 0.2  # lower bound for the divisor of the estimated capacity
+MIN_REFILL_PERIOD_US = 1_000_000
+MIN_MEAN_LOAD = 0.2  # lower bound of the divisor, which is near zero in an idle fleet
 
 
 class SlowStart:
@@ -28,7 +28,7 @@
         self._fleet_load = fleet_load
 
     def begin(self, server: Server) -> None:
-        """Start the slow start of a new process; the load of the process before it no longer counts."""
+        """Begin the slow start of a new process, and discard the load of the process before it."""
         context = self._context
         window_us = context.settings.slow_start_overload_window_us
         server.slow_start.reset(server.endpoint.started_at_us, context.now_us, window_us, context.random)
@@ -51,12 +51,13 @@
     def _tokens_per_us(self, age_us: int) -> float:
         """Return the refill rate for a server of this age.
 
-        The connections here, divided by the ready servers, make the mean load. So the shares of all balancers
-        together fill one server to OVERLOAD_THRESHOLD.
+        The connections of all balancers, divided by the number of ready servers, make the mean load. The
+        refills of all balancers therefore add up to the connections that fill one server to
+        OVERLOAD_THRESHOLD, times its present capacity and the overload factor.
         """
         settings = self._context.settings
         capacity = max(settings.slow_start_initial_capacity, age_us / settings.slow_start_duration_us)
         connections_per_server = OVERLOAD_THRESHOLD * len(self._connections) / len(self._endpoints.ready)
         share = connections_per_server / max(self._fleet_load.mean(), MIN_MEAN_LOAD) * capacity
-        period_us = max(SECOND_US, settings.slow_start_overload_window_us)
+        period_us = max(MIN_REFILL_PERIOD_US, settings.slow_start_overload_window_us)
         return share * settings.slow_start_overload_factor / period_us
--- a/wheatstile/decisions/slow_start_budget.py
+++ b/wheatstile/decisions/slow_start_budget.py
@@ -4,7 +4,7 @@
 
 FIRST_ATTEMPT_COST = 1  # tokens
 RETRY_COST = 2  # tokens; most attempts in a reconnect burst are retries
-SPENT = 1.0  # the highest admission draw, which no share of a token admits
+SPENT_DRAW = 1.0  # in place of a draw that was used: no probability below 1 is above it
 
 
 class SlowStartBudget:
@@ -19,7 +19,7 @@
     def __init__(self) -> None:
         self.tokens = 0.0
         self.updated_at_us = 0
-        self._draw = SPENT  # last draw from 0 to 1
+        self._draw = SPENT_DRAW  # last draw, from 0 to 1
         self._draw_expires_at_us = 0
         self._last_attempt_at_us = -1
 
@@ -37,9 +37,9 @@
             self._draw_expires_at_us = self._last_attempt_at_us + window_us
 
     def charge(self, now_us: int) -> None:
-        """Charge an attempt that is sent now, and use up the draw of this window."""
+        """Charge an attempt that is sent now. No draw of this window admits another one."""
         self.tokens -= FIRST_ATTEMPT_COST
-        self._draw = SPENT
+        self._draw = SPENT_DRAW
         self._last_attempt_at_us = now_us
 
     def permits(self, cost: int, tokens_per_us: float, window_us: int, now_us: int, random: Random) -> bool:
--- a/wheatstile/decisions/token_bucket.py
+++ b/wheatstile/decisions/token_bucket.py
@@ -3,22 +3,25 @@
 from dataclasses import dataclass
 
 SECOND_US = 1_000_000
-MAX_BURST_S = 0.5  # the bucket holds at most the tokens of this time, or one
+MAX_BURST_S = 0.5  # refill time that the bucket can hold; it can always hold one token
 
 
 @dataclass(frozen=True, slots=True)
 class TokenRates:
-    """The bounds and steps of a rate."""
+    """The bounds and steps of a bucket's rate, which is in tokens for each unit of size and renewal time."""
 
     initial: float
     max: float
     min: float
-    increase_per_s: float
-    decrease_factor: float
+    increase_per_s: float  # for each unit of size
+    decrease_factor: float  # applied at each failure
 
 
 class AdaptiveTokenBucket:
-    """Tokens are refilled at `rate * size / renewal_time_s` a second; the size is given with each call."""
+    """A bucket that is refilled with `rate * size / renewal_time_s` tokens a second.
+
+    The size is given with each call: here the number of connections, to which failures are proportional.
+    """
 
     __slots__ = ("_rates", "_renewal_time_s", "rate", "tokens", "updated_at_us")
 
@@ -29,12 +32,16 @@
         self.tokens = 1.0
         self.updated_at_us = 0
 
+    def start(self, now_us: int) -> None:
+        """Start the refill at this time."""
+        self.updated_at_us = now_us
+
     def on_failure(self) -> None:
         """Reduce the rate."""
         self.rate = max(self._rates.min, self.rate * self._rates.decrease_factor)
 
     def seconds_since_update(self, now_us: int) -> float:
-        """Return the seconds since the last call of `try_acquire`."""
+        """Return the seconds since the last call of `try_acquire`, or since the start."""
         return (now_us - self.updated_at_us) / SECOND_US
 
     def try_acquire(self, now_us: int, size: float) -> bool:
--- a/wheatstile/interface/events.py
+++ b/wheatstile/interface/events.py
@@ -18,17 +18,17 @@
 
 @dataclass(slots=True)
 class Request:
-    """A client requests a connection. It has to get exactly one final answer."""
+    """A client requests a connection. It must get exactly one final answer."""
 
     id: str
     service_class: str
-    expires_in_us: int
+    expires_in_us: int  # time until the client stops waiting
     key: str = ""  # identifies the client across reconnections; empty: unknown
     tenant: str = ""
     midflow: bool = False  # packets of a connection that a server may still have open
     reconnecting: bool = False  # the client reconnects after a broken connection or a migration
-    client_retry: bool = False
-    load_hint: float = 0.0
+    client_retry: bool = False  # the client marks the request as a repeat
+    load_hint: float = 0.0  # load that the client expects to cause
     affinity_group: str = ""  # connections of one group share work at a server
 
 
@@ -48,9 +48,9 @@
     """An attempt has succeeded: the connection is open."""
 
     id: str
-    attempt: int
+    attempt: int  # number of the attempt, from 0
     server: str
-    elapsed_us: int
+    elapsed_us: int  # since the attempt was started
 
 
 @dataclass(slots=True)
@@ -58,10 +58,10 @@
     """An attempt, or the connection that it set up, has ended."""
 
     id: str
-    attempt: int
+    attempt: int  # number of the attempt, from 0
     server: str
     outcome: AttemptOutcome
-    elapsed_us: int = 0
+    elapsed_us: int = 0  # since the attempt was started
     closed: bool = False  # the client has its final answer, or has disconnected
     report: LoadReport | None = None
 
--- a/wheatstile/simulator/host.py
+++ b/wheatstile/simulator/host.py
@@ -67,7 +67,7 @@
         self.rows_due = fields.integer("rowsIn")
         self.rows = []
         if self.rows_due < 0:
-            raise WireError("rowsIn is negative")
+            raise WireError(f"rowsIn is negative: {self.rows_due}")
         self.endpoint_lists[fields.integer("buffer")] = self.rows
 
     def _add_row(self, fields: Fields) -> None:
--- a/wheatstile/simulator/wire.py
+++ b/wheatstile/simulator/wire.py
@@ -5,7 +5,7 @@
 
 from collections.abc import Callable, Mapping
 from enum import StrEnum
-from typing import NamedTuple
+from typing import NamedTuple, TypeAlias
 
 from wheatstile import interface as api
 from wheatstile.config.endpoints import weight_of
@@ -33,6 +33,7 @@
     "restored": api.EndpointUpdateKind.CACHED,
     "unavailable": api.EndpointUpdateKind.FAILED,
 }
+# A load check has one word with a connection and without one.
 TIMER_WORDS = {
     api.TimerKind.EXPLORATION_SLOT: "slot",
     api.TimerKind.WATCH_ENDPOINTS: "list",
@@ -54,8 +55,11 @@
     )
 }
 TIMER_SEPARATOR = ":"  # between a timer's word, its due time and its connection
-TOPIC_LOAD = 1  # topics of a STATUS_NOTE
-TOPIC_LATENCY = 2
+Measurement: TypeAlias = api.ConnectionLoadChanged | api.MessageLatencyChanged
+MEASUREMENTS: Mapping[int, type[Measurement]] = {  # keyed by the topic of a STATUS_NOTE
+    1: api.ConnectionLoadChanged,
+    2: api.MessageLatencyChanged,
+}
 
 
 class Message(StrEnum):
@@ -128,13 +132,9 @@
     )
 
 
-def _measurement(fields: Fields) -> api.ConnectionLoadChanged | api.MessageLatencyChanged | None:
-    topic = fields.integer("topic")
-    if topic == TOPIC_LOAD:
-        kind: type[api.ConnectionLoadChanged | api.MessageLatencyChanged] = api.ConnectionLoadChanged
-    elif topic == TOPIC_LATENCY:
-        kind = api.MessageLatencyChanged
-    else:
+def _measurement(fields: Fields) -> Measurement | None:
+    kind = MEASUREMENTS.get(fields.integer("topic"))
+    if kind is None:
         return None
     return kind(fields.text("requestId"), fields.text("server"), fields.number("x", 0.0))
 
