--- a/tests/support/program_process.py
+++ b/tests/support/program_process.py
@@ -22,7 +22,7 @@
 
     def __init__(self, *arguments: str) -> None:
         self.history: list[str] = []
-        self._unread_lines: queue.Queue[str] = queue.Queue()
+        self._pending_lines: queue.Queue[str] = queue.Queue()
         self.process = subprocess.Popen(
             [sys.executable, "-m", "wheatstile", *arguments],
             stdin=subprocess.PIPE,
@@ -38,8 +38,8 @@
         assert self.process.stdout
         for line in self.process.stdout:
             self.history.append(line.rstrip("\n"))
-            self._unread_lines.put(line.rstrip("\n"))
-        self._unread_lines.put(END_OF_OUTPUT)
+            self._pending_lines.put(line.rstrip("\n"))
+        self._pending_lines.put(END_OF_OUTPUT)
 
     def expect(self, prefix: str, timeout_s: float = 60.0) -> str:
         """Returns the next line that starts with `prefix`, and drops the lines before it.
@@ -47,7 +47,7 @@
         Raises queue.Empty if the process prints nothing for `timeout_s`.
         """
         while True:
-            line = self._unread_lines.get(timeout=timeout_s)
+            line = self._pending_lines.get(timeout=timeout_s)
             assert line != END_OF_OUTPUT, f"the process ended before {prefix!r}"
             if line.startswith(prefix):
                 return line
