--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -141,7 +141,7 @@
 
 
 async def measure_throughputs(cluster: ProcessCluster, plan: Plan) -> list[Throughput]:
-    """Measures writes and reads with each number of clients."""
+    """Measure writes and reads with each number of clients."""
     leader = await cluster.leader()
     return [
         await measure_throughput(cluster, leader, count, plan.duration_s, reading=reading)
@@ -153,7 +153,7 @@
 async def measure_throughput(
     cluster: ProcessCluster, leader: str, client_count: int, duration_s: float, *, reading: bool
 ) -> Throughput:
-    """Measures writes, or reads on the followers, with a number of clients."""
+    """Measure writes, or reads on the followers, with a number of clients."""
     ports = follower_ports(cluster, leader) if reading else cluster.client_ports
     observed = next(iter(ports)) if reading else leader
     clients = [StoreClient(ports, CLIENT_TIMEOUT_S) for _ in range(client_count)]
--- a/example/toy_server.py
+++ b/example/toy_server.py
@@ -82,7 +82,7 @@
 
 
 async def serve_discovery(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-    """Answers one call to discovery with the complete list. A watch stays open."""
+    """Answer one call to discovery with the complete list. A watch stays open."""
     request = await reader.readuntil(b"\r\n\r\n")
     try:
         if b"watch=1" in request:
--- a/tests/process/test_restart.py
+++ b/tests/process/test_restart.py
@@ -90,7 +90,7 @@
 def test_restart_under_load_is_ready_in_time(
     balancer: Balancer, fleet: EchoServers, address_in_use: bool
 ) -> None:
-    """Restarts three times. With `address_in_use`, the new process starts while the old one shuts down."""
+    """Restart three times. With `address_in_use`, the new process starts while the old one shuts down."""
     members = [balancer.member(name, host_port=address) for name, address in fleet.addresses.items()]
     balancer.start(members, stderr=subprocess.DEVNULL)
     timeout_s = READY_TIMEOUT_BESIDE_PREDECESSOR_S if address_in_use else READY_TIMEOUT_S
--- a/tests/process/test_start.py
+++ b/tests/process/test_start.py
@@ -84,7 +84,7 @@
 
 
 def test_sighup_while_the_program_is_loaded_ends_nothing(balancer: Balancer) -> None:
-    """Runs the command of the deploy file. `sitecustomize` blocks the start until the signal is sent."""
+    """Run the command of the deploy file. `sitecustomize` blocks the start until the signal is sent."""
     command = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["run"]
     folder = Path(balancer.folder.name)
     start_fifo = folder / "start_fifo"
--- a/tests/store/process_cluster.py
+++ b/tests/store/process_cluster.py
@@ -116,12 +116,12 @@
         self.output[name] += process.all_output()
 
     def pause(self, name: str) -> None:
-        """Pauses a member by SIGSTOP until `resume_all`."""
+        """Pause a member by SIGSTOP until `resume_all`."""
         self.processes[name].signal(signal.SIGSTOP)
         self.paused.add(name)
 
     def resume_all(self) -> None:
-        """Resumes all paused members by SIGCONT."""
+        """Resume all paused members by SIGCONT."""
         for name in self.paused:
             self.processes[name].signal(signal.SIGCONT)
         self.paused.clear()
--- a/tests/store/process_faults.py
+++ b/tests/store/process_faults.py
@@ -17,7 +17,7 @@
 
 
 async def inject_faults(cluster: ProcessCluster, rng: random.Random, count: int) -> list[str]:
-    """Injects random faults with pauses between them, and returns their descriptions.
+    """Inject random faults with pauses between them, and return their descriptions.
 
     At most two members are killed or paused at a time, but cut connections may prevent a quorum for a while.
     Faults that are still in force at the end remain: the caller heals the connections and restarts members.
@@ -32,7 +32,7 @@
 
 
 async def inject_fault(cluster: ProcessCluster, rng: random.Random) -> str:
-    """Injects one random fault, or ends some faults, and returns a description."""
+    """Inject one random fault, or end some faults, and return a description."""
     victim = rng.choice(running_members(cluster))
     fault = FAULTS[rng.randrange(len(FAULTS))]
     return await fault(cluster, rng, victim)
@@ -44,7 +44,7 @@
 
 
 async def kill_member(cluster: ProcessCluster, rng: random.Random, victim: str) -> str:
-    """Kills the victim, unless too few members would keep running."""
+    """Kill the victim, unless too few members would keep running."""
     if len(running_members(cluster)) <= MIN_RUNNING:
         return await heal(cluster, rng, victim)
     cluster.kill(victim)
@@ -52,7 +52,7 @@
 
 
 async def pause_member(cluster: ProcessCluster, rng: random.Random, victim: str) -> str:
-    """Pauses the victim, unless too few members would keep running."""
+    """Pause the victim, unless too few members would keep running."""
     if len(running_members(cluster)) <= MIN_RUNNING:
         return await heal(cluster, rng, victim)
     cluster.pause(victim)
@@ -60,14 +60,14 @@
 
 
 async def resume_and_restart(cluster: ProcessCluster, _rng: random.Random, _victim: str) -> str:
-    """Resumes the paused members and starts the killed ones."""
+    """Resume the paused members and start the killed ones."""
     cluster.resume_all()
     cluster.start_missing()
     return "resume, restart"
 
 
 async def restart_several(cluster: ProcessCluster, rng: random.Random, _victim: str) -> str:
-    """Kills all but `MIN_RUNNING` members and starts all missing ones at once."""
+    """Kill all but `MIN_RUNNING` members and start all missing ones at once."""
     cluster.resume_all()
     killed_count = max(0, len(cluster.processes) - MIN_RUNNING)
     for name in rng.sample(sorted(cluster.processes), killed_count):
@@ -77,7 +77,7 @@
 
 
 async def cut_incoming(cluster: ProcessCluster, rng: random.Random, victim: str) -> str:
-    """Cuts the connections to the leader, or to the victim."""
+    """Cut the connections to the leader, or to the victim."""
     target = victim
     if rng.random() < 0.5:
         target = await asyncio.wait_for(cluster.leader(), FIND_LEADER_TIMEOUT_S)
@@ -86,21 +86,21 @@
 
 
 async def cut_outgoing(cluster: ProcessCluster, _rng: random.Random, victim: str) -> str:
-    """Cuts and resets the connections from the victim."""
+    """Cut and reset the connections from the victim."""
     cluster.inject(f"cut {victim} *")
     cluster.inject(f"reset {victim} *")
     return f"cut {victim} to all, with resets"
 
 
 async def lose_and_repeat_frames(cluster: ProcessCluster, _rng: random.Random, _victim: str) -> str:
-    """Loses and repeats frames on all connections."""
+    """Lose and repeat frames on all connections."""
     cluster.inject("lose * * 0.2")
     cluster.inject("repeat * * 0.2")
     return "lose and repeat frames"
 
 
 async def delay_and_slow(cluster: ProcessCluster, _rng: random.Random, victim: str) -> str:
-    """Delays the bytes to the victim, and limits the rate of those from it."""
+    """Delay the bytes to the victim, and limit the rate of those from it."""
     cluster.inject(f"delay * {victim} 0.1 0.2")
     cluster.inject(f"rate {victim} * 20000")
     return f"delay and slow {victim}"
--- a/tests/store/raft_cluster.py
+++ b/tests/store/raft_cluster.py
@@ -109,7 +109,7 @@
         self.compact_if_due(node)
 
     def process_persisted(self, node: RaftNode, ready: Ready) -> None:
-        """Installs the snapshot, sends the messages, applies the entries and counts the reads."""
+        """Install the snapshot, send the messages, apply the entries and count the reads."""
         if ready.snapshot:
             self.installed_snapshots += 1
             self.applied_indices[node.name] = [int(index) for index in ready.snapshot.data.split()]
@@ -139,7 +139,7 @@
         disk.hard_state = ready.hard_state or disk.hard_state
 
     def send(self, message: Message) -> None:
-        """Queues a message for delivery, sometimes late or twice."""
+        """Queue a message for delivery, sometimes late or twice."""
         delay_ticks = self.rng.choice(DELAYS_TICKS)
         order = self.rng.getrandbits(30)
         self.in_flight.append(InFlightMessage(self.now_tick + delay_ticks, order, message))
@@ -170,7 +170,7 @@
         self.rejected_reads += len(ready.rejected_reads)
 
     def compact_if_due(self, node: RaftNode) -> None:
-        """Compacts a long log into a snapshot, also on disk."""
+        """Compact a long log into a snapshot, also on disk."""
         if node.log.applied_index - node.log.snapshot.index < self.compact_every:
             return
         node.compact(" ".join(map(str, self.applied_indices[node.name])).encode())
@@ -179,7 +179,7 @@
         disk.entries = list(node.log.entries)
 
     def step(self) -> None:
-        """Advances time by one tick: delivers the due messages, then ticks all nodes and does their work."""
+        """Advance time by one tick: delivers the due messages, then tick all nodes and do their work."""
         self.now_tick += 1
         due = sorted(
             (sent for sent in self.in_flight if sent.due_tick <= self.now_tick),
@@ -195,7 +195,7 @@
                 self.process_ready(name)
 
     def deliver(self, message: Message) -> None:
-        """Delivers a message, unless it is lost; a paused recipient gets it later."""
+        """Deliver a message, unless it is lost; a paused recipient gets it later."""
         is_cut = (message.sender, message.recipient) in self.cut_links
         if message.recipient in self.crashed or is_cut or self.rng.random() < LOSS_PROBABILITY:
             return
@@ -205,17 +205,17 @@
         self.nodes[message.recipient].step(message)
 
     def isolate(self, victim: str) -> None:
-        """Cuts all links of a node in both directions."""
+        """Cut all links of a node in both directions."""
         self.cut_links |= {(victim, name) for name in self.names}
         self.cut_links |= {(name, victim) for name in self.names}
 
     def restart(self, name: str) -> None:
-        """Restarts a crashed node."""
+        """Restart a crashed node."""
         self.crashed.discard(name)
         self.nodes[name] = self.start_node(name)
 
     def request(self, number: int) -> None:
-        """Proposes an entry at every leader, including outdated ones, and reads at a random node."""
+        """Propose an entry at every leader, including outdated ones, and read at a random node."""
         unavailable = self.crashed | self.paused
         for node in self.nodes.values():
             if node.name not in unavailable:
--- a/tests/store/raft_histories.py
+++ b/tests/store/raft_histories.py
@@ -31,7 +31,7 @@
 
 
 def inject_fault(cluster: SimulatedCluster) -> None:
-    """Draws a fault, or the end of one, for this step. Most steps have none."""
+    """Draw a fault, or the end of one, for this step. Most steps have none."""
     victim = cluster.rng.choice(cluster.names)
     number = cluster.rng.randrange(DRAWS)
     if number < len(FAULTS):
@@ -39,51 +39,51 @@
 
 
 def crash(cluster: SimulatedCluster, victim: str) -> None:
-    """Crashes the victim, unless too many nodes have crashed."""
+    """Crash the victim, unless too many nodes have crashed."""
     if len(cluster.crashed) < MAX_CRASHED:
         cluster.crashed.add(victim)
 
 
 def restart_one(cluster: SimulatedCluster, _victim: str) -> None:
-    """Restarts one crashed node, if there is one."""
+    """Restart one crashed node, if there is one."""
     if cluster.crashed:
         cluster.restart(cluster.rng.choice(sorted(cluster.crashed)))
 
 
 def pause(cluster: SimulatedCluster, victim: str) -> None:
-    """Pauses the victim, unless a node is paused."""
+    """Pause the victim, unless a node is paused."""
     if not cluster.paused:
         cluster.paused.add(victim)
 
 
 def resume_all(cluster: SimulatedCluster, _victim: str) -> None:
-    """Resumes the paused nodes."""
+    """Resume the paused nodes."""
     cluster.paused.clear()
 
 
 def cut_link(cluster: SimulatedCluster, victim: str) -> None:
-    """Cuts the link from the victim to one node."""
+    """Cut the link from the victim to one node."""
     cluster.cut_links.add((victim, cluster.rng.choice(cluster.names)))
 
 
 def isolate(cluster: SimulatedCluster, victim: str) -> None:
-    """Cuts all links of the victim."""
+    """Cut all links of the victim."""
     cluster.isolate(victim)
 
 
 def heal_links(cluster: SimulatedCluster, _victim: str) -> None:
-    """Restores all links."""
+    """Restore all links."""
     cluster.cut_links.clear()
 
 
 def restart_several(cluster: SimulatedCluster, _victim: str) -> None:
-    """Restarts several crashed nodes at once."""
+    """Restart several crashed nodes at once."""
     for name in sorted(cluster.crashed)[:MAX_RESTARTED_AT_ONCE]:
         cluster.restart(name)
 
 
 def change_members(cluster: SimulatedCluster, _victim: str) -> None:
-    """Asks every running node to change to the same voters."""
+    """Ask every running node to change to the same voters."""
     voters = cluster.rng.sample(cluster.names, cluster.rng.choice((1, 3, 3, 4, 5)))
     for node in cluster.nodes.values():
         with suppress(NotLeaderError, MembershipChangeRejectedError):
@@ -92,7 +92,7 @@
 
 
 def transfer_leadership(cluster: SimulatedCluster, victim: str) -> None:
-    """Asks the victim to transfer leadership, which it rejects if it is not the leader."""
+    """Ask the victim to transfer leadership, which it rejects if it is not the leader."""
     with suppress(NotLeaderError, MembershipChangeRejectedError):
         cluster.nodes[victim].transfer_leadership(cluster.rng.choice(cluster.names))
 
--- a/tests/store/test_raft_model.py
+++ b/tests/store/test_raft_model.py
@@ -184,7 +184,7 @@
 
 
 def explore(max_states: int) -> Exploration:
-    """Explores histories breadth first until `max_states` states were seen, and checks each state."""
+    """Explore histories breadth first until `max_states` states were seen, and check each state."""
     first = ModelState({name: start_node(name) for name in NAMES})
     leader = clone_node(first.nodes["a"])  # the members are alike, so the first campaign can be a's
     election.start_election(leader.state)
--- a/tests/support/balancer_process.py
+++ b/tests/support/balancer_process.py
@@ -69,7 +69,7 @@
 
     @contextmanager
     def paused(self) -> Iterator[None]:
-        """Pauses the process by SIGSTOP, and resumes it at the end of the block.
+        """Pause the process by SIGSTOP, and resume it at the end of the block.
 
         The process then finds all events of the block ready at the same time.
         """
@@ -95,7 +95,7 @@
         return self.process.wait(TIMEOUT_S)
 
     def stop(self) -> str:
-        """Kills the process if it still runs, and returns the part of its log that nobody has read."""
+        """Kill the process if it still runs, and return the part of its log that nobody has read."""
         if self._process is None:
             return ""
         self._process.kill()
--- a/tests/support/peer.py
+++ b/tests/support/peer.py
@@ -55,7 +55,7 @@
             return True
 
     def begin_watch(self) -> None:
-        """Answers a call to discovery with the response headers of a watch."""
+        """Answer a call to discovery with the response headers of a watch."""
         self.send("HTTP/1.1 200 OK", "Transfer-Encoding: chunked", "")
 
     def chunk(self, revision: int, *members: dict[str, Any], complete: bool = False) -> None:
@@ -117,7 +117,7 @@
                 self.health_checks.append(peer)
 
     def _answer_health_checks(self, ready: list[socket.socket], load: float) -> None:
-        """Answers the next line of each ready connection, and closes those that the balancer has ended."""
+        """Answer the next line of each ready connection, and close those that the balancer has ended."""
         for health_check in [peer for peer in self.health_checks if peer.sock in ready]:
             if health_check.line():
                 health_check.send(f"PONG x0={load}")
--- a/wheatstile/store/applied_state.py
+++ b/wheatstile/store/applied_state.py
@@ -74,7 +74,7 @@
         return is_leader and self._leader_clock.term != entry.term
 
     def announce_application(self) -> None:
-        """Wakes all tasks that wait for the next application."""
+        """Wake all tasks that wait for the next application."""
         event = self.next_application
         self.next_application = asyncio.Event()
         event.set()
--- a/wheatstile/store/client.py
+++ b/wheatstile/store/client.py
@@ -165,7 +165,7 @@
         return reply.status
 
     async def transfer_leadership(self, target: str) -> None:
-        """Transfers leadership to `target`, and returns when a new term has begun."""
+        """Transfer leadership to `target`, and return when a new term has begun."""
         await self.request(Request(RequestKind.TRANSFER_LEADERSHIP, key=target))
 
     async def download_state(self) -> DownloadedState:
--- a/wheatstile/store/client_service.py
+++ b/wheatstile/store/client_service.py
@@ -68,7 +68,7 @@
                 await send_reply(sock, reply)
 
     async def _answer(self, request: Request) -> Reply:
-        """Carries out a request within its time-out, and returns the result or the error as a reply."""
+        """Carry out a request within its time-out, and return the result or the error as a reply."""
         timeout_ms = min(max(request.timeout_ms, 1), MAX_REQUEST_TIMEOUT_MS)
         try:
             async with asyncio.timeout(timeout_ms / 1000):
@@ -110,7 +110,7 @@
         return Reply(result=result, revision=result.revision)
 
     async def _transfer_leadership(self, target: str) -> Reply:
-        """Transfers leadership, and replies when a new term has begun."""
+        """Transfer leadership, and reply when a new term has begun."""
         term = self._member.node.term
         self._member.transfer_leadership(target)
         while self._member.node.term == term:  # noqa: ASYNC110  no event is set when the term changes
--- a/wheatstile/store/member.py
+++ b/wheatstile/store/member.py
@@ -63,7 +63,7 @@
         self._storage.close()
 
     async def run(self) -> None:
-        """Advances Raft's clock until the storage fails, and then raises `StorageFailedError`."""
+        """Advance Raft's clock until the storage fails, and then raise `StorageFailedError`."""
         while not self._failed.done():
             catch_up(self.node)
             self._propose_due_expiration()
@@ -143,14 +143,14 @@
         self.schedule_flush()
 
     def _propose_due_expiration(self) -> None:
-        """Advances the committed clock by an empty command if a key has expired and there are no writes."""
+        """Advance the committed clock by an empty command if a key has expired and there are no writes."""
         if self.applied.is_expiration_due():
             command = Command(clock_ms=self.applied.clock_ms())
             with suppress(NotLeaderError):
                 self.node.propose(msgspec.msgpack.encode(command))
 
     def schedule_flush(self) -> None:
-        """Schedules the processing of Raft's `Ready` in the next turn of the event loop."""
+        """Schedule the processing of Raft's `Ready` in the next turn of the event loop."""
         if not self._is_flush_scheduled and not self._failed.done():
             self._is_flush_scheduled = True
             self._loop.call_soon(self._flush)
@@ -189,7 +189,7 @@
             self._storage.save_snapshot(ready.snapshot, self.node.hard_state, entries)
 
     def _process_persisted(self, ready: Ready) -> None:
-        """Installs the snapshot, sends messages, applies entries and answers reads, in this order."""
+        """Install the snapshot, send messages, apply entries and answer reads, in this order."""
         if ready.snapshot is not None:
             self.applied.install(ready.snapshot)
             self._proposals.on_snapshot_installed(ready.snapshot.index)
--- a/wheatstile/store/peer_transport.py
+++ b/wheatstile/store/peer_transport.py
@@ -51,7 +51,7 @@
                 tasks.create_task(self._send_queued(peer))
 
     def send(self, message: Message) -> None:
-        """Queues a message for its recipient."""
+        """Queue a message for its recipient."""
         peer = message.recipient
         if peer not in self._outboxes:
             self._outboxes[peer] = asyncio.Queue(MAX_OUTBOX_MESSAGES)
--- a/wheatstile/store/proposal_queue.py
+++ b/wheatstile/store/proposal_queue.py
@@ -51,7 +51,7 @@
         self._last_proposed_index = 0
 
     def submit(self, command: Command) -> asyncio.Future[CommandResult]:
-        """Queues `command` and returns the future of its result.
+        """Queue `command` and return the future of its result.
 
         The future fails with `NotLeaderError` if the command was not applied, and with `OutcomeUnknownError`
         if that is unknown.
@@ -61,7 +61,7 @@
         return result
 
     def propose_due(self) -> None:
-        """Proposes all queued commands, unless more should join their group.
+        """Propose all queued commands, unless more should join their group.
 
         A group is proposed when the previous group is committed, so that more commands share one fsync under
         load. The limits are `MAX_GROUP_COMMANDS` and `MAX_GROUP_WAIT_S`, the latter plus one tick.
@@ -103,7 +103,7 @@
             proposed.result.set_exception(NotLeaderError(self._node.leader))
 
     def on_snapshot_installed(self, index: int) -> None:
-        """Fails the commands up to `index`, which a snapshot covers, because their results are unknown."""
+        """Fail the commands up to `index`, which a snapshot covers, because their results are unknown."""
         covered = [proposed_index for proposed_index in self._proposed if proposed_index <= index]
         for proposed_index in covered:
             result = self._proposed.pop(proposed_index).result
--- a/wheatstile/store/raft/election.py
+++ b/wheatstile/store/raft/election.py
@@ -25,7 +25,7 @@
 
 
 def start_pre_vote(state: RaftState) -> None:
-    """Asks the other voters whether they would vote for this node, without starting a term (§9.6)."""
+    """Ask the other voters whether they would vote for this node, without starting a term (§9.6)."""
     state.reset_election_timer()
     state.set_leader(None)
     state.role = Role.PRE_CANDIDATE
@@ -62,7 +62,7 @@
 
 
 def on_vote_request(state: RaftState, message: Message) -> None:
-    """Answers a candidate or pre-candidate, whose log must be as up to date as this node's (§3.6.1)."""
+    """Answer a candidate or pre-candidate, whose log must be as up to date as this node's (§3.6.1)."""
     last_entry = (state.log.last_term, state.log.last_index)
     is_up_to_date = (message.log_term, message.index) >= last_entry
     if message.kind is MessageKind.PRE_VOTE:
@@ -79,7 +79,7 @@
 
 
 def _answer_vote(state: RaftState, message: Message, is_up_to_date: bool) -> None:
-    """Grants at most one candidate a vote in the current term."""
+    """Grant at most one candidate a vote in the current term."""
     granted = is_up_to_date and state.vote in (None, message.sender)
     if granted:
         state.vote = message.sender
--- a/wheatstile/store/raft/follower.py
+++ b/wheatstile/store/raft/follower.py
@@ -51,7 +51,7 @@
 
 
 def _reject_append(state: RaftState, message: Message, uncommitted: UncommittedEntries) -> None:
-    """Tells the leader that the preceding entry does not match, and at which index the logs may match."""
+    """Tell the leader that the preceding entry does not match, and at which index the logs may match."""
     log = state.log
     resume_from = min(uncommitted.previous_index - 1, log.last_index)
     # An entry of a later term than the leader's preceding entry cannot match.
--- a/wheatstile/store/raft/node.py
+++ b/wheatstile/store/raft/node.py
@@ -100,7 +100,7 @@
         return self.state.commit_age_ticks
 
     def tick(self) -> None:
-        """Advances the clock by one tick, which may start an election or send a heartbeat."""
+        """Advance the clock by one tick, which may start an election or send a heartbeat."""
         self.state.ticks += 1
         self.state.election_elapsed += 1
         if self.role is Role.LEADER:
@@ -117,7 +117,7 @@
         election.check_quorum(self.state)
 
     def skip_ticks(self, count: int) -> None:
-        """Advances the clock by `count` ticks without counting them towards any time-out."""
+        """Advance the clock by `count` ticks without counting them towards any time-out."""
         self.state.ticks += count
 
     def propose(self, data: bytes) -> int:
@@ -151,7 +151,7 @@
         read_index.request(self.state, request_id)
 
     def cancel_read(self, request_id: int) -> None:
-        """Discards a forwarded read, so that a later reply to it is ignored."""
+        """Discard a forwarded read, so that a later reply to it is ignored."""
         self.state.forwarded_reads.discard(request_id)
 
     def compact(self, data: bytes) -> None:
--- a/wheatstile/store/raft/progress.py
+++ b/wheatstile/store/raft/progress.py
@@ -63,7 +63,7 @@
         self.next_index = max(self.next_index, index + 1)
 
     def on_append_rejected(self, index: int, resume_from: int) -> bool:
-        """Lowers `next_index` after the follower rejected the preceding entry, which was at `index`.
+        """Lower `next_index` after the follower rejected the preceding entry, which was at `index`.
 
         The logs may match at `resume_from`. Returns False without a change if the rejection is outdated.
         """
@@ -76,14 +76,14 @@
         return True
 
     def start_snapshot(self, snapshot: Snapshot) -> None:
-        """Switches from entries to `snapshot`, from its first byte."""
+        """Switch from entries to `snapshot`, from its first byte."""
         self.snapshot = snapshot
         self.snapshot_offset = 0
         self.awaiting_reply = False
         self.inflight.clear()
 
     def finish_snapshot(self, index: int) -> None:
-        """Switches back to probing with entries; the follower's log matches up to `index`."""
+        """Switch back to probing with entries; the follower's log matches up to `index`."""
         self.snapshot = None
         self.probing = True
         self.awaiting_reply = False
--- a/wheatstile/store/raft/read_index.py
+++ b/wheatstile/store/raft/read_index.py
@@ -27,7 +27,7 @@
 
 
 def register(state: RaftState, request_id: int, requester: str) -> None:
-    """Queues a read on the leader, and requests a heartbeat round, which all queued reads share."""
+    """Queue a read on the leader, and request a heartbeat round, which all queued reads share."""
     leadership = state.leadership
     if len(leadership.pending_reads) >= MAX_PENDING_READS:
         if requester == state.name:
@@ -79,7 +79,7 @@
 
 
 def _answer_confirmed_reads(state: RaftState) -> None:
-    """Answers the reads whose round is confirmed; the others stay pending."""
+    """Answer the reads whose round is confirmed; the others stay pending."""
     unconfirmed = []
     for read in state.leadership.pending_reads:
         if read.round > state.leadership.confirmed_round:
--- a/wheatstile/store/raft/state.py
+++ b/wheatstile/store/raft/state.py
@@ -170,7 +170,7 @@
         context: int = 0,
         sender_tick: int = 0,
     ) -> None:
-        """Queues a message that needs only these fields; `term` defaults to the current term."""
+        """Queue a message that needs only these fields; `term` defaults to the current term."""
         self.messages.append(
             Message(
                 kind=kind,
--- a/wheatstile/store/raft/terms.py
+++ b/wheatstile/store/raft/terms.py
@@ -18,7 +18,7 @@
 
 
 def accept_later_term(state: RaftState, message: Message) -> bool:
-    """Adopts the term of a message from a later term, and returns whether the message is to be handled.
+    """Adopt the term of a message from a later term, and return whether the message is to be handled.
 
     A pre-vote request and a granting reply to it name a term that has not begun, so it is not adopted. A vote
     request is ignored while the leader is active, unless it is part of a leadership transfer (§4.2.3).
--- a/wheatstile/store/raft/transfer.py
+++ b/wheatstile/store/raft/transfer.py
@@ -21,7 +21,7 @@
 
 
 def send_timeout_now_if_caught_up(state: RaftState) -> None:
-    """Tells the transfer's target, if there is one, to campaign once its log is complete."""
+    """Tell the transfer's target, if there is one, to campaign once its log is complete."""
     target = state.leadership.transfer_target
     if target and state.match_index(target) == state.log.last_index:
         state.send(MessageKind.TIMEOUT_NOW, target)
--- a/wheatstile/store/raft_clock.py
+++ b/wheatstile/store/raft_clock.py
@@ -23,7 +23,7 @@
 
 
 def catch_up(node: RaftNode) -> None:
-    """Advances the node to the current tick; skips all but the last `MAX_CATCH_UP_TICKS` missed ticks."""
+    """Advance the node to the current tick; skips all but the last `MAX_CATCH_UP_TICKS` missed ticks."""
     now = now_ticks()
     missed_ticks = now - node.ticks
     if missed_ticks > MAX_CATCH_UP_TICKS:
--- a/wheatstile/store/state_machine.py
+++ b/wheatstile/store/state_machine.py
@@ -122,7 +122,7 @@
         return result
 
     def _discard_old_sessions(self) -> None:
-        """Discards sessions that exceed `MAX_SESSIONS` or were unused for `SESSION_TTL_MS`."""
+        """Discard sessions that exceed `MAX_SESSIONS` or were unused for `SESSION_TTL_MS`."""
         while self.sessions:
             session_id, session = next(iter(self.sessions.items()))
             is_in_use = session.last_used_ms > self.clock_ms - SESSION_TTL_MS
--- a/wheatstile/store/storage.py
+++ b/wheatstile/store/storage.py
@@ -120,7 +120,7 @@
 
 
 def _match_log_to_snapshot(contents: DirectoryContents, log_path: Path) -> None:
-    """Discards the entries that do not follow the snapshot.
+    """Discard the entries that do not follow the snapshot.
 
     A crash between the replacement of the snapshot and that of the log leaves such entries. Raises
     `CorruptStorageError` if there is no log for the snapshot, or the snapshot before the log is missing.
--- a/wheatstile/store/watch_stream.py
+++ b/wheatstile/store/watch_stream.py
@@ -66,7 +66,7 @@
             self._last_sent_at_s = self._loop.time()
 
     async def _send_heartbeat_if_due(self) -> None:
-        """Tells the client how old the member's state may be, since the member may be partitioned."""
+        """Tell the client how old the member's state may be, since the member may be partitioned."""
         if self._loop.time() - self._last_sent_at_s >= HEARTBEAT_INTERVAL_S:
             self._last_sent_at_s = self._loop.time()
             await self._send(Reply(revision=self._revision, commit_age_ms=self._member.commit_age_ms))
