--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -1,9 +1,13 @@
-"""What one decision costs, and what a balancer holds: `python benchmarks/decisions.py [--quick]`.
+"""Measures the decision module without sockets: `python benchmarks/decisions.py [--quick]`.
 
-The module alone, with no socket: servers and open connections grow, and each figure is given as it stands to
-the first row's in the same run, since machines differ and drift. A decision is a newcomer from its arrival to
-its Send, probes answered; a report is one probe's answer; a list is a change of one server. Prints the tables
-of docs/operators/large-fleets.md.
+Prints one table by the number of servers and one by the number of open connections. Each cost is a ratio to
+the first row of the same run, since machines differ. The columns are the median times of
+
+- decision: one request from its arrival to its `StartAttempt`, with the health checks of both candidates;
+- report: the result of one health check;
+- list: an update of discovery that changes one server;
+
+and the memory of the module. docs/operators/large-fleets.md shows the tables.
 """
 
 import argparse
@@ -35,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Costs:
-    """The median time of each kind of event, and the memory of the whole, for one size."""
+    """The median time of each kind of event, and the memory of the module, for one row of a table."""
 
     decision_s: float
     report_s: float
@@ -67,7 +71,7 @@
 
 
 class Measurement:
-    """One decision module with so many servers and connections, and what its events cost."""
+    """One decision module with these numbers of servers and connections, and the costs of its events."""
 
     def __init__(self, server_count: int, connection_count: int) -> None:
         self._names = [f"s{number}" for number in range(server_count)]
@@ -79,7 +83,7 @@
         tracemalloc.stop()
 
     def costs(self, repetitions: int) -> Costs:
-        """Return the costs, each over so many repetitions."""
+        """Return the costs; each time is the median of this number of repetitions."""
         return Costs(
             decision_s=median_s(self._decide, repetitions),
             report_s=median_s(self._report_load, repetitions, self._begin_check),
--- a/tests/decisions/test_package.py
+++ b/tests/decisions/test_package.py
@@ -1,4 +1,4 @@
-"""What the decision modules promise their readers: their size, their width, and where they may look."""
+"""Limits of the decision modules: their length, their width, their imports, and no input or output."""
 
 import ast
 import tomllib
--- a/tests/decisions/test_rebalancing.py
+++ b/tests/decisions/test_rebalancing.py
@@ -69,11 +69,11 @@
 
 
 @pytest.mark.parametrize(
-    ("reports_latency", "other_loads", "is_relieved"),
+    ("reports_latency", "other_loads", "is_rebalanced"),
     [(False, 0.3, True), (True, 0.3, False), (False, 1.0, False)],
 )
-def test_load_checks_relieve_an_overloaded_server(
-    reports_latency: bool, other_loads: float, is_relieved: bool
+def test_load_checks_rebalance_an_overloaded_server(
+    reports_latency: bool, other_loads: float, is_rebalanced: bool
 ) -> None:
     """Load checks stand in for latency reports, and migrate nobody while the whole fleet is full."""
     loads = {"a": 1.4, "b": other_loads, "c": other_loads}
@@ -83,7 +83,7 @@
     for index in range(40):
         harness.connect(f"c{index}", "a")
         harness.dispatch(api.ConnectionLoadChanged(f"c{index}", "a", 1000.0))
-    assert (len(of_type(harness.run(3 * SECOND_US), api.Migrate)) > 5) is is_relieved
+    assert (len(of_type(harness.run(3 * SECOND_US), api.Migrate)) > 5) is is_rebalanced
 
 
 @pytest.mark.parametrize(("stays_unresponsive", "migrations"), [(False, 0), (True, 40)])
@@ -101,15 +101,16 @@
 
 
 @pytest.mark.parametrize(
-    ("load", "reports_latency", "is_relieved"), [(1.4, False, True), (1.4, True, False), (0.78, False, False)]
+    ("load", "reports_latency", "is_rebalanced"),
+    [(1.4, False, True), (1.4, True, False), (0.78, False, False)],
 )
-def test_any_report_of_severe_overload_relieves_a_server(
-    load: float, reports_latency: bool, is_relieved: bool
+def test_any_report_of_severe_overload_rebalances_a_server(
+    load: float, reports_latency: bool, is_rebalanced: bool
 ) -> None:
     harness = BalancerHarness("a", "b", loads={"a": load, "b": 0.2}, reports_message_latency=reports_latency)
     harness.connect_many(40, "a")
     harness.request("new")
-    assert bool(of_type(harness.log, api.Migrate)) == is_relieved
+    assert bool(of_type(harness.log, api.Migrate)) == is_rebalanced
 
 
 def test_endpoint_change_makes_load_checks_more_frequent() -> None:
--- a/tests/support/fleet_model.py
+++ b/tests/support/fleet_model.py
@@ -1,8 +1,8 @@
 """Many balancers of one fleet on a simple model of servers, to show what they do together.
 
 The load of a server is its open connections divided by its present capacity, and is read REPORT_AGE_US late.
-Time runs
-by events on one heap, and all chance comes from the seed, so that a run is always the same.
+Events are played from one heap in the order of their times, and every random choice is drawn from the seed,
+so that a run is always the same.
 """
 
 import heapq
@@ -18,8 +18,8 @@
 
 REPORT_AGE_US = 300_000
 ROUND_TRIP_US = 2_000
-DISCOVERY_SPREAD_US = SECOND_US // 2  # within which all balancers receive an update
-RETRY_DELAY_US = SECOND_US  # of a rejected client
+DISCOVERY_SPREAD_US = SECOND_US // 2  # time until all balancers have received an update
+RETRY_DELAY_US = SECOND_US  # time until a rejected client retries
 
 
 @dataclass(frozen=True)
--- a/tests/support/replay_environment.py
+++ b/tests/support/replay_environment.py
@@ -1,7 +1,7 @@
 """Clients, servers and discovery of one decision module, drawn from a seed.
 
-The events are drawn at random and follow up what the module asked for: health checks are answered, attempts
-end with every outcome, timers fire.
+The events are drawn at random, and answer the actions of the module: health checks get results, attempts end
+with every outcome, timers fire.
 """
 
 from dataclasses import replace
--- a/tests/support/replay_state.py
+++ b/tests/support/replay_state.py
@@ -1,4 +1,4 @@
-"""What the environment of a replay remembers: the text of the actions, and what has to be followed up."""
+"""The state of a replay: the text of all actions so far, and the pending checks, attempts and timers."""
 
 from dataclasses import dataclass, field
 
@@ -13,7 +13,7 @@
     id: str
     key: str
     attempt: int = 0
-    server: str = ""  # of the attempt in flight or of the open connection; empty: none
+    server: str = ""  # where the attempt is in flight or the connection open; empty: nowhere
     established: bool = False
 
 
