--- a/tests/store/raft_cluster.py
+++ b/tests/store/raft_cluster.py
@@ -179,7 +179,7 @@
         disk.entries = list(node.log.entries)
 
     def step(self) -> None:
-        """Advance time by one tick: delivers the due messages, then tick all nodes and do their work."""
+        """Advance time by one tick: deliver the due messages, then tick all nodes and do their work."""
         self.now_tick += 1
         due = sorted(
             (sent for sent in self.in_flight if sent.due_tick <= self.now_tick),
