--- a/wheatstile/decisions/candidate_selection.py
+++ b/wheatstile/decisions/candidate_selection.py
@@ -121,4 +121,4 @@
     def _without_ejected(self, servers: list[Server]) -> list[Server]:
         """Return the servers that are not ejected; all of them if every one is ejected."""
         now_us = self._context.now_us
-        return [server for server in servers if not server.ejection.is_active(now_us)] or servers
+        return [server for server in servers if server.ejection.until_us <= now_us] or servers
--- a/wheatstile/decisions/health_checks.py
+++ b/wheatstile/decisions/health_checks.py
@@ -10,6 +10,7 @@
 from wheatstile.decisions.server import Server
 
 CheckCallback: TypeAlias = Callable[[Connection], None]
+CheckWaiter: TypeAlias = tuple[CheckCallback, Connection]  # what to call after a check, and its argument
 
 
 class HealthChecks:
@@ -18,7 +19,7 @@
     def __init__(self, context: EventContext, endpoints: EndpointTable) -> None:
         self._context = context
         self._endpoints = endpoints
-        self._waiters: dict[Server, list[Callable[[], None]]] = {}  # keyed by the server being checked
+        self._waiters: dict[Server, list[CheckWaiter]] = {}  # keyed by the server being checked
 
     def is_in_flight(self, server: Server) -> bool:
         """Return whether the result of a health check of this server is awaited."""
@@ -37,7 +38,7 @@
         if waiters is None:
             waiters = self._waiters[server] = []
             self._context.act(api.CheckHealth(server.endpoint.name))
-        waiters.append(lambda: callback(connection))
+        waiters.append((callback, connection))
 
     def check_server_of(self, connection: Connection, callback: CheckCallback) -> None:
         """Check the server of a connection."""
@@ -51,8 +52,8 @@
             return None
         waiters = self._waiters.pop(server)
         self._record(server, event)
-        for notify in waiters:
-            notify()
+        for callback, connection in waiters:
+            callback(connection)
         return server
 
     def _record(self, server: Server, event: api.HealthCheckResult) -> None:
--- a/wheatstile/decisions/server_load.py
+++ b/wheatstile/decisions/server_load.py
@@ -19,12 +19,15 @@
 
     A count ranks servers but never reaches OVERLOAD_THRESHOLD. Return None if the report has no such metric.
     """
-    metric = next((metric for metric in LOAD_METRIC_PREFERENCE if metric in report), None)
-    if metric is None:
-        return None
-    if metric in COUNT_METRICS:
-        return OVERLOAD_THRESHOLD * report[metric] / (report[metric] + HALF_THRESHOLD_COUNT)
-    return report[metric]
+    for metric in LOAD_METRIC_PREFERENCE:
+        if metric in report:
+            figure = report[metric]
+            return _load_of_count(figure) if metric in COUNT_METRICS else figure
+    return None
+
+
+def _load_of_count(count: float) -> float:
+    return OVERLOAD_THRESHOLD * count / (count + HALF_THRESHOLD_COUNT)
 
 
 class ServerLoad:
