--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_admission.py
@@ -56,7 +56,7 @@
         harness.connect_many(number, "a")
         limiter = harness.balancer.setup_limiter
         limiter.bucket.rate = 1.0
-        limiter.bucket.updated_at_us = harness.now_us
+        limiter.bucket.start(harness.now_us)
         harness.balancer.context.begin(harness.now_us + SECOND_US)
         limiter.try_acquire()
         recovered.append(limiter.bucket.rate - 1.0)
--- a/tests/decisions/test_rebalancing.py
+++ b/tests/decisions/test_rebalancing.py
@@ -75,7 +75,7 @@
 def test_load_checks_rebalance_an_overloaded_server(
     reports_latency: bool, other_loads: float, is_rebalanced: bool
 ) -> None:
-    """Load checks stand in for latency reports, and migrate nobody while the whole fleet is full."""
+    """Load checks replace latency reports, and migrate no connection while the whole fleet is full."""
     loads = {"a": 1.4, "b": other_loads, "c": other_loads}
     harness = BalancerHarness("a", "b", "c", loads=loads, reports_message_latency=reports_latency)
     for number in range(8):
--- a/wheatstile/decisions/placement.py
+++ b/wheatstile/decisions/placement.py
@@ -4,7 +4,7 @@
 
 from wheatstile import interface as api
 
-RANDOM_PLACEMENT = 0  # in place of a hash: the candidates are drawn at random
+RANDOM_PLACEMENT = 0  # value that is no hash: the candidates are drawn at random
 _NEXT_CANDIDATES = b"next"
 
 
--- a/wheatstile/decisions/slow_start_budget.py
+++ b/wheatstile/decisions/slow_start_budget.py
@@ -4,7 +4,7 @@
 
 FIRST_ATTEMPT_COST = 1  # tokens
 RETRY_COST = 2  # tokens; most attempts in a reconnect burst are retries
-SPENT_DRAW = 1.0  # in place of a draw that was used: no probability below 1 is above it
+SPENT_DRAW = 1.0  # value of a draw that has been used; not below any probability
 
 
 class SlowStartBudget:
--- a/wheatstile/decisions/token_bucket.py
+++ b/wheatstile/decisions/token_bucket.py
@@ -13,7 +13,7 @@
     initial: float
     max: float
     min: float
-    increase_per_s: float  # for each unit of size
+    increase_per_s: float  # multiplied by the size
     decrease_factor: float  # applied at each failure
 
 
--- a/wheatstile/interface/settings.py
+++ b/wheatstile/interface/settings.py
@@ -59,13 +59,16 @@
 
     def __post_init__(self) -> None:
         for name in ("fleet_size", "max_attempts", "slow_start_overload_window_us"):
-            if getattr(self, name) < 1:
-                raise ValueError(f"settings: {name} must be 1 or more")
+            value = getattr(self, name)
+            if value < 1:
+                raise ValueError(f"settings: {name} must be 1 or more, not {value}")
         for name in ("slow_start_duration_us", "max_retry_after_us"):
-            if getattr(self, name) < 0:
-                raise ValueError(f"settings: {name} must not be negative")
+            value = getattr(self, name)
+            if value < 0:
+                raise ValueError(f"settings: {name} must be 0 or more, not {value}")
         for name in ("slow_start_initial_capacity", "slow_start_overload_factor"):
-            if not isfinite(getattr(self, name)) or getattr(self, name) < 0:
-                raise ValueError(f"settings: {name} must be a number of 0 or more")
+            value = getattr(self, name)
+            if not isfinite(value) or value < 0:
+                raise ValueError(f"settings: {name} must be a number of 0 or more, not {value}")
         if not self.classes:
             raise ValueError("settings: classes must name one class or more")
