--- a/wheatstile/decisions/balancer.py
+++ b/wheatstile/decisions/balancer.py
@@ -9,6 +9,7 @@
 
 from wheatstile import interface as api
 from wheatstile.decisions.admission import EarlyRejection, SetupRateLimiter
+from wheatstile.decisions.attempt_starter import AttemptStarter
 from wheatstile.decisions.candidate_selection import CandidateSelector
 from wheatstile.decisions.connection import Connection
 from wheatstile.decisions.connection_table import ConnectionTable
@@ -21,6 +22,7 @@
 from wheatstile.decisions.health_checks import HealthChecks
 from wheatstile.decisions.rebalancing import Rebalancer
 from wheatstile.decisions.request_lifecycle import RequestLifecycle
+from wheatstile.decisions.request_placement import RequestPlacement
 from wheatstile.decisions.retry_policy import RetryPolicy
 from wheatstile.decisions.server import Server
 from wheatstile.decisions.slow_start import SlowStart
@@ -37,21 +39,15 @@
         self.health_checks = HealthChecks(self.context, self.endpoints)
         self.slow_start = SlowStart(self.context, self.endpoints, self.connections, self.fleet_load)
         self.setup_limiter = SetupRateLimiter(self.context, self.endpoints, self.connections)
-        retry_policy = RetryPolicy(self.context)
-        self.selector = CandidateSelector(
-            self.context, self.endpoints, self.fleet_load, self.health_checks, self.slow_start, retry_policy
-        )
-        self.exploration = Exploration(
-            self.context,
-            self.endpoints,
-            self.connections,
-            self.fleet_load,
-            self.health_checks,
-            self.selector,
-        )
+        self._retry_policy = RetryPolicy(self.context)
+        self.selector = self._build_selector()
+        self.exploration = self._build_exploration()
         self._rebalancer = Rebalancer(self.context, self.connections, self.fleet_load, self.health_checks)
-        self._requests = self._build_request_lifecycle(retry_policy)
         self._watch = EndpointWatch(self.context)
+        self._final_answer = FinalAnswer(self.context, self.connections)
+        self._attempt_starter = AttemptStarter(self.context, self._retry_policy, self._final_answer)
+        self._placement = self._build_request_placement()
+        self._requests = self._build_request_lifecycle()
         self._event_handlers = self._build_event_handlers()
         self._balancer_timers: Mapping[api.TimerKind, Callable[[], None]] = {
             api.TimerKind.EXPLORATION_SLOT: self.exploration.on_slot,
@@ -63,18 +59,50 @@
             api.TimerKind.REBALANCE: self._rebalancer.on_rebalance_due,
         }
 
-    def _build_request_lifecycle(self, retry_policy: RetryPolicy) -> RequestLifecycle:
-        return RequestLifecycle(
+    def _build_selector(self) -> CandidateSelector:
+        return CandidateSelector(
+            self.context,
+            self.endpoints,
+            self.fleet_load,
+            self.health_checks,
+            self.slow_start,
+            self._retry_policy,
+        )
+
+    def _build_exploration(self) -> Exploration:
+        return Exploration(
             self.context,
+            self.endpoints,
             self.connections,
             self.fleet_load,
             self.health_checks,
             self.selector,
-            retry_policy,
-            FinalAnswer(self.context, self.connections),
+        )
+
+    def _build_request_placement(self) -> RequestPlacement:
+        return RequestPlacement(
+            self.context,
+            self.fleet_load,
+            self.health_checks,
+            self.selector,
+            self._retry_policy,
+            self.setup_limiter,
+            self._attempt_starter,
+            self._final_answer,
+        )
+
+    def _build_request_lifecycle(self) -> RequestLifecycle:
+        return RequestLifecycle(
+            self.context,
+            self.connections,
+            self.selector,
+            self._retry_policy,
             self.setup_limiter,
             EarlyRejection(self.context, self.fleet_load),
             self.exploration,
+            self._placement,
+            self._attempt_starter,
+            self._final_answer,
         )
 
     def _build_event_handlers(self) -> Mapping[type, Callable[[Any], None]]:
@@ -162,6 +190,6 @@
 
     def _on_connection_timer(self, token: api.TimerToken, connection: Connection) -> None:
         if token.kind is api.TimerKind.CANDIDATE_TIMEOUT:
-            self._requests.on_candidate_timeout(connection, token.due_us)
+            self._placement.on_timeout(connection, token.due_us)
         elif connection.is_established:
             self._connection_timers[token.kind](connection)
--- a/wheatstile/decisions/candidate_selection.py
+++ b/wheatstile/decisions/candidate_selection.py
@@ -5,7 +5,7 @@
 from wheatstile.decisions.event_context import EventContext
 from wheatstile.decisions.fleet_load import FleetLoad
 from wheatstile.decisions.health_checks import HealthChecks
-from wheatstile.decisions.placement import RANDOM_PLACEMENT
+from wheatstile.decisions.placement_hash import RANDOM_PLACEMENT
 from wheatstile.decisions.retry_policy import RetryPolicy
 from wheatstile.decisions.server import Server
 from wheatstile.decisions.server_load import UNREACHABLE_LOAD
--- a/wheatstile/decisions/connection.py
+++ b/wheatstile/decisions/connection.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass, field
 from enum import Enum, auto
 
-from wheatstile.decisions.placement import RANDOM_PLACEMENT, next_placement_hash
+from wheatstile.decisions.placement_hash import RANDOM_PLACEMENT, next_placement_hash
 from wheatstile.decisions.server import Server
 from wheatstile.interface import AttemptOutcome, ServiceClass
 
