--- a/tests/net/test_endpoint_stream.py
+++ b/tests/net/test_endpoint_stream.py
@@ -49,7 +49,7 @@
     assert not decoder.is_complete
 
 
-def test_complete_list_is_the_whole_body() -> None:
+def test_complete_list_is_decoded_at_the_end_of_the_body() -> None:
     body = endpoint_list(7, complete=True, indent=2)
     decoder = EndpointStreamDecoder(is_stream=False)
     head = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body)
--- a/wheatstile/net/client_connection.py
+++ b/wheatstile/net/client_connection.py
@@ -15,7 +15,7 @@
 from wheatstile.net.session_relay import SessionRelay, relay_client
 from wheatstile.net.session_setup import SessionSetup, SetupContext
 
-RETRY_AFTER_MS = 1000  # for a rejection during the shutdown, or without descriptors
+RETRY_AFTER_MS = 1000  # sent with a rejection during the shutdown or for lack of descriptors
 
 
 class ConnectionOwner(SetupContext, Protocol):
--- a/wheatstile/net/discovery_client.py
+++ b/wheatstile/net/discovery_client.py
@@ -8,7 +8,7 @@
 from wheatstile.net.endpoint_stream import DiscoveryError, EndpointStreamDecoder, Keepalive, ResponseStarted
 
 HOSTS_PATH = "/discovery/hosts"
-RESPONSE_TIMEOUT_S = 5.0  # from the start of a call to the headers of its answer
+RESPONSE_TIMEOUT_S = 5.0  # time between the start of a call and the headers of its answer
 # Time without a complete list or a keepalive, which discovery sends every 2 s. Discovery counts changes as
 # notified after 6 s: the other 3 s are left for the back-off (at most 1.5 s) and the next call.
 IDLE_TIMEOUT_S = 3.0
--- a/wheatstile/net/discovery_watcher.py
+++ b/wheatstile/net/discovery_watcher.py
@@ -78,7 +78,7 @@
     def follow(self, address: Address) -> None:
         """Watch discovery at another address from now on. The end of the old watch is not a failure.
 
-        The current list stays in force meanwhile. Its revision is not valid at the new address, and changes
+        The current list remains in force meanwhile. Its revision is not valid at the new address, and changes
         since any revision may lack what the old discovery never sent. So the watcher fetches the complete
         list before it watches for changes.
         """
--- a/wheatstile/net/session_setup.py
+++ b/wheatstile/net/session_setup.py
@@ -12,7 +12,7 @@
 from wheatstile.net.upstream_attempt import AttemptResult, OpenLineProvider
 from wheatstile.net.upstream_pool import UpstreamPool
 
-REOPEN_TIMEOUT_S = 40.0  # for a session that was established before this process started
+REOPEN_TIMEOUT_S = 40.0  # time limit for a session that was established before this process started
 ANSWER_GRACE_S = 0.02  # after the client's time to wait; a request without an answer is then failed here
 
 
@@ -127,7 +127,7 @@
         """Establish a session again that was established before this process started.
 
         After a restart all balancers reopen all their connections at once, and a lost packet is retransmitted
-        after 1 s. So the attempt may take all the time, and the decision module hears of it once it succeeds.
+        after 1 s. So connecting may take all of the time. The success is reported to the decision module.
 
         Returns the client's final answer, or None once the session is established.
         """
--- a/wheatstile/net/upstream_reply.py
+++ b/wheatstile/net/upstream_reply.py
@@ -5,7 +5,8 @@
 from wheatstile import interface as api
 from wheatstile.config import reports
 
-LOAD_METRICS: dict[str, str] = {  # by the metric's name in a load report
+# Names of load metrics: those on the wire, and the code's own.
+LOAD_METRICS: dict[str, str] = {
     "inflight": api.LoadMetric.IN_FLIGHT.value,
     "queue": api.LoadMetric.QUEUE_LENGTH.value,
     "util": api.LoadMetric.BUSY_SHARE.value,
@@ -15,7 +16,8 @@
     "x0": api.LoadMetric.LOAD.value,
     "x1": api.LoadMetric.BACKLOG_S.value,
 }
-FINAL_OUTCOMES = {  # by the keyword of a line that ends an attempt or a session
+# Outcomes by the keywords of the lines that end an attempt or a session.
+FINAL_OUTCOMES = {
     b"BYE": api.AttemptOutcome.OK,
     b"MOVE": api.AttemptOutcome.CANCELLED,
     b"ERR": api.AttemptOutcome.ERROR,
@@ -44,7 +46,7 @@
 
 
 def parse_health_check_reply(line: bytes) -> Reply:
-    """Parse the answer to a health check. An empty line stands for the end of the connection."""
+    """Parse the answer to a health check. An empty line means that the connection has ended."""
     if not line:
         return Reply(api.AttemptOutcome.RESET)
     keyword, _, rest = line.strip().partition(b" ")
