--- a/tests/net/test_client_listener.py
+++ b/tests/net/test_client_listener.py
@@ -3,58 +3,28 @@
 import re
 import resource
 import select
-import socket
 from itertools import count
 
 import pytest
 from support.balancer import SETTINGS, WITHOUT_HEALTH_CHECKS, Balancer
-from support.peer import TIMEOUT_S, Listener, Peer
+from support.peer import Peer
 
 from wheatstile.net.client_listener import MAX_RECENT_IDS
 
-HEALTH_CHECK_ANSWER = "PONG x0=0.3"
 SHORT_DEADLINE = WITHOUT_HEALTH_CHECKS | {"classes": [SETTINGS["classes"][0] | {"deadlineUs": 1500000}]}
 
 
 def try_to_establish(balancer: Balancer, number: int) -> tuple[Peer, Peer] | None:
-    """Establish a session, and answer the health checks that come meanwhile.
-
-    Returns the client's end and the server's, or None if the client was rejected.
-    """
+    """Establish a session. Return the client's end and the server's, or None if the client was rejected."""
     client = balancer.open(number)
-    listener = balancer.server
-    while True:
-        watched = [client.sock, listener.sock, *(peer.sock for peer in listener.health_checks)]
-        ready = select.select(watched, [], [], TIMEOUT_S)[0]
-        assert ready, "neither an attempt nor an answer came"
-        if client.sock in ready:
-            assert re.search("^BUSY [1-9]", client.line())
-            return None
-        answer_health_checks(listener, ready)
-        if listener.sock in ready and (server := accept_unless_health_check(listener)):
-            server.send("UP r")
-            assert client.line() == "UP r"
-            return client, server
-
-
-def answer_health_checks(listener: Listener, ready: list[socket.socket]) -> None:
-    """Answer the health checks on these connections, and close those that the balancer has closed."""
-    for peer in [peer for peer in listener.health_checks if peer.sock in ready]:
-        if peer.line():
-            peer.send(HEALTH_CHECK_ANSWER)
-        else:
-            listener.health_checks.remove(peer)
-            peer.close()
-
-
-def accept_unless_health_check(listener: Listener) -> Peer | None:
-    """Accept one connection. Answer it and return None if it is a health check's."""
-    peer = listener.accept()
-    if peer.line() != "STATS":
-        return peer
-    peer.send(HEALTH_CHECK_ANSWER)
-    listener.health_checks.append(peer)
-    return None
+    session = balancer.server.accept_session_unless_readable(client.sock)
+    if session is None:
+        assert re.search("^BUSY [1-9]", client.line())
+        return None
+    server, _ = session
+    server.send("UP r")
+    assert client.line() == "UP r"
+    return client, server
 
 
 def test_oldest_pending_connections_are_evicted(balancer: Balancer) -> None:
--- a/tests/net/test_connection_close.py
+++ b/tests/net/test_connection_close.py
@@ -166,9 +166,7 @@
     """The partial line arrives in the turn in which a balancer that shuts down migrates its clients."""
     balancer.start()
     client, server = balancer.establish(1)
-    balancer.terminate()
-    balancer.logged("shutdown_started")
-    balancer.counters()  # the schedule for the shutdown has begun by now
+    balancer.begin_shutdown()
     with balancer.paused():
         server.sock.sendall(b"whole\r\nhalf")
         time.sleep(3.2)  # until the end of the migrations
--- a/tests/net/test_graceful_shutdown.py
+++ b/tests/net/test_graceful_shutdown.py
@@ -13,17 +13,6 @@
     return SLOW_CONNECT
 
 
-def begin_shutdown(balancer: Balancer) -> None:
-    """Send SIGTERM, and return once the balancer's schedule for the shutdown has begun.
-
-    The balancer logs `shutdown_started` just before that, and reports its counters from the event loop only
-    after it. If a test paused the balancer in between, the whole shutdown would follow the pause.
-    """
-    balancer.terminate()
-    balancer.logged("shutdown_started")
-    balancer.counters()
-
-
 @pytest.mark.parametrize("settings", [{}])
 def test_clients_are_still_accepted_and_then_migrated(balancer: Balancer) -> None:
     balancer.start()
@@ -60,7 +49,7 @@
 def test_client_that_disconnects_as_it_is_migrated_closes_the_upstream_side(balancer: Balancer) -> None:
     balancer.start()
     client, server = balancer.establish()
-    begin_shutdown(balancer)
+    balancer.begin_shutdown()
     with balancer.paused():
         client.close()
         time.sleep(3.2)  # until the end of the migrations
@@ -72,7 +61,7 @@
     balancer.start()
     client = balancer.open()
     server, _ = balancer.server.accept_session()
-    begin_shutdown(balancer)
+    balancer.begin_shutdown()
     with balancer.paused():
         server.send("UP r")
         time.sleep(3.2)  # until all clients without a session are rejected
@@ -99,7 +88,7 @@
 
 def test_request_after_pong_is_answered_during_the_shutdown(balancer: Balancer) -> None:
     balancer.start()
-    begin_shutdown(balancer)
+    balancer.begin_shutdown()
     clients = [balancer.pinged_client() for _ in range(3)]
     with balancer.paused():
         time.sleep(1.9)  # without a session to migrate, the listener is closed 1.7 s after the signal
@@ -112,7 +101,7 @@
 
 def test_clients_in_the_backlog_are_answered_however_late_it_is(balancer: Balancer) -> None:
     balancer.start()
-    begin_shutdown(balancer)
+    balancer.begin_shutdown()
     with balancer.paused():
         clients = [balancer.open(number) for number in range(1, 21)]
         silent = balancer.client()
--- a/tests/support/balancer_process.py
+++ b/tests/support/balancer_process.py
@@ -90,6 +90,16 @@
         """Send SIGTERM, and do not wait for the end."""
         self.process.send_signal(signal.SIGTERM)
 
+    def begin_shutdown(self) -> None:
+        """Send SIGTERM, and return once the balancer's schedule for the shutdown has begun.
+
+        The balancer logs `shutdown_started` just before that, and reports its counters from the event loop
+        only after it. If a test paused the balancer in between, the whole shutdown would follow the pause.
+        """
+        self.terminate()
+        self.logged("shutdown_started")
+        self.counters()
+
     def wait(self) -> int:
         """Wait for the end of the process, and return its exit status."""
         return self.process.wait(TIMEOUT_S)
--- a/tests/support/peer.py
+++ b/tests/support/peer.py
@@ -103,10 +103,20 @@
 
         Health checks before it are answered with this load, and their connections stay open.
         """
+        session = self.accept_session_unless_readable(None, load)
+        assert session
+        return session
+
+    def accept_session_unless_readable(
+        self, client: socket.socket | None, load: float = 0.3
+    ) -> tuple[Peer, str] | None:
+        """Wait as `accept_session` does, but return None as soon as the client's socket is readable."""
         while True:
             socks = [self.sock, *(health_check.sock for health_check in self.health_checks)]
-            ready = select.select(socks, [], [], TIMEOUT_S)[0]
-            assert ready, "no attempt came"
+            ready = select.select([client, *socks] if client else socks, [], [], TIMEOUT_S)[0]
+            assert ready, "neither an attempt nor an answer to the client came"
+            if client in ready:
+                return None
             self._answer_health_checks(ready, load)
             if self.sock in ready:
                 peer = self.accept()
