--- a/tests/support/replay_state.py
+++ b/tests/support/replay_state.py
@@ -72,20 +72,20 @@
 
     @staticmethod
     def _text(action: api.Action) -> str:
-        words: list[object]
+        parts: list[object]
         match action:
             case api.StartAttempt():
-                words = ["attempt", action.id, action.server, action.timeout_us]
+                parts = ["attempt", action.id, action.server, action.timeout_us]
             case api.Reject():
-                words = ["reject", action.id, action.retry_after_us]
+                parts = ["reject", action.id, action.retry_after_us]
             case api.Fail():
-                words = ["fail", action.id]
+                parts = ["fail", action.id]
             case api.Migrate():
-                words = ["migrate", action.id]
+                parts = ["migrate", action.id]
             case api.CheckHealth():
-                words = ["check", action.server]
+                parts = ["check", action.server]
             case api.SetTimer():
-                words = ["timer", action.delay_us, timer_text(action.token)]
+                parts = ["timer", action.delay_us, timer_text(action.token)]
             case api.WatchEndpoints():
-                words = ["watch"]
-        return " ".join(map(str, words))
+                parts = ["watch"]
+        return " ".join(map(str, parts))
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -28,8 +28,8 @@
 
 
 @cache
-def words() -> frozenset[str]:
-    """Return all words of the repository's sources, and the names of its modules."""
+def identifiers() -> frozenset[str]:
+    """Return all identifiers in the repository's sources, and the names of its modules."""
     found: set[str] = set()
     for source in SOURCES:
         path = ROOT / source
@@ -42,10 +42,12 @@
     return frozenset(found)
 
 
-def is_known_word(word: str) -> bool:
-    """Return whether the sources have a word, or a prefix that the program completes (`attempts_`)."""
-    prefixes = [word[: index + 1] for index, letter in enumerate(word) if letter == "_"]
-    return word in words() or any(prefix in words() for prefix in prefixes if len(prefix) > 1)
+def is_known_identifier(identifier: str) -> bool:
+    """Return whether the sources have an identifier, or a prefix that the program completes (`attempts_`)."""
+    prefixes = [identifier[: index + 1] for index, letter in enumerate(identifier) if letter == "_"]
+    return identifier in identifiers() or any(
+        prefix in identifiers() for prefix in prefixes if len(prefix) > 1
+    )
 
 
 def unknown_names(text: str) -> list[str]:
@@ -55,7 +57,7 @@
         if PATH.fullmatch(name) and (ROOT / name.split("/")[0]).exists():
             is_known = (ROOT / name).exists()
         elif NAME.fullmatch(name) and name not in FROM_LIBRARIES:
-            is_known = all(map(is_known_word, name.split(".")))
+            is_known = all(map(is_known_identifier, name.split(".")))
         else:
             continue
         if not is_known:
--- a/wheatstile/decisions/request_lifecycle.py
+++ b/wheatstile/decisions/request_lifecycle.py
@@ -156,7 +156,7 @@
 
     def _retry(self, connection: Connection, move: ExplorationMove | None) -> None:
         """Retry a failed attempt, at the origin of the client's move if it had one."""
-        if not self._retry_policy.may_attempt_again(connection):
+        if not self._retry_policy.allows_retry(connection):
             self._final_answer.give(connection)
         elif move and self._selector.is_available(move.origin, connection):
             self._attempt_starter.start(connection, move.origin)
--- a/wheatstile/decisions/retry_policy.py
+++ b/wheatstile/decisions/retry_policy.py
@@ -14,7 +14,7 @@
     def __init__(self, context: EventContext) -> None:
         self._context = context
 
-    def may_attempt_again(self, connection: Connection) -> bool:
+    def allows_retry(self, connection: Connection) -> bool:
         """Return whether the number of attempts and the deadline allow another attempt."""
         is_below_limit = connection.attempts < self._context.settings.max_attempts
         return is_below_limit and self._context.now_us < connection.deadline_us
--- a/wheatstile/simulator/wire.py
+++ b/wheatstile/simulator/wire.py
@@ -33,8 +33,8 @@
     "restored": api.EndpointUpdateKind.CACHED,
     "unavailable": api.EndpointUpdateKind.FAILED,
 }
-# A load check has one word with a connection and without one.
-TIMER_WORDS = {
+# A load check has one name with a connection and without one.
+TIMER_NAMES = {
     api.TimerKind.EXPLORATION_SLOT: "slot",
     api.TimerKind.WATCH_ENDPOINTS: "list",
     api.TimerKind.LOAD_CHECK: "look",
@@ -43,18 +43,18 @@
     api.TimerKind.REBALANCE: "relief",
 }
 BALANCER_TIMERS = {
-    TIMER_WORDS[kind]: kind
+    TIMER_NAMES[kind]: kind
     for kind in (api.TimerKind.EXPLORATION_SLOT, api.TimerKind.WATCH_ENDPOINTS, api.TimerKind.LOAD_CHECK)
 }
 CONNECTION_TIMERS = {
-    TIMER_WORDS[kind]: kind
+    TIMER_NAMES[kind]: kind
     for kind in (
         api.TimerKind.REPEATED_LOAD_CHECK,
         api.TimerKind.CANDIDATE_TIMEOUT,
         api.TimerKind.REBALANCE,
     )
 }
-TIMER_SEPARATOR = ":"  # between a timer's word, its due time and its connection
+TIMER_SEPARATOR = ":"  # between a timer's name, its due time and its connection
 Measurement: TypeAlias = api.ConnectionLoadChanged | api.MessageLatencyChanged
 MEASUREMENTS: Mapping[int, type[Measurement]] = {  # keyed by the topic of a STATUS_NOTE
     1: api.ConnectionLoadChanged,
@@ -118,7 +118,7 @@
 
 
 def _outcome(fields: Fields) -> api.AttemptOutcome:
-    """Return the outcome; an unknown word counts as ERROR, since the attempt may have run."""
+    """Return the outcome; an unknown name counts as ERROR, since the attempt may have run."""
     return OUTCOMES.get(fields.text("verdict"), api.AttemptOutcome.ERROR)
 
 
@@ -141,20 +141,20 @@
 
 def timer_text(token: api.TimerToken) -> str:
     """Return a timer's text: `WORD`, or `WORD:DUE:CONNECTION` for a timer of one connection."""
-    word = TIMER_WORDS[token.kind]
+    name = TIMER_NAMES[token.kind]
     if not token.connection_id:
-        return word
-    return TIMER_SEPARATOR.join((word, str(token.due_us or ""), token.connection_id))
+        return name
+    return TIMER_SEPARATOR.join((name, str(token.due_us or ""), token.connection_id))
 
 
 def timer_token(text: str) -> api.TimerToken | None:
     """Return the timer of a text that `timer_text` made; None for any other text."""
-    word, _, rest = text.partition(TIMER_SEPARATOR)
+    name, _, rest = text.partition(TIMER_SEPARATOR)
     due, _, connection_id = rest.partition(TIMER_SEPARATOR)  # the connection's id may contain a separator
     if not connection_id:
-        kind = BALANCER_TIMERS.get(word)
+        kind = BALANCER_TIMERS.get(name)
         return api.TimerToken(kind) if kind else None
-    connection_kind = CONNECTION_TIMERS.get(word)
+    connection_kind = CONNECTION_TIMERS.get(name)
     if connection_kind is None or not (due == "" or due.isdecimal()):
         return None
     return api.TimerToken(connection_kind, connection_id, int(due or 0))
