--- a/tests/store/raft_cluster.py
+++ b/tests/store/raft_cluster.py
@@ -1,7 +1,7 @@
 """A simulated cluster of Raft nodes in virtual time. Its invariants are checked after every step.
 
-A seed determines everything. Messages are lost, repeated, delayed and reordered. A crash keeps the persisted
-state and loses the rest. `raft_histories` adds further faults.
+The seed determines the whole run. Messages are lost, repeated, delayed and reordered. A crashed node keeps
+its persisted state and loses the rest. `raft_histories` adds further faults.
 """
 
 from __future__ import annotations
@@ -47,7 +47,7 @@
 
 
 class SimulatedCluster:
-    """A cluster whose initial voters are the first `voter_count` of `names`. Other nodes may be added later.
+    """A cluster whose initial voters are the first `voter_count` of `names`. The others may be added later.
 
     The state machine of a node is the list of all applied indices.
     """
@@ -93,15 +93,15 @@
         return node
 
     def process_ready(self, name: str) -> None:
-        """Do a node's work like its host, with random crashes before and after persisting."""
+        """Process a node's `Ready` as `Member` does, with random crashes before and after persisting."""
         node = self.nodes[name]
         ready = node.ready()
-        roll = self.rng.random() if self.faults_enabled else 1.0
-        if roll < CRASH_PROBABILITY:  # before anything is persisted
+        random_share = self.rng.random() if self.faults_enabled else 1.0
+        if random_share < CRASH_PROBABILITY:  # crashes before anything is persisted
             self.crashed.add(name)
             return
         self.persist(self.disks[name], ready, node.log.entries)
-        if roll < 2 * CRASH_PROBABILITY:  # after persisting, before any message is sent
+        if random_share < 2 * CRASH_PROBABILITY:  # crashes after persisting, before any message is sent
             self.crashed.add(name)
             return
         self.process_persisted(node, ready)
@@ -109,7 +109,7 @@
         self.compact_if_due(node)
 
     def process_persisted(self, node: RaftNode, ready: Ready) -> None:
-        """Install the snapshot, send the messages, apply the entries and count the reads."""
+        """Install the snapshot, send the messages, apply the entries and check the reads."""
         if ready.snapshot:
             self.installed_snapshots += 1
             self.applied_indices[node.name] = [int(index) for index in ready.snapshot.data.split()]
@@ -120,7 +120,7 @@
         self.check_reads(node, ready)
 
     def check_one_leader(self, node: RaftNode) -> None:
-        """Check that no other node has been the leader in the node's term."""
+        """Check that no other node has been the leader of the node's term."""
         if node.role is not Role.LEADER:
             return
         first = self.leader_by_term.setdefault(node.term, node.name)
@@ -148,29 +148,31 @@
             self.in_flight.append(InFlightMessage(repeat_tick, 0, message))
 
     def apply(self, name: str, entry: Entry) -> None:
-        """Apply a committed entry, and check that it is the next one, and the same on all nodes."""
+        """Apply a committed entry; check that it is the next one and that all nodes apply the same one."""
         applied = self.applied_indices[name]
         if applied and entry.index != applied[-1] + 1:
-            raise InvariantError(f"{name} applied {entry.index} after {applied[-1]}")
+            raise InvariantError(f"{name} applied index {entry.index} after index {applied[-1]}")
         expected = self.data_by_index.setdefault(entry.index, entry.data)
         if expected != entry.data:
-            raise InvariantError(f"{name} applied {entry.data!r} at {entry.index}, not {expected!r}")
+            raise InvariantError(f"{name} applied {entry.data!r} at index {entry.index}, not {expected!r}")
         applied.append(entry.index)
 
     def check_reads(self, node: RaftNode, ready: Ready) -> None:
-        """Count the finished reads, and check that each sees all that was applied when it started."""
+        """Count the finished reads, and check that each sees every entry that was applied when it started."""
         for read in ready.read_states:
             if node.log.applied_index < read.index:
-                continue  # a host would wait until the index is applied; here the read is ignored
+                continue  # a real caller would wait until the index is applied; here the read is ignored
             self.answered_reads += 1
             required = self.reads[node.name, read.request_id]
             if node.log.applied_index < required:
                 applied = node.log.applied_index
-                raise InvariantError(f"{node.name} answered a read at {applied}, but {required} was applied")
+                raise InvariantError(
+                    f"{node.name} answered a read at index {applied}; it requires index {required}"
+                )
         self.rejected_reads += len(ready.rejected_reads)
 
     def compact_if_due(self, node: RaftNode) -> None:
-        """Compact a long log into a snapshot, also on disk."""
+        """Compact a long log into a snapshot, in memory and on disk."""
         if node.log.applied_index - node.log.snapshot.index < self.compact_every:
             return
         node.compact(" ".join(map(str, self.applied_indices[node.name])).encode())
@@ -179,7 +181,7 @@
         disk.entries = list(node.log.entries)
 
     def step(self) -> None:
-        """Advance time by one tick: deliver the due messages, then tick all nodes and do their work."""
+        """Advance time by one tick: deliver the due messages, tick all nodes, and process their work."""
         self.now_tick += 1
         due = sorted(
             (sent for sent in self.in_flight if sent.due_tick <= self.now_tick),
@@ -195,7 +197,7 @@
                 self.process_ready(name)
 
     def deliver(self, message: Message) -> None:
-        """Deliver a message, unless it is lost; a paused recipient gets it later."""
+        """Deliver a message unless it is lost. A paused recipient receives it after the pause."""
         is_cut = (message.sender, message.recipient) in self.cut_links
         if message.recipient in self.crashed or is_cut or self.rng.random() < LOSS_PROBABILITY:
             return
@@ -252,4 +254,4 @@
             same_term = [index for index in shared if first[index].term == second[index].term]
             last = max(same_term, default=0)
             if any(first[index] != second[index] for index in shared if index <= last):
-                raise InvariantError(f"logs differ before {last}")
+                raise InvariantError(f"logs that agree on the term at index {last} differ at or before it")
--- a/tests/store/raft_histories.py
+++ b/tests/store/raft_histories.py
@@ -1,7 +1,7 @@
 """Random histories of a `SimulatedCluster`, determined by a seed.
 
-In addition to the faults of `raft_cluster` there are crashes, pauses, one-way cuts, restarts, membership
-changes and leadership transfers.
+They add crashes, pauses, cut links, restarts, membership changes and leadership transfers to the faults of
+`raft_cluster`.
 """
 
 from __future__ import annotations
@@ -14,9 +14,9 @@
 from wheatstile.store.errors import MembershipChangeRejectedError, NotLeaderError
 
 VOTER_COUNTS = (3, 5, 3, 4)
-"""The number of initial voters is `VOTER_COUNTS[seed % len(VOTER_COUNTS)]`."""
+"""The cluster of a seed has `VOTER_COUNTS[seed % len(VOTER_COUNTS)]` initial voters."""
 MAX_CRASHED = 2
-"""Crashed nodes above which no further node is crashed here; `raft_cluster` may crash more."""
+"""Limit of crashed nodes for `crash`. The random crashes of `raft_cluster` do not observe it."""
 MAX_RESTARTED_AT_ONCE = 2
 STEPS_WITH_FAULTS = 500
 STEPS_WITHOUT_FAULTS = 400
@@ -26,20 +26,20 @@
 """Steps without faults from one request to the next."""
 CHECK_INTERVAL = 50
 """Steps from one check of log matching to the next."""
-DRAWS = 300
-"""Each step draws one of so many numbers; those below `len(FAULTS)` inject a fault."""
+FAULT_DRAW_RANGE = 300
+"""Each step draws a number below this one. A number below `len(FAULTS)` injects that fault."""
 
 
 def inject_fault(cluster: SimulatedCluster) -> None:
-    """Draw a fault, or the end of one, for this step. Most steps have none."""
+    """Inject a random fault or end one. Most calls do neither."""
     victim = cluster.rng.choice(cluster.names)
-    number = cluster.rng.randrange(DRAWS)
-    if number < len(FAULTS):
-        FAULTS[number](cluster, victim)
+    fault_index = cluster.rng.randrange(FAULT_DRAW_RANGE)
+    if fault_index < len(FAULTS):
+        FAULTS[fault_index](cluster, victim)
 
 
 def crash(cluster: SimulatedCluster, victim: str) -> None:
-    """Crash the victim, unless too many nodes have crashed."""
+    """Crash the victim, unless `MAX_CRASHED` nodes have crashed already."""
     if len(cluster.crashed) < MAX_CRASHED:
         cluster.crashed.add(victim)
 
@@ -51,7 +51,7 @@
 
 
 def pause(cluster: SimulatedCluster, victim: str) -> None:
-    """Pause the victim, unless a node is paused."""
+    """Pause the victim, unless a node is paused already."""
     if not cluster.paused:
         cluster.paused.add(victim)
 
@@ -62,12 +62,12 @@
 
 
 def cut_link(cluster: SimulatedCluster, victim: str) -> None:
-    """Cut the link from the victim to one node."""
+    """Cut the link from the victim to a random node, in this direction only."""
     cluster.cut_links.add((victim, cluster.rng.choice(cluster.names)))
 
 
 def isolate(cluster: SimulatedCluster, victim: str) -> None:
-    """Cut all links of the victim."""
+    """Cut all links of the victim in both directions."""
     cluster.isolate(victim)
 
 
@@ -77,13 +77,13 @@
 
 
 def restart_several(cluster: SimulatedCluster, _victim: str) -> None:
-    """Restart several crashed nodes at once."""
+    """Restart up to `MAX_RESTARTED_AT_ONCE` crashed nodes in one step."""
     for name in sorted(cluster.crashed)[:MAX_RESTARTED_AT_ONCE]:
         cluster.restart(name)
 
 
 def change_members(cluster: SimulatedCluster, _victim: str) -> None:
-    """Ask every running node to change to the same voters."""
+    """Ask every running node to change to the same random voters."""
     voters = cluster.rng.sample(cluster.names, cluster.rng.choice((1, 3, 3, 4, 5)))
     for node in cluster.nodes.values():
         with suppress(NotLeaderError, MembershipChangeRejectedError):
@@ -111,25 +111,25 @@
     *(change_members,) * 3,
     transfer_leadership,
 )
-"""The faults, each as often as its share of the `DRAWS`."""
+"""A fault that is listed n times has the probability n / `FAULT_DRAW_RANGE` in each step."""
 
 
 def run_history(seed: int) -> SimulatedCluster:
-    """Return the cluster after `STEPS_WITH_FAULTS`, and then `STEPS_WITHOUT_FAULTS` in which it may recover.
+    """Run a history and return its cluster, which can recover during the `STEPS_WITHOUT_FAULTS` at the end.
 
     Raises `InvariantError`.
     """
     cluster = SimulatedCluster(seed, VOTER_COUNTS[seed % len(VOTER_COUNTS)])
-    for number in range(STEPS_WITH_FAULTS):
+    for step in range(STEPS_WITH_FAULTS):
         inject_fault(cluster)
-        if number % REQUEST_INTERVAL == 0:
-            cluster.request(number)
+        if step % REQUEST_INTERVAL == 0:
+            cluster.request(step)
         cluster.step()
-        if number % CHECK_INTERVAL == 0:
+        if step % CHECK_INTERVAL == 0:
             check_log_matching(cluster.nodes.values())
     cluster.heal()
-    for number in range(STEPS_WITH_FAULTS, STEPS_WITH_FAULTS + STEPS_WITHOUT_FAULTS):
-        if number % RECOVERY_REQUEST_INTERVAL == 0:
-            cluster.request(number)
+    for step in range(STEPS_WITH_FAULTS, STEPS_WITH_FAULTS + STEPS_WITHOUT_FAULTS):
+        if step % RECOVERY_REQUEST_INTERVAL == 0:
+            cluster.request(step)
         cluster.step()
     return cluster
--- a/tests/store/raft_nodes.py
+++ b/tests/store/raft_nodes.py
@@ -1,4 +1,4 @@
-"""Single Raft nodes in a given role, for tests of one rule. They start no process or task."""
+"""Single Raft nodes in a given role, for tests of one rule. No process or task is started."""
 
 from __future__ import annotations
 
@@ -81,7 +81,7 @@
 
 
 def make_removed_voter(commit_index: int = 2) -> RaftNode:
-    """Return node `a`, restarted after the change from `abc` to `bcd`, whose entries are 2 and 3."""
+    """Return node `a`, restarted with a log whose entries 2 and 3 change the voters from `abc` to `bcd`."""
     entries = [
         Entry(1, 1, EntryKind.NOOP),
         configuration_entry(2, "bcd", "abc"),
--- a/tests/store/test_raft_election.py
+++ b/tests/store/test_raft_election.py
@@ -1,4 +1,4 @@
-"""Elections: which candidate gets a vote, and when a leader steps down."""
+"""Elections: pre-votes, votes, and a leader that steps down without a quorum."""
 
 from __future__ import annotations
 
@@ -23,7 +23,9 @@
     ("last_term", "last_index", "granted"),
     [(2, 2, True), (2, 3, True), (3, 1, True), (2, 1, False), (1, 9, False)],
 )
-def test_a_vote_needs_a_log_that_is_as_up_to_date(last_term: int, last_index: int, granted: bool) -> None:
+def test_a_vote_is_granted_only_to_a_log_that_is_at_least_as_up_to_date(
+    last_term: int, last_index: int, granted: bool
+) -> None:
     log = [Entry(1, 1, EntryKind.NOOP), Entry(2, 2, EntryKind.NOOP)]
     node = make_node(hard_state=HardState(2, None, 0), entries=log)
     node.step(Message(MessageKind.VOTE, "b", "a", 4, index=last_index, log_term=last_term))
@@ -31,7 +33,7 @@
     assert (reply.kind, reply.recipient, reply.granted) == (MessageKind.VOTE_REPLY, "b", granted)
 
 
-def test_a_node_votes_once_in_a_term() -> None:
+def test_a_node_votes_for_one_candidate_in_a_term() -> None:
     node = make_node()
     for candidate in "bcb":
         node.step(Message(MessageKind.VOTE, candidate, "a", 1))
@@ -40,7 +42,9 @@
 
 
 @pytest.mark.parametrize(("is_transfer", "term"), [(False, 1), (True, 2)])
-def test_an_active_leader_is_only_replaced_by_transfer(is_transfer: bool, term: int) -> None:
+def test_a_vote_request_is_ignored_while_the_leader_is_active_except_for_a_transfer(
+    is_transfer: bool, term: int
+) -> None:
     node = make_follower()
     node.step(Message(MessageKind.VOTE, "c", "a", 2, is_transfer=is_transfer))
     assert node.term == term
--- a/tests/store/test_raft_follower.py
+++ b/tests/store/test_raft_follower.py
@@ -1,4 +1,4 @@
-"""The follower's side of replication."""
+"""The follower's side of replication: appends and snapshots."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     assert ready.messages[0].granted
 
 
-def test_an_append_after_a_gap_is_rejected_with_the_index_to_resume_from() -> None:
+def test_an_append_that_leaves_a_gap_is_rejected_with_the_index_to_resume_from() -> None:
     node = make_node(hard_state=HardState(1, None, 0), entries=LOG)
     node.step(Message(MessageKind.APPEND, "b", "a", 1, index=5, log_term=1))
     (reply,) = node.ready().messages
--- a/tests/store/test_raft_log.py
+++ b/tests/store/test_raft_log.py
@@ -1,4 +1,4 @@
-"""`RaftLog`: contiguous entries, compaction, truncation, batches, installed snapshots."""
+"""`RaftLog`: contiguous entries, compaction, truncation, batches and installed snapshots."""
 
 from __future__ import annotations
 
@@ -39,13 +39,13 @@
     assert log.configuration == Configuration(frozenset("abc"))
 
 
-def test_a_batch_is_limited_by_entries_and_by_bytes() -> None:
+def test_a_batch_is_limited_in_entries_and_in_bytes() -> None:
     assert len(make_log(2 * MAX_BATCH_ENTRIES).batch_from(1)) == MAX_BATCH_ENTRIES
     assert len(make_log(9, bytes(MAX_BATCH_BYTES // 2)).batch_from(3)) == 2
 
 
 @pytest.mark.parametrize(("term", "remaining"), [(1, [4, 5]), (2, [])])
-def test_an_installed_snapshot_keeps_later_entries_only_where_the_log_matches(
+def test_an_installed_snapshot_keeps_later_entries_only_if_the_log_matches_it(
     term: int, remaining: list[int]
 ) -> None:
     log = make_log(5)
--- a/tests/store/test_raft_membership.py
+++ b/tests/store/test_raft_membership.py
@@ -27,14 +27,14 @@
 from wheatstile.store.raft.node import RaftNode
 
 
-def test_a_change_needs_both_majorities_and_excludes_another_change() -> None:
+def test_a_voter_change_is_joint_and_excludes_another_change() -> None:
     cluster = SimulatedCluster(7, voter_count=3)
     cluster.heal()
     while not (leaders := [node for node in cluster.leaders() if node.log.commit_index]):
         cluster.step()
     leader = leaders[0]
     leader.change_members("cde")
-    with pytest.raises(MembershipChangeRejectedError, match="under way"):
+    with pytest.raises(MembershipChangeRejectedError, match="still in progress"):
         leader.change_members("abc")
     assert leader.log.configuration.outgoing_voters == frozenset("abc")
     for _ in range(200):
@@ -46,14 +46,14 @@
 
 @pytest.mark.parametrize(("voters", "learners"), [("", ""), ("", "abc")])
 def test_a_change_that_leaves_no_voter_is_rejected(voters: str, learners: str) -> None:
-    with pytest.raises(MembershipChangeRejectedError, match="no voter would be left"):
+    with pytest.raises(MembershipChangeRejectedError, match="leave the cluster without a voter"):
         make_leader().change_members(voters, learners)
 
 
 def test_a_change_before_the_leaders_first_commit_is_rejected() -> None:
     node = make_node()
     elect(node, "bc")
-    with pytest.raises(MembershipChangeRejectedError, match="not committed anything"):
+    with pytest.raises(MembershipChangeRejectedError, match="not committed an entry of its term"):
         node.change_members("abcd")
 
 
@@ -65,25 +65,25 @@
     assert not configuration.has_quorum({"a", "d"})
 
 
-def test_only_the_leader_changes_members() -> None:
+def test_only_the_leader_accepts_membership_changes() -> None:
     with pytest.raises(NotLeaderError):
         make_node().change_members("abcd")
 
 
 def test_a_removed_voter_completes_the_change_that_it_alone_has_stored() -> None:
-    """Guards against a cluster that never has a leader again after a change of members."""
+    """Guards against a cluster that can no longer elect a leader after a membership change."""
     node = make_removed_voter()
     assert {request.recipient for request in tick_until_campaign(node)} == set("bcd")
     elect_as_removed_voter(node)
     for follower in "bc":
         acknowledge(node, follower)
     assert node.log.is_configuration_committed
-    assert node.role is Role.FOLLOWER, "the removed voter still leads after the change was committed"
+    assert node.role is Role.FOLLOWER, "the removed voter is still the leader after the change was committed"
     assert tick_until_campaign(node) == []
 
 
 def elect_as_removed_voter(node: RaftNode) -> None:
-    """Elect a pre-candidate that is not a voter, which takes two of the three voters, its own vote aside."""
+    """Elect a pre-candidate that is not a voter. It needs the votes of two of the three voters."""
     for kind, role in ((MessageKind.PRE_VOTE_REPLY, Role.CANDIDATE), (MessageKind.VOTE_REPLY, Role.LEADER)):
         node.step(Message(kind, "b", "a", 2, granted=True))
         assert node.role is not role, "the vote of a node that is not a voter was counted"
@@ -99,7 +99,7 @@
     leader.step(reply)
 
 
-def test_a_leader_that_is_removed_counts_neither_its_log_nor_its_heartbeat() -> None:
+def test_a_removed_leader_counts_neither_its_own_log_nor_its_own_heartbeat() -> None:
     node = make_removed_voter()
     tick_until_campaign(node)
     elect_as_removed_voter(node)
@@ -110,12 +110,12 @@
     assert node.ready().read_states == [], "a read was confirmed by one voter of three"
     for _ in range(2 * node.state.timing.election_ticks):
         node.tick()
-    assert node.role is Role.FOLLOWER, "a leader that one voter of three answers did not step down"
+    assert node.role is Role.FOLLOWER, "a leader that has replies from one voter of three did not step down"
 
 
 @pytest.mark.parametrize("commit_index", [3, 0])
 def test_a_node_removed_by_a_committed_change_does_not_campaign(commit_index: int) -> None:
-    """At commit index 0 the log itself shows it: a later configuration follows the one without the node."""
+    """At commit index 0, a later configuration in the log shows that the change is committed."""
     node = make_removed_voter(commit_index)
     if commit_index == 0:
         entries = [*node.log.entries, configuration_entry(4, "bcd", learners="e")]
@@ -129,8 +129,8 @@
     assert tick_until_campaign(node) == []
 
 
-def test_a_removed_voter_that_returns_does_not_disturb_the_leader() -> None:
-    """The removed voter was down while the change was committed, so that it still asks for votes."""
+def test_a_removed_voter_that_restarts_does_not_disrupt_the_leader() -> None:
+    """The removed voter was down while the change was committed, so it still requests votes."""
     request = tick_until_campaign(make_removed_voter())[0]
     follower = make_node("b", hard_state=HardState(1, None, 0))
     follower.step(Message(MessageKind.APPEND, "c", "b", 1))
@@ -140,7 +140,7 @@
     assert (follower.term, follower.leader) == (1, "c")
 
 
-def test_a_removed_voter_ignores_a_late_transfer_of_leadership() -> None:
+def test_a_removed_voter_ignores_a_late_timeout_now_message() -> None:
     node = make_removed_voter()
     node.step(Message(MessageKind.TIMEOUT_NOW, "b", "a", 1))
     assert node.role is Role.FOLLOWER
--- a/tests/store/test_raft_model.py
+++ b/tests/store/test_raft_model.py
@@ -1,7 +1,7 @@
-"""Explores the histories of three members in two terms with two entries and one crash, breadth first.
+"""Breadth-first search of the histories of three members with at most two terms, two entries, one crash.
 
 A step delivers any sent message, starts the campaign of any member, proposes an entry at a leader, or
-restarts a member with its persisted state. A message may be delivered in any order or never. The invariants
+restarts a member with its persisted state. Messages may be delivered in any order or never. The invariants
 are checked in every state. `WHEATSTILE_STATES` limits the number of states; shorter histories come first.
 """
 
@@ -156,12 +156,15 @@
             yield self.after(restarted, self.messages, crashes=1)
 
     def check(self) -> None:
-        """Check that a term has one leader, an index one committed entry, and leaders have all of them."""
+        """Check that a term has at most one leader and an index at most one committed entry.
+
+        Also check that each leader has the committed entries.
+        """
         terms = {term for term, _ in self.leaders}
         assert len(terms) == len(self.leaders), f"two leaders in a term: {sorted(self.leaders)}"
         entries: dict[int, Entry] = {}
         for index, _, entry in self.committed:
-            assert entries.setdefault(index, entry) == entry, f"two entries committed at {index}"
+            assert entries.setdefault(index, entry) == entry, f"two entries committed at index {index}"
         for node in self.nodes.values():
             if node.role is Role.LEADER:
                 self.check_leader_completeness(node)
@@ -171,12 +174,12 @@
         for index, term, entry in self.committed:
             if leader.term >= term:
                 stored = leader.log.entries[index - 1] if leader.log.last_index >= index else None
-                assert stored == entry, f"{leader.name} leads term {leader.term} without {entry}"
+                assert stored == entry, f"leader {leader.name} of term {leader.term} lacks {entry}"
 
 
 @dataclass(frozen=True)
 class Exploration:
-    """The number of states, the depth up to which all histories were explored, the highest commit index."""
+    """The number of states, the depth to which all histories were explored, and the highest commit index."""
 
     states: int
     depth: int
@@ -184,9 +187,9 @@
 
 
 def explore(max_states: int) -> Exploration:
-    """Explore histories breadth first until `max_states` states were seen, and check each state."""
+    """Explore histories breadth first until `max_states` states are found, and check each visited state."""
     first = ModelState({name: start_node(name) for name in NAMES})
-    leader = clone_node(first.nodes["a"])  # the members are alike, so the first campaign can be a's
+    leader = clone_node(first.nodes["a"])  # the members are symmetric, so only a's first campaign is explored
     election.start_election(leader.state)
     queue = deque([first.after(leader, frozenset())])
     seen = {queue[0].key()}
@@ -207,7 +210,7 @@
 
 def test_no_short_history_violates_an_invariant() -> None:
     explored = explore(STATES)
-    print(f"{explored.states} states, all histories of {explored.depth} steps")
+    print(f"{explored.states} states, which include all histories of {explored.depth} steps")
     assert explored.states >= STATES
     assert explored.depth >= 5
     assert explored.commit_index >= 1
--- a/tests/store/test_raft_mutations.py
+++ b/tests/store/test_raft_mutations.py
@@ -1,4 +1,4 @@
-"""Mutations of Raft's rules. Each must be found by the random histories or by a check of its own."""
+"""Mutation tests of Raft's rules. The random histories, or a check of one rule, must detect each mutation."""
 
 from __future__ import annotations
 
@@ -53,7 +53,7 @@
     return len(names & configuration.voters) * 2 > len(configuration.voters)
 
 
-def value_of_one_member(configuration: Configuration, value_of: Callable[[str], int]) -> int:
+def highest_value_of_any_member(configuration: Configuration, value_of: Callable[[str], int]) -> int:
     return max(map(value_of, configuration.electors))
 
 
@@ -109,13 +109,13 @@
 def check_joint_quorum() -> None:
     joint = Configuration(frozenset("cde"), frozenset("abc"))
     if joint.has_quorum({"c", "d", "e"}) or joint.has_quorum({"a", "b", "c"}):
-        raise InvariantError("the old or the new voters alone make a decision during a change")
+        raise InvariantError("the outgoing voters or the new voters alone are a quorum during a change")
     if not joint.has_quorum({"b", "c", "d"}):
-        raise InvariantError("majorities of the old and the new voters do not make a decision")
+        raise InvariantError("majorities of the outgoing and of the new voters are not a quorum")
 
 
 def check_earlier_terms_entry_is_not_counted() -> None:
-    """Check figure 8 of the paper: an earlier term's entry on a majority may still be overwritten."""
+    """Check figure 8 of the paper: an earlier term's entry may be overwritten although a majority has it."""
     node = make_node(
         voters="abcde",
         hard_state=HardState(3, None, 0),
@@ -127,7 +127,9 @@
             node.step(Message(MessageKind.APPEND_REPLY, voter, "a", 4, index=index, granted=True))
         commit = node.log.commit_index
         if commit != expected_commit:
-            raise InvariantError(f"a majority has entry {index}: commit is {commit}, not {expected_commit}")
+            raise InvariantError(
+                f"a majority has entry {index}: the commit index is {commit}, not {expected_commit}"
+            )
 
 
 def check_vote_survives_crash() -> None:
@@ -139,13 +141,17 @@
         ready = node.ready()
         SimulatedCluster.persist(disk, ready, node.log.entries)
         if ready.messages[0].granted is not granted:
-            raise InvariantError(f"the vote of term 5 for {candidate} was {not granted}, not {granted}")
+            raise InvariantError(
+                f"vote request of {candidate} in term 5: granted is {not granted}, not {granted}"
+            )
 
 
 def check_removed_voter_campaigns() -> None:
     """Check that a removed voter campaigns until it knows that the change is committed."""
     if not tick_until_campaign(make_removed_voter()):
-        raise InvariantError("no node campaigns with a log that has the uncommitted final configuration")
+        raise InvariantError(
+            "the removed voter does not campaign, although its final configuration is not committed"
+        )
 
 
 @pytest.mark.parametrize(
@@ -157,13 +163,13 @@
         check_removed_voter_campaigns,
     ],
 )
-def test_a_rule_that_random_histories_rarely_exercise_holds(check: Callable[[], None]) -> None:
+def test_a_check_of_a_rarely_exercised_rule_passes_without_a_mutation(check: Callable[[], None]) -> None:
     check()
 
 
 @dataclass(frozen=True)
 class Mutation:
-    """A faulty replacement of `attribute` of `target`, and the check that must find it."""
+    """A faulty replacement of `attribute` of `target`, and the check that must detect it."""
 
     name: str
     target: type | ModuleType
@@ -191,7 +197,9 @@
     Mutation(
         "outgoing_voters_ignored", Configuration, "has_quorum", quorum_of_new_voters_only, check_joint_quorum
     ),
-    Mutation("one_member_commits", Configuration, "quorum_value", value_of_one_member, check_histories),
+    Mutation(
+        "one_member_commits", Configuration, "quorum_value", highest_value_of_any_member, check_histories
+    ),
     Mutation(
         "earlier_terms_entry_counted",
         replication,
@@ -224,7 +232,7 @@
 
 
 @pytest.mark.parametrize("mutation", [pytest.param(mutation, id=mutation.name) for mutation in MUTATIONS])
-def test_a_mutation_of_a_rule_is_found(monkeypatch: pytest.MonkeyPatch, mutation: Mutation) -> None:
+def test_a_mutation_of_a_rule_is_detected(monkeypatch: pytest.MonkeyPatch, mutation: Mutation) -> None:
     monkeypatch.setattr(mutation.target, mutation.attribute, mutation.replacement)
     with pytest.raises(InvariantError):
         mutation.check()
--- a/tests/store/test_raft_node.py
+++ b/tests/store/test_raft_node.py
@@ -1,7 +1,7 @@
 """`RaftNode` in random histories with faults.
 
 `WHEATSTILE_SEEDS=N-N pytest tests/store/test_raft_node.py` replays the history of seed N. The default is the
-seeds 0 to 199.
+range of seeds from 0 to 199.
 """
 
 from __future__ import annotations
@@ -43,7 +43,7 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS_THAT_NEED_A_REMOVED_VOTER)
-def test_a_membership_change_does_not_leave_the_cluster_without_a_leader(seed: int) -> None:
+def test_a_membership_change_does_not_prevent_the_election_of_a_leader(seed: int) -> None:
     check_all_members_caught_up(run_history(seed), seed)
 
 
@@ -64,5 +64,5 @@
 
 
 def test_a_restart_after_installing_a_snapshot_continues_the_log() -> None:
-    """In this history, a node keeps entries after an installed snapshot and restarts with them."""
+    """In this history, a node keeps the entries after an installed snapshot and restarts with them."""
     run_history(1105)
--- a/tests/store/test_raft_progress.py
+++ b/tests/store/test_raft_progress.py
@@ -20,4 +20,4 @@
     progress.on_append_accepted(10)
     assert progress.can_send()
     assert progress.match_index == 10
-    assert not progress.on_append_rejected(7, 3), "an outdated rejection changes nothing"
+    assert not progress.on_append_rejected(7, 3), "an outdated rejection changed the progress"
--- a/tests/store/test_raft_read_index.py
+++ b/tests/store/test_raft_read_index.py
@@ -1,4 +1,4 @@
-"""Linearizable reads by read index."""
+"""Linearizable reads by the read index method."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 from wheatstile.store.raft.messages import Message, MessageKind, ReadState
 
 
-def test_a_read_waits_for_a_heartbeat_round_that_begins_after_it() -> None:
+def test_a_read_waits_for_a_heartbeat_round_that_starts_after_it() -> None:
     leader = make_leader()
     leader.read(7)
-    acknowledge_all(leader, "b")  # acknowledges the round before the read
+    acknowledge_all(leader, "b")  # acknowledges a round that started before the read
     assert leader.ready().read_states == []
     acknowledge_all(leader, "b")
     assert leader.ready().read_states == [ReadState(7, leader.log.commit_index)]
--- a/tests/store/test_raft_replication.py
+++ b/tests/store/test_raft_replication.py
@@ -1,4 +1,4 @@
-"""The leader's side of replication."""
+"""The leader's side of replication: proposals, commits and snapshots."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from wheatstile.store.raft.replication import SNAPSHOT_CHUNK_BYTES
 
 
-def test_an_entry_is_committed_once_a_majority_has_it() -> None:
+def test_an_entry_is_committed_once_a_majority_has_stored_it() -> None:
     leader = make_leader()
     index = leader.propose(b"x")
     assert leader.log.commit_index == index - 1
--- a/tests/store/test_raft_terms.py
+++ b/tests/store/test_raft_terms.py
@@ -16,7 +16,7 @@
         (MessageKind.PRE_VOTE, MessageKind.PRE_VOTE_REPLY),
     ],
 )
-def test_a_sender_of_an_earlier_term_learns_the_current_one(
+def test_a_message_of_an_earlier_term_is_answered_with_the_current_term(
     kind: MessageKind, reply_kind: MessageKind
 ) -> None:
     node = make_node(hard_state=HardState(5, None, 0))
@@ -32,13 +32,13 @@
     assert node.ready().is_empty()
 
 
-def test_a_leader_becomes_a_follower_in_a_later_term() -> None:
+def test_a_leader_becomes_a_follower_on_an_append_of_a_later_term() -> None:
     leader = make_leader()
     leader.step(Message(MessageKind.APPEND, "b", "a", leader.term + 1))
     assert leader.role is Role.FOLLOWER
     assert leader.leader == "b"
 
 
-def test_a_message_for_another_member_is_an_error() -> None:
-    with pytest.raises(ValueError, match="a message for b reached a"):
+def test_a_message_for_another_member_is_rejected() -> None:
+    with pytest.raises(ValueError, match="a message for b was delivered to a"):
         make_node().step(Message(MessageKind.VOTE, "c", "b", 1))
--- a/tests/store/test_raft_transfer.py
+++ b/tests/store/test_raft_transfer.py
@@ -1,4 +1,4 @@
-"""Leadership transfer."""
+"""Leadership transfer: the message to the target, and rejected proposals."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     return [message.recipient for message in messages if message.kind is MessageKind.TIMEOUT_NOW]
 
 
-def test_the_target_campaigns_once_its_log_is_complete() -> None:
+def test_the_target_is_told_to_campaign_once_its_log_is_complete() -> None:
     leader = make_leader()
     leader.propose(b"x")
     leader.transfer_leadership("b")
@@ -46,6 +46,6 @@
 
 
 @pytest.mark.parametrize("target", ["a", "unknown"])
-def test_only_another_voter_can_be_the_target(target: str) -> None:
-    with pytest.raises(MembershipChangeRejectedError, match="is not another voter"):
+def test_only_another_voter_can_be_the_transfer_target(target: str) -> None:
+    with pytest.raises(MembershipChangeRejectedError, match="only be transferred to another voter"):
         make_leader().transfer_leadership(target)
--- a/wheatstile/store/raft/election.py
+++ b/wheatstile/store/raft/election.py
@@ -9,13 +9,13 @@
 
 
 def tick(state: RaftState) -> None:
-    """Start a pre-vote if there was no contact with a leader for an election time-out."""
+    """Start a pre-vote after an election time-out without a message from a leader."""
     if state.election_elapsed >= state.election_timeout and membership.may_campaign(state):
         start_pre_vote(state)
 
 
 def check_quorum(state: RaftState) -> None:
-    """Make the leader step down if no quorum has replied to it for an election time-out (§6.2)."""
+    """Step down as leader if no quorum has replied since the last check, an election time-out ago (§6.2)."""
     if state.election_elapsed < state.timing.election_ticks:
         return
     state.election_elapsed = 0
@@ -33,7 +33,7 @@
 
 
 def start_election(state: RaftState, is_transfer: bool = False) -> None:
-    """Start a campaign in a new term; `is_transfer` tells that the leader has asked for it (§3.10)."""
+    """Start a campaign in a new term; `is_transfer` marks one that the leader has requested (§3.10)."""
     state.reset_election_timer()
     state.set_leader(None)
     state.role = Role.CANDIDATE
@@ -45,7 +45,7 @@
 def _request_votes(state: RaftState, kind: MessageKind, term: int, is_transfer: bool = False) -> None:
     state.votes_received = {state.name}
     if state.configuration.has_quorum(state.votes_received):
-        _on_won(state)
+        _on_campaign_won(state)
         return
     for peer in sorted(state.configuration.electors - {state.name}):
         state.messages.append(
@@ -62,24 +62,27 @@
 
 
 def on_vote_request(state: RaftState, message: Message) -> None:
-    """Answer a candidate or pre-candidate, whose log must be as up to date as this node's (§3.6.1)."""
+    """Reply to a vote or pre-vote request.
+
+    It is granted only if the sender's log is at least as up to date as this node's log (§3.6.1).
+    """
     last_entry = (state.log.last_term, state.log.last_index)
     is_up_to_date = (message.log_term, message.index) >= last_entry
     if message.kind is MessageKind.PRE_VOTE:
-        _answer_pre_vote(state, message, is_up_to_date)
+        _reply_to_pre_vote_request(state, message, is_up_to_date)
     else:
-        _answer_vote(state, message, is_up_to_date)
+        _reply_to_vote_request(state, message, is_up_to_date)
 
 
-def _answer_pre_vote(state: RaftState, message: Message, is_up_to_date: bool) -> None:
+def _reply_to_pre_vote_request(state: RaftState, message: Message, is_up_to_date: bool) -> None:
     """Reply in the pre-candidate's term if the pre-vote is granted, otherwise in the current term."""
-    granted = is_up_to_date and message.term > state.term and not state.is_leader_recent
+    granted = is_up_to_date and message.term > state.term and not state.has_recent_leader_contact
     term = message.term if granted else state.term
     state.send(MessageKind.PRE_VOTE_REPLY, message.sender, term=term, granted=granted)
 
 
-def _answer_vote(state: RaftState, message: Message, is_up_to_date: bool) -> None:
-    """Grant at most one candidate a vote in the current term."""
+def _reply_to_vote_request(state: RaftState, message: Message, is_up_to_date: bool) -> None:
+    """Grant the vote of the current term to at most one candidate."""
     granted = is_up_to_date and state.vote in (None, message.sender)
     if granted:
         state.vote = message.sender
@@ -104,10 +107,10 @@
         return
     state.votes_received.add(message.sender)
     if state.configuration.has_quorum(state.votes_received):
-        _on_won(state)
+        _on_campaign_won(state)
 
 
-def _on_won(state: RaftState) -> None:
+def _on_campaign_won(state: RaftState) -> None:
     if state.role is Role.PRE_CANDIDATE:
         start_election(state)
     else:
@@ -115,7 +118,10 @@
 
 
 def become_leader(state: RaftState) -> None:
-    """Make this node the leader; its no-op entry lets it commit the entries of earlier terms (§6.4)."""
+    """Make this node the leader and append a no-op entry.
+
+    Once the no-op entry is committed, the entries of earlier terms are committed with it (§6.4).
+    """
     state.role = Role.LEADER
     state.set_leader(state.name)
     state.election_elapsed = 0
@@ -130,7 +136,7 @@
 def on_timeout_now(state: RaftState, _message: Message) -> None:
     """Start a campaign at once, because the leader transfers its leadership to this node (§3.10).
 
-    A node that has been removed since then ignores the message, and the transfer ends after its time-out.
+    A node that is no longer a voter ignores it, and the leader cancels the transfer after a time-out.
     """
     if state.name in state.configuration.voters and state.role is Role.FOLLOWER:
         start_election(state, is_transfer=True)
--- a/wheatstile/store/raft/follower.py
+++ b/wheatstile/store/raft/follower.py
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UncommittedEntries:
-    """The entries of an append after the follower's commit index, and the entry that precedes them."""
+    """The entries of an append after the follower's commit index, and the preceding index and term."""
 
     previous_index: int
     previous_term: int
@@ -21,14 +21,14 @@
 
 
 def on_append(state: RaftState, message: Message) -> None:
-    """Store the leader's entries if the preceding entry matches, and advance the commit index."""
+    """Append the leader's entries to the log if the preceding entry matches, and advance the commit index."""
     state.on_leader_contact(message.sender)
     log = state.log
     uncommitted = _skip_committed(log, message)
     if log.term_at(uncommitted.previous_index) != uncommitted.previous_term:
         _reject_append(state, message, uncommitted)
         return
-    _store_entries(log, uncommitted.entries)
+    _append_missing_entries(log, uncommitted.entries)
     matching_index = max(message.index + len(message.entries), uncommitted.previous_index)
     log.commit_index = max(log.commit_index, min(message.commit, matching_index))
     _update_confirmed_tick(state, message)
@@ -43,7 +43,7 @@
 
 
 def _skip_committed(log: RaftLog, message: Message) -> UncommittedEntries:
-    """Return the entries of an append without those up to the commit index, which match already."""
+    """Return the entries of an append without those up to the commit index, which are known to match."""
     if message.index >= log.commit_index:
         return UncommittedEntries(message.index, message.log_term, message.entries)
     entries = tuple(entry for entry in message.entries if entry.index > log.commit_index)
@@ -51,7 +51,7 @@
 
 
 def _reject_append(state: RaftState, message: Message, uncommitted: UncommittedEntries) -> None:
-    """Tell the leader that the preceding entry does not match, and at which index the logs may match."""
+    """Reject an append whose preceding entry does not match; the reply names an index that may match."""
     log = state.log
     resume_from = min(uncommitted.previous_index - 1, log.last_index)
     # An entry of a later term than the leader's preceding entry cannot match.
@@ -77,7 +77,7 @@
     resume_from: int = 0,
     sender_tick: int = 0,
 ) -> None:
-    """Reply to the leader's message, with the heartbeat round of that message."""
+    """Reply to a message of the leader; the reply repeats the heartbeat round of that message."""
     state.send(
         kind,
         message.sender,
@@ -89,20 +89,20 @@
     )
 
 
-def _store_entries(log: RaftLog, entries: tuple[Entry, ...]) -> None:
-    """Append the entries that are missing, after removing those that conflict with them."""
+def _append_missing_entries(log: RaftLog, entries: tuple[Entry, ...]) -> None:
+    """Append the entries that the log does not have yet, after removing entries that conflict with them."""
     for position, entry in enumerate(entries):
-        known_term = log.term_at(entry.index)
-        if known_term == entry.term:
+        existing_term = log.term_at(entry.index)
+        if existing_term == entry.term:
             continue
-        if known_term is not None:
+        if existing_term is not None:
             log.truncate_from(entry.index)
         log.append(entries[position:])
         break
 
 
 def _update_confirmed_tick(state: RaftState, message: Message) -> None:
-    """Record as of which tick of this node the commit index is known to have been the leader's."""
+    """Update the latest tick at which this node's commit index is known to have been the leader's."""
     if state.log.commit_index < message.commit or not message.echoed_tick:
         return
     confirmed_at_tick = message.echoed_tick - message.commit_age_ticks
@@ -112,7 +112,7 @@
 def on_snapshot(state: RaftState, message: Message) -> None:
     """Store a chunk of a snapshot, and install the snapshot when it is complete.
 
-    Another leader with the same snapshot continues where the previous one stopped.
+    A new leader that sends the same snapshot continues where the previous leader stopped.
     """
     state.on_leader_contact(message.sender)
     chunk = message.snapshot
--- a/wheatstile/store/raft/log.py
+++ b/wheatstile/store/raft/log.py
@@ -8,9 +8,9 @@
 from wheatstile.store.raft.messages import Configuration, Entry, Snapshot
 
 MAX_BATCH_ENTRIES = 256
-"""Entries in one append message."""
+"""Maximum number of entries in one append message."""
 MAX_BATCH_BYTES = 1 << 20
-"""Bytes of data in one append message; the entry that reaches this size is the last one added."""
+"""Maximum bytes of data in one append message; the entry that reaches this size is still included."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -24,7 +24,7 @@
 class RaftLog:
     """A snapshot and the contiguous entries from `snapshot.index + 1` on.
 
-    `unpersisted_entries` and `unpersisted_snapshot` have not been passed to the host yet (etcd's unstable
+    `unpersisted_entries` and `unpersisted_snapshot` have not been returned to the caller yet (etcd's unstable
     log). Raises ValueError if the indices of `entries` are not contiguous.
     """
 
@@ -53,19 +53,19 @@
 
     @property
     def configuration(self) -> Configuration:
-        """The configuration in force, which is the latest one in the log, committed or not (§4.1)."""
+        """The current configuration. It is the latest one in the log, committed or not (§4.1)."""
         return self.configurations[-1].configuration
 
     @property
     def is_configuration_committed(self) -> bool:
-        """Whether the configuration in force is committed. Otherwise no further change may begin."""
+        """True if the current configuration is committed. Until then, no further change may begin."""
         return self.configurations[-1].index <= self.commit_index
 
     @property
     def preceding_configuration(self) -> Configuration | None:
-        """The configuration before the one in force, or None if the log does not have it.
+        """The configuration before the current one, or None if the log does not have it.
 
-        It is committed, because a leader appends a configuration only after the one before is committed.
+        It is committed, because a leader appends a configuration only after the previous one is committed.
         """
         return self.configurations[-2].configuration if len(self.configurations) > 1 else None
 
@@ -80,7 +80,7 @@
         return self.entries[-1].term if self.entries else self.snapshot.term
 
     def term_at(self, index: int) -> int | None:
-        """Return the term of the entry at `index`, or None if it is compacted or not in the log yet."""
+        """Return the term of the entry at `index`, or None if it was compacted or is not in the log yet."""
         if index == self.snapshot.index:
             return self.snapshot.term
         if index < self.snapshot.index or index > self.last_index:
@@ -109,7 +109,7 @@
     def truncate_from(self, index: int) -> None:
         """Remove the entries from `index` on.
 
-        The host replaces them on its disk when it stores the next entry, which has a removed index.
+        The caller removes them from disk when it stores the next entry, which has the index of a removed one.
         """
         del self.entries[index - self.snapshot.index - 1 :]
         self.unpersisted_entries = [entry for entry in self.unpersisted_entries if entry.index < index]
@@ -117,37 +117,37 @@
             self.configurations.pop()
 
     def take_committed(self) -> list[Entry]:
-        """Return the committed entries that are not applied, and mark them as applied."""
+        """Return the committed entries that are not applied yet, and mark them as applied."""
         start = self.applied_index - self.snapshot.index
         end = self.commit_index - self.snapshot.index
         self.applied_index = self.commit_index
         return self.entries[start:end]
 
     def take_unpersisted_entries(self) -> list[Entry]:
-        """Return and clear the entries that the host has to store."""
+        """Return and clear the entries that the caller has to store."""
         entries = self.unpersisted_entries
         self.unpersisted_entries = []
         return entries
 
     def take_unpersisted_snapshot(self) -> Snapshot | None:
-        """Return and clear the snapshot that the host has to store, or None if there is none."""
+        """Return and clear the snapshot that the caller has to store, or return None if there is none."""
         snapshot = self.unpersisted_snapshot
         self.unpersisted_snapshot = None
         return snapshot
 
     def compact(self, data: bytes) -> None:
-        """Replace the applied entries by a snapshot; `data` is the state after the last of them (§5.1)."""
+        """Replace the applied entries with a snapshot; `data` is the state after the last of them (§5.1)."""
         index = self.applied_index
         term = self.term_at(index)
         if index == self.snapshot.index or term is None:
             return
-        in_force = next(logged for logged in reversed(self.configurations) if logged.index <= index)
+        latest_applied = next(logged for logged in reversed(self.configurations) if logged.index <= index)
         self.entries = self.entries[index - self.snapshot.index :]
-        self.snapshot = Snapshot(index, term, in_force.configuration, data)
+        self.snapshot = Snapshot(index, term, latest_applied.configuration, data)
         self.configurations = self._find_configurations()
 
     def install(self, snapshot: Snapshot) -> None:
-        """Replace the log by the leader's `snapshot`; keeps later entries if the log matches it (§5.3)."""
+        """Replace the log with the leader's `snapshot`; keep later entries if the log matches it (§5.3)."""
         matches = self.term_at(snapshot.index) == snapshot.term
         self.entries = [entry for entry in self.entries if matches and entry.index > snapshot.index]
         self.unpersisted_entries = [
--- a/wheatstile/store/raft/membership.py
+++ b/wheatstile/store/raft/membership.py
@@ -17,20 +17,21 @@
 
 
 def plan_change(state: RaftState, voters: Iterable[str], learners: Iterable[str]) -> Configuration:
-    """Return the first configuration of the change to these members. A voter is removed from the learners.
+    """Return the first configuration of a change to these members. A name in both groups becomes a voter.
 
-    Raises `NotLeaderError`. Raises `MembershipChangeRejectedError` during another change, before this leader
-    has committed an entry, and if there would be no voter.
+    Raises `NotLeaderError` if this node is not the leader. Raises `MembershipChangeRejectedError` if another
+    change is in progress, if this leader has not committed an entry of its term yet, or if no voter would be
+    left.
     """
     target = Configuration(frozenset(voters), learners=frozenset(learners) - frozenset(voters))
     current = state.configuration
     state.require_leader()
     if current.outgoing_voters or not state.log.is_configuration_committed:
-        raise MembershipChangeRejectedError("a change of members is still under way")
+        raise MembershipChangeRejectedError("another membership change is still in progress")
     if not state.has_committed_in_term:
-        raise MembershipChangeRejectedError("this leader has not committed anything yet")
+        raise MembershipChangeRejectedError("this leader has not committed an entry of its term yet")
     if not target.voters:
-        raise MembershipChangeRejectedError("no voter would be left")
+        raise MembershipChangeRejectedError("the change would leave the cluster without a voter")
     if target.voters == current.voters:
         return target
     return msgspec.structs.replace(target, outgoing_voters=current.voters)
@@ -42,17 +43,17 @@
 
 
 def is_removed(state: RaftState) -> bool:
-    """Return whether this leader is no longer a voter and has to step down (§4.2.2)."""
+    """Return whether this leader is no longer a voter and must step down (§4.2.2)."""
     return state.name not in state.configuration.voters
 
 
 def may_campaign(state: RaftState) -> bool:
     """Return whether this node may start an election.
 
-    A voter may. So may a node that is no longer a voter in the configuration in force, but was one in the
-    configuration before, until it knows that the change is committed (§4.2.2): it may be the only node that
-    has stored the change, and then no other node can win an election without its vote. It needs a quorum of
-    the configuration in force, in which its own vote does not count.
+    A voter may start one. A node that is a voter in the preceding configuration but not in the current one
+    may start one until it knows that the change is committed (§4.2.2). It may be the only node that has
+    stored the change, and then no other node can win an election without its vote. It needs a quorum of the
+    current configuration, in which its own vote does not count.
     """
     log = state.log
     if state.name in log.configuration.electors:
--- a/wheatstile/store/raft/messages.py
+++ b/wheatstile/store/raft/messages.py
@@ -68,18 +68,18 @@
         return self.voters | self.outgoing_voters
 
     @property
-    def majorities(self) -> list[frozenset[str]]:
-        """The sets of voters that each need a majority: two sets during a change, otherwise one."""
+    def voter_sets(self) -> list[frozenset[str]]:
+        """The sets of voters that each must have a majority: two sets during a change, otherwise one."""
         return [voters for voters in (self.voters, self.outgoing_voters) if voters]
 
     def has_quorum(self, names: Set[str]) -> bool:
-        """Return whether the nodes `names` contain the majorities that a decision needs."""
-        return all(len(names & voters) * 2 > len(voters) for voters in self.majorities)
+        """Return whether `names` include a majority of each set of voters."""
+        return all(len(names & voters) * 2 > len(voters) for voters in self.voter_sets)
 
     def quorum_value(self, value_of: Callable[[str], int]) -> int:
         """Return the highest value that a quorum has reached; `value_of` returns the value of one voter."""
         return min(
-            sorted(map(value_of, voters), reverse=True)[len(voters) // 2] for voters in self.majorities
+            sorted(map(value_of, voters), reverse=True)[len(voters) // 2] for voters in self.voter_sets
         )
 
 
@@ -105,7 +105,7 @@
 class HardState(msgspec.Struct, frozen=True):
     """The values that must be on disk before a message is sent (paper, figure 2: persistent state).
 
-    `commit` is the commit index. With it a restarted node can apply its log before it has found a leader.
+    `commit` is the commit index. With it, a restarted node can apply its log before it has found a leader.
     """
 
     term: int
@@ -116,9 +116,9 @@
 class Message(msgspec.Struct, frozen=True):
     """A message between two nodes. As in etcd's raft, one type has the fields of all kinds.
 
-    `index` and `log_term` identify the sender's last entry in vote requests, and the entry that precedes
-    `entries` in appends. `index` is the last matching entry in an accepting append reply, and the rejected
-    preceding entry in a rejecting one.
+    In vote requests, `index` and `log_term` identify the sender's last entry. In appends, they identify the
+    entry that precedes `entries`. In append replies, `index` is that of the last matching entry if `granted`
+    is true, otherwise that of the preceding entry, which did not match.
     """
 
     kind: MessageKind
@@ -131,7 +131,7 @@
     commit: int = 0
     """The leader's commit index, in appends."""
     granted: bool = False
-    """In replies: the vote was granted, the entries were stored, or the snapshot was installed."""
+    """In replies, true if the vote was granted, the entries were appended, or the snapshot was installed."""
     resume_from: int = msgspec.field(default=0, name="hint")
     """In append replies, the last index that may match; in snapshot replies, the offset of the next byte."""
     context: int = msgspec.field(default=0, name="round")
@@ -143,7 +143,7 @@
     commit_age_ticks: int = msgspec.field(default=0, name="age")
     """In appends, the ticks since a quorum last confirmed the leader's commit index."""
     is_transfer: bool = msgspec.field(default=False, name="force")
-    """In vote requests: the campaign is part of a leadership transfer."""
+    """In vote requests, true if the campaign is part of a leadership transfer."""
     snapshot: Snapshot | None = None
     """In snapshot messages, the snapshot; its `data` is one chunk, which starts at `snapshot_offset`."""
     snapshot_offset: int = msgspec.field(default=0, name="offset")
@@ -161,20 +161,20 @@
 
 @dataclass(slots=True)
 class Ready:
-    """The work that a node has for its host, which does it in the order of the fields."""
+    """The work that a node returns to its caller, which performs it in the order of the fields."""
 
     hard_state: HardState | None = None
     snapshot: Snapshot | None = None
-    """The host stores it, together with the log's entries after it, and loads it into the state machine."""
+    """The caller stores it, together with the log's entries after it, and loads it into the state machine."""
     entries: list[Entry] = field(default_factory=list)
-    """The host stores them, unless it has stored them with `snapshot`.
+    """The caller stores them, unless it has stored them with `snapshot`.
 
-    They replace all stored entries from the first one's index on.
+    They replace all stored entries from the index of the first one on.
     """
     messages: list[Message] = field(default_factory=list)
-    """The host sends them after the fields above are on disk."""
+    """The caller sends them after the fields above are on disk."""
     committed_entries: list[Entry] = field(default_factory=list)
-    """The host applies them to the state machine."""
+    """The caller applies them to the state machine."""
     read_states: list[ReadState] = field(default_factory=list)
     rejected_reads: list[int] = field(default_factory=list)
     """Identifiers of reads that were rejected."""
--- a/wheatstile/store/raft/node.py
+++ b/wheatstile/store/raft/node.py
@@ -1,8 +1,8 @@
 """`RaftNode`: one member of the cluster as a pure step function, similar to etcd's raft.
 
-The host performs every side effect. It carries out a `Ready` completely, in the order of its fields: it
-persists, sends messages, applies entries, then answers reads. The node's time is a count of ticks. Its
-random numbers come from a callable that the host passes in.
+The caller performs every side effect. It processes each `Ready` completely, in the order of its fields: it
+persists the state, sends the messages, applies the entries, and then answers the reads. The node's time is a
+count of ticks. Its random numbers come from a function that the caller passes in.
 """
 
 from __future__ import annotations
@@ -30,11 +30,11 @@
 class RaftNode:
     """One member of the cluster.
 
-    `step`, `tick` and the requests change `state`; `ready` returns the resulting work for the host.
+    `step`, `tick` and the requests change `state`; `ready` returns the resulting work for the caller.
 
     `voters` is the initial configuration, which is used if nothing is stored yet. It is empty for a node that
     will be added to a running cluster. `draw(low, high)` returns an integer in [low, high) from a generator
-    that the host has seeded. `ticks` is the host's clock at the start; it must not go back at a restart.
+    that the caller has seeded. `ticks` is the caller's clock at the start; it must not go back at a restart.
     """
 
     def __init__(
@@ -81,7 +81,7 @@
 
     @property
     def is_membership_change_complete(self) -> bool:
-        """Whether the configuration in force is final and known to be committed."""
+        """True if the current configuration is not a joint one and is known to be committed."""
         return not self.log.configuration.outgoing_voters and self.log.is_configuration_committed
 
     @property
@@ -96,12 +96,12 @@
 
     @property
     def ticks(self) -> int:
-        """The node's clock."""
+        """The node's clock, in ticks."""
         return self.state.ticks
 
     @property
     def commit_age_ticks(self) -> int:
-        """Upper bound, in ticks, for how far the commit index is behind the leader's."""
+        """Upper bound, in ticks, on the time by which the commit index lags behind the leader's."""
         return self.state.commit_age_ticks
 
     def tick(self) -> None:
@@ -135,14 +135,14 @@
     def change_members(self, voters: Iterable[str], learners: Iterable[str] = ()) -> int:
         """Start a membership change and return the index of its first entry.
 
-        The leader appends the entry that completes the change once the first one is committed. Raises
+        Once the first entry is committed, the leader appends the entry that completes the change. Raises
         `NotLeaderError` and `MembershipChangeRejectedError`.
         """
         configuration = membership.plan_change(self.state, voters, learners)
         return replication.propose(self.state, EntryKind.CONFIGURATION, configuration=configuration)
 
     def transfer_leadership(self, target: str) -> None:
-        """Start a transfer of leadership to `target`, which campaigns once its log is complete.
+        """Start a transfer of leadership to `target`, which campaigns once its log is up to date.
 
         Raises `NotLeaderError` and `MembershipChangeRejectedError`.
         """
@@ -160,20 +160,20 @@
         self.state.forwarded_reads.discard(request_id)
 
     def compact(self, data: bytes) -> None:
-        """Replace the applied entries by a snapshot; `data` is the state machine's state after them."""
+        """Replace the applied entries with a snapshot; `data` is the state machine's state after them."""
         self.state.log.compact(data)
 
     def step(self, message: Message) -> None:
         """Handle a message from another member. Raises ValueError if it is addressed to another node."""
         if message.recipient != self.name:
-            raise ValueError(f"a message for {message.recipient} reached {self.name}")
+            raise ValueError(f"a message for {message.recipient} was delivered to {self.name}")
         if message.term < self.term:
             terms.reply_to_earlier_term(self.state, message)
         elif message.term == self.term or terms.accept_later_term(self.state, message):
             self._handlers[message.kind](self.state, message)
 
     def ready(self) -> Ready:
-        """Return the work for the host that has accumulated since the last call."""
+        """Return the work for the caller that has accumulated since the last call."""
         state = self.state
         if state.role is Role.LEADER:
             replication.replicate(state)
@@ -202,7 +202,7 @@
 def message_handlers() -> dict[MessageKind, MessageHandler]:
     """Return the function that handles each kind of message.
 
-    It is a function and not a constant so that a test can replace a handler in its module.
+    This is a function and not a constant, so that a test can replace a handler in its module.
     """
     return {
         MessageKind.PRE_VOTE: election.on_vote_request,
--- a/wheatstile/store/raft/progress.py
+++ b/wheatstile/store/raft/progress.py
@@ -8,7 +8,7 @@
 from wheatstile.store.raft.messages import Snapshot
 
 MAX_INFLIGHT_APPENDS = 32
-"""Unacknowledged appends to one follower."""
+"""Maximum number of unacknowledged appends to one follower."""
 
 
 @dataclass(slots=True)
@@ -26,7 +26,7 @@
     """The index of the next entry to send."""
     probing: bool = True
     awaiting_reply: bool = False
-    """While probing or sending a snapshot: the last message is unacknowledged."""
+    """While probing or sending a snapshot, true if the last message is unacknowledged."""
     inflight: deque[int] = field(default_factory=deque)
     """The last index of each unacknowledged append, oldest first."""
     snapshot: Snapshot | None = None
@@ -35,7 +35,7 @@
     acknowledged_round: int = 0
     """The latest heartbeat round that the follower has acknowledged."""
     reported_tick: int = 0
-    """The latest tick of its own clock that the follower has reported."""
+    """The latest tick of the follower's clock that its replies have reported."""
 
     def can_send(self) -> bool:
         """Return whether flow control allows another message."""
@@ -63,7 +63,7 @@
         self.next_index = max(self.next_index, index + 1)
 
     def on_append_rejected(self, index: int, resume_from: int) -> bool:
-        """Lower `next_index` after the follower rejected the preceding entry, which was at `index`.
+        """Lower `next_index` after the follower has rejected an append whose preceding entry is at `index`.
 
         The logs may match at `resume_from`. Returns False without a change if the rejection is outdated.
         """
@@ -76,14 +76,14 @@
         return True
 
     def start_snapshot(self, snapshot: Snapshot) -> None:
-        """Switch from entries to `snapshot`, from its first byte."""
+        """Stop sending entries, and start to send `snapshot` from its first byte."""
         self.snapshot = snapshot
         self.snapshot_offset = 0
         self.awaiting_reply = False
         self.inflight.clear()
 
     def finish_snapshot(self, index: int) -> None:
-        """Switch back to probing with entries; the follower's log matches up to `index`."""
+        """Return to probing with entries; the follower's log matches up to `index`."""
         self.snapshot = None
         self.probing = True
         self.awaiting_reply = False
--- a/wheatstile/store/raft/read_index.py
+++ b/wheatstile/store/raft/read_index.py
@@ -1,4 +1,4 @@
-"""Linearizable reads without a log entry: the read index (§6.4).
+"""Linearizable reads that need no log entry, by the read index method (§6.4).
 
 The leader answers a read with its commit index, once a quorum has acknowledged a heartbeat that was sent
 after the read arrived. This proves that it was still the leader when the read arrived. A follower forwards
@@ -12,7 +12,7 @@
 from wheatstile.store.raft.state import Leadership, PendingRead, RaftState
 
 MAX_PENDING_READS = 10_000
-"""Pending reads on one node. Further reads are rejected."""
+"""Maximum number of pending reads on one node. It does not accept further ones."""
 
 
 def request(state: RaftState, request_id: int) -> None:
@@ -56,7 +56,7 @@
     """Update the latest round that a quorum has acknowledged, and answer the reads that waited for it."""
     leadership = state.leadership
     leadership.confirmed_round = max(leadership.confirmed_round, _quorum_round(state))
-    started_at = _take_confirmed_starts(leadership)
+    started_at = _take_confirmed_round_starts(leadership)
     if not state.has_committed_in_term:
         return
     state.confirmed_at_tick = max([state.confirmed_at_tick, *started_at])
@@ -71,11 +71,11 @@
     return state.configuration.quorum_value(lambda name: rounds.get(name, 0))
 
 
-def _take_confirmed_starts(leadership: Leadership) -> list[int]:
+def _take_confirmed_round_starts(leadership: Leadership) -> list[int]:
     """Remove the confirmed rounds from `round_started_at` and return the ticks at which they started."""
     started_at = leadership.round_started_at
-    confirmed = [number for number in started_at if number <= leadership.confirmed_round]
-    return [started_at.pop(number) for number in confirmed]
+    confirmed = [round_number for round_number in started_at if round_number <= leadership.confirmed_round]
+    return [started_at.pop(round_number) for round_number in confirmed]
 
 
 def _answer_confirmed_reads(state: RaftState) -> None:
--- a/wheatstile/store/raft/replication.py
+++ b/wheatstile/store/raft/replication.py
@@ -11,7 +11,7 @@
 from wheatstile.store.raft.state import RaftState
 
 SNAPSHOT_CHUNK_BYTES = 256 * 1024
-"""Bytes of a snapshot's data in one message."""
+"""Maximum bytes of a snapshot's data in one message."""
 
 
 def propose(
@@ -34,9 +34,9 @@
 
 
 def advance_commit(state: RaftState) -> None:
-    """Commit the entries that a quorum has stored, and continue a membership change among them."""
+    """Commit the entries that a quorum has stored, and continue a membership change that this commits."""
     quorum_index = state.configuration.quorum_value(state.match_index)
-    # A majority of copies commits only an entry of the leader's own term (paper, §5.4.2).
+    # Only an entry of the leader's own term may be committed by counting its copies (paper, §5.4.2).
     if quorum_index <= state.log.commit_index or state.log.term_at(quorum_index) != state.term:
         return
     state.log.commit_index = quorum_index
@@ -59,7 +59,7 @@
 def broadcast_heartbeat(state: RaftState) -> None:
     """Start a heartbeat round.
 
-    A follower that acknowledges the round still accepted this node as its leader after the round's start.
+    A follower that acknowledges the round has accepted this node as its leader after the round started.
     """
     leadership = state.leadership
     leadership.heartbeat_elapsed = 0
@@ -77,7 +77,7 @@
 
 
 def replicate(state: RaftState) -> None:
-    """Send a requested heartbeat, and to each peer what flow control allows."""
+    """Send a heartbeat if one is requested, and send each peer the messages that flow control allows."""
     if state.leadership.heartbeat_requested:
         broadcast_heartbeat(state)
     for peer in state.peers:
@@ -85,7 +85,7 @@
 
 
 def _replicate_to(state: RaftState, peer: str) -> None:
-    """Send `peer` the entries, or the chunk of a snapshot, that flow control allows."""
+    """Send `peer` the entries or the snapshot chunk that flow control allows."""
     progress = state.leadership.progress[peer]
     while progress.can_send() and (progress.snapshot or progress.next_index <= state.log.last_index):
         if progress.snapshot is None and state.log.term_at(progress.next_index - 1) is None:
@@ -99,7 +99,7 @@
 
 
 def send_append(state: RaftState, peer: str, entries: tuple[Entry, ...]) -> None:
-    """Send `entries`, the first of which has the peer's `next_index`. Without entries it is a heartbeat."""
+    """Send `entries`, which start at the peer's `next_index`. An append without entries is a heartbeat."""
     progress = state.leadership.progress[peer]
     # A heartbeat to a peer whose preceding entry is compacted refers to the snapshot's last entry instead.
     previous_index = max(progress.next_index - 1, state.log.snapshot.index)
@@ -121,7 +121,7 @@
 
 
 def send_snapshot_chunk(state: RaftState, peer: str) -> None:
-    """Send the chunk of the snapshot at the peer's offset. Each heartbeat sends it again."""
+    """Send the chunk of the snapshot that starts at the peer's offset. Each heartbeat resends it."""
     progress = state.leadership.progress[peer]
     snapshot = progress.snapshot
     assert snapshot is not None
@@ -158,7 +158,7 @@
 
 
 def on_snapshot_reply(state: RaftState, message: Message) -> None:
-    """Handle a follower's reply to a chunk of a snapshot."""
+    """Handle a follower's reply to a snapshot chunk."""
     progress = _record_reply(state, message)
     if progress is None or progress.snapshot is None:
         return
--- a/wheatstile/store/raft/state.py
+++ b/wheatstile/store/raft/state.py
@@ -1,4 +1,4 @@
-"""The state of one Raft node, and the transitions that several parts of the algorithm use."""
+"""The state of one Raft node, and the state changes that several parts of the algorithm share."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 )
 from wheatstile.store.raft.progress import Progress
 
-NEVER_CONFIRMED_TICKS = 1_000_000
-"""Age of the commit index, in ticks, before the node has heard from a leader for the first time."""
+NEVER_CONFIRMED_AGE_TICKS = 1_000_000
+"""Age of the commit index, in ticks, before it has been confirmed for the first time."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -42,7 +42,10 @@
 
 @dataclass(slots=True)
 class PendingRead:
-    """A read that the leader answers with `index` once a quorum has acknowledged heartbeat `round` (§6.4)."""
+    """A read that the leader answers with `index` once a quorum has acknowledged `round` (§6.4).
+
+    `round` is the number of a heartbeat round.
+    """
 
     request_id: int
     requester: str
@@ -52,7 +55,7 @@
 
 @dataclass(slots=True)
 class IncomingSnapshot:
-    """The received part of a snapshot that includes the entries up to `index`; `term` is the last one's."""
+    """The received part of a snapshot; `index` and `term` are those of the last entry that it includes."""
 
     index: int
     term: int
@@ -61,7 +64,7 @@
 
 @dataclass(slots=True)
 class Leadership:
-    """State of a leader. It is empty on other nodes, and starts empty in each term."""
+    """The state that only a leader needs. It is empty on other nodes, and at the start of each term."""
 
     progress: dict[str, Progress] = field(default_factory=dict)
     """Replication state by peer."""
@@ -70,7 +73,7 @@
     heartbeat_elapsed: int = 0
     """Ticks since the last heartbeat."""
     heartbeat_requested: bool = False
-    """A pending read needs a heartbeat round before the next one is due."""
+    """True if a pending read needs a heartbeat round before the next one is due."""
     round: int = 0
     """The number of the latest heartbeat round."""
     confirmed_round: int = 0
@@ -89,7 +92,7 @@
 class RaftState:
     """The state of one node. The parts of the algorithm are functions that take it as first argument.
 
-    `draw(low, high)` returns an integer in [low, high) from the host's seeded generator.
+    `draw(low, high)` returns an integer in [low, high) from a generator that the caller has seeded.
     """
 
     name: str
@@ -117,12 +120,12 @@
     rejected_reads: list[int] = field(default_factory=list)
 
     def __post_init__(self) -> None:
-        self.confirmed_at_tick = self.ticks - NEVER_CONFIRMED_TICKS
+        self.confirmed_at_tick = self.ticks - NEVER_CONFIRMED_AGE_TICKS
         self.reset_election_timer()
 
     @property
     def configuration(self) -> Configuration:
-        """The configuration in force."""
+        """The current configuration."""
         return self.log.configuration
 
     @property
@@ -137,20 +140,20 @@
 
     @property
     def commit_age_ticks(self) -> int:
-        """Upper bound, in ticks, for how far the commit index is behind the leader's."""
+        """Upper bound, in ticks, on the time by which the commit index lags behind the leader's."""
         return self.ticks - self.confirmed_at_tick
 
     @property
     def has_committed_in_term(self) -> bool:
-        """Whether an entry of the current term is committed.
+        """True if an entry of the current term is committed.
 
         Until then, the commit index of a new leader may be lower than that of the previous leader (§6.4).
         """
         return self.log.term_at(self.log.commit_index) == self.term
 
     @property
-    def is_leader_recent(self) -> bool:
-        """Whether the last contact with the leader was within the minimum election time-out (§4.2.3)."""
+    def has_recent_leader_contact(self) -> bool:
+        """True if the last contact with the leader was within the minimum election time-out (§4.2.3)."""
         return self.leader is not None and self.election_elapsed < self.timing.election_ticks
 
     def require_leader(self) -> None:
@@ -191,7 +194,7 @@
         self.election_timeout = self.draw(self.timing.election_ticks, 2 * self.timing.election_ticks)
 
     def set_leader(self, leader: str | None) -> None:
-        """Set the known leader, and reject the reads that were forwarded to another one."""
+        """Set the known leader. If it changes, reject the reads that were forwarded to the previous one."""
         if leader != self.leader:
             self.rejected_reads += sorted(self.forwarded_reads)
             self.forwarded_reads.clear()
--- a/wheatstile/store/raft/transfer.py
+++ b/wheatstile/store/raft/transfer.py
@@ -1,4 +1,4 @@
-"""Leadership transfer (§3.10): the leader completes one voter's log, then tells it to campaign at once."""
+"""Leadership transfer (§3.10): the leader completes a voter's log, then tells it to campaign at once."""
 
 from __future__ import annotations
 
@@ -8,20 +8,23 @@
 
 
 def start(state: RaftState, target: str) -> None:
-    """Start a transfer to `target`. The leader rejects proposals for up to an election time-out.
+    """Start a transfer to `target`.
 
-    Raises `NotLeaderError`, and `MembershipChangeRejectedError` if `target` is not another voter.
+    The leader rejects proposals until the transfer ends, which takes at most an election time-out.
+    Raises `NotLeaderError`, and `MembershipChangeRejectedError` if `target` is this node or not a voter.
     """
     state.require_leader()
     if target == state.name or target not in state.configuration.voters:
-        raise MembershipChangeRejectedError(f"{target} is not another voter")
+        raise MembershipChangeRejectedError(
+            f"leadership can only be transferred to another voter, not to {target}"
+        )
     state.leadership.transfer_target = target
     state.leadership.transfer_ticks_remaining = state.timing.election_ticks
     send_timeout_now_if_caught_up(state)
 
 
 def send_timeout_now_if_caught_up(state: RaftState) -> None:
-    """Tell the transfer's target, if there is one, to campaign once its log is complete."""
+    """Tell the target of a transfer in progress to campaign, if its log is up to date."""
     target = state.leadership.transfer_target
     if target and state.match_index(target) == state.log.last_index:
         state.send(MessageKind.TIMEOUT_NOW, target)
