--- a/tests/store/raft_cluster.py
+++ b/tests/store/raft_cluster.py
@@ -104,11 +104,11 @@
         if random_share < 2 * CRASH_PROBABILITY:  # crashes after persisting, before any message is sent
             self.crashed.add(name)
             return
-        self.process_persisted(node, ready)
+        self.process_after_persisting(node, ready)
         self.check_one_leader(node)
         self.compact_if_due(node)
 
-    def process_persisted(self, node: RaftNode, ready: Ready) -> None:
+    def process_after_persisting(self, node: RaftNode, ready: Ready) -> None:
         """Install the snapshot, send the messages, apply the entries and check the reads."""
         if ready.snapshot:
             self.installed_snapshots += 1
--- a/tests/store/test_raft_transfer.py
+++ b/tests/store/test_raft_transfer.py
@@ -11,12 +11,12 @@
 
 
 def recipients_of_timeout_now(node: RaftNode) -> list[str]:
-    """Return the nodes that `node` has told to campaign since the last call."""
+    """Return the nodes to which `node` has sent a timeout-now message since the last call."""
     messages = node.ready().messages
     return [message.recipient for message in messages if message.kind is MessageKind.TIMEOUT_NOW]
 
 
-def test_the_target_is_told_to_campaign_once_its_log_is_complete() -> None:
+def test_timeout_now_is_sent_once_the_log_of_the_target_is_complete() -> None:
     leader = make_leader()
     leader.propose(b"x")
     leader.transfer_leadership("b")
--- a/wheatstile/store/raft/election.py
+++ b/wheatstile/store/raft/election.py
@@ -64,7 +64,7 @@
 def on_vote_request(state: RaftState, message: Message) -> None:
     """Reply to a vote or pre-vote request.
 
-    It is granted only if the sender's log is at least as up to date as this node's log (§3.6.1).
+    The vote is granted only if the sender's log is at least as up to date as this node's log (§3.6.1).
     """
     last_entry = (state.log.last_term, state.log.last_index)
     is_up_to_date = (message.log_term, message.index) >= last_entry
--- a/wheatstile/store/raft/follower.py
+++ b/wheatstile/store/raft/follower.py
@@ -51,7 +51,7 @@
 
 
 def _reject_append(state: RaftState, message: Message, uncommitted: UncommittedEntries) -> None:
-    """Reject an append whose preceding entry does not match; the reply names an index that may match."""
+    """Reject an append whose preceding entry does not match, with the last index that may match."""
     log = state.log
     resume_from = min(uncommitted.previous_index - 1, log.last_index)
     # An entry of a later term than the leader's preceding entry cannot match.
