--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_admission.py
@@ -8,7 +8,7 @@
 from wheatstile.decisions.server_load import OVERLOAD_THRESHOLD
 
 
-def test_full_fleet_rejects_part_of_its_requests_without_a_check() -> None:
+def test_full_fleet_rejects_most_requests_without_a_health_check() -> None:
     harness = BalancerHarness("a", "b", loads={"a": 1.0, "b": 1.0})
     harness.request("first")
     assert of_type(harness.log, api.Reject)
@@ -18,7 +18,7 @@
     assert 20 < len(of_type(harness.log[mark:], api.Reject)) < 40
 
 
-def test_balancer_checks_servers_soon_after_the_fleet_was_full() -> None:
+def test_servers_are_checked_again_once_the_reports_of_a_full_fleet_expire() -> None:
     harness = BalancerHarness("a", "b", loads={"a": 1.0, "b": 1.0})
     harness.request("first")
     harness.loads = {"a": 0.2, "b": 0.2}
@@ -57,7 +57,7 @@
         limiter = harness.balancer.setup_limiter
         limiter.bucket.rate = 1.0
         limiter.bucket.start(harness.now_us)
-        harness.balancer.context.begin(harness.now_us + SECOND_US)
+        harness.balancer.context.begin_event(harness.now_us + SECOND_US)
         limiter.try_acquire()
         recovered.append(limiter.bucket.rate - 1.0)
     assert recovered[0] < 4
--- a/tests/decisions/test_candidate_selection.py
+++ b/tests/decisions/test_candidate_selection.py
@@ -38,7 +38,7 @@
 
 
 @pytest.mark.parametrize("group", ["g1", "g2", "g3"])
-def test_affinity_group_grows_to_the_same_servers_everywhere(group: str) -> None:
+def test_affinity_group_with_full_candidates_uses_the_same_servers_at_every_balancer(group: str) -> None:
     """A group that outgrows its two servers may not spread over all of them."""
     first = BalancerHarness(*NAMES, fleet_size=50)
     checks = of_type(
@@ -57,7 +57,7 @@
     assert not chosen & set(full)
 
 
-def test_crossing_zones_has_its_cost() -> None:
+def test_server_in_another_zone_is_chosen_only_if_clearly_less_loaded() -> None:
     harness = BalancerHarness("a", "b", loads={"a": 0.45, "b": 0.4}, cross_zone_cost=0.1)
     other_zone = api.Endpoint("b", api.EndpointState.READY, "there")
     harness.update_endpoints(*endpoints("a"), other_zone, kind=api.EndpointUpdateKind.FULL)
--- a/tests/decisions/test_determinism.py
+++ b/tests/decisions/test_determinism.py
@@ -24,7 +24,7 @@
 """
 
 
-def play(seed: int) -> list[api.Action]:
+def run_scenario(seed: int) -> list[api.Action]:
     """Return the actions of 200 requests and ten seconds."""
     harness = BalancerHarness("a", "b", "c", seed=seed)
     for index in range(200):
@@ -34,11 +34,11 @@
 
 
 def test_same_seed_and_events_give_the_same_actions() -> None:
-    assert play(3) == play(3)
-    assert play(3) != play(4)
+    assert run_scenario(3) == run_scenario(3)
+    assert run_scenario(3) != run_scenario(4)
 
 
-def test_instances_share_nothing() -> None:
+def test_instances_share_no_state() -> None:
     first = BalancerHarness("a", "b")
     second = BalancerHarness("a", "b")
     first.update_endpoints(*endpoints("a"), kind=api.EndpointUpdateKind.FULL)
--- a/tests/decisions/test_endpoint_watch.py
+++ b/tests/decisions/test_endpoint_watch.py
@@ -29,7 +29,7 @@
 
 
 @pytest.mark.parametrize("poll_interval_us", [2 * SECOND_US, 5 * SECOND_US, 20 * SECOND_US])
-def test_back_off_is_bounded_by_four_poll_intervals(poll_interval_us: int) -> None:
+def test_backoff_is_bounded_by_four_poll_intervals(poll_interval_us: int) -> None:
     harness = BalancerHarness("a", poll_endpoints=True, poll_interval_us=poll_interval_us)
     for _ in range(9):
         delays = fail_call(harness)
@@ -38,7 +38,7 @@
 
 
 @pytest.mark.parametrize("state", [api.EndpointState.DRAINING, api.EndpointState.GONE])
-def test_nothing_new_goes_to_a_server_that_drains_or_is_gone(state: api.EndpointState) -> None:
+def test_draining_or_gone_server_gets_no_new_requests(state: api.EndpointState) -> None:
     harness = BalancerHarness("a", "b")
     harness.update_endpoints(api.Endpoint("b", state, "here"))
     for index in range(50):
@@ -46,7 +46,7 @@
     assert set(harness.attempted_servers) == {"a"}
 
 
-def test_drain_during_the_health_checks_counts() -> None:
+def test_server_removed_during_its_health_check_is_not_chosen() -> None:
     harness = BalancerHarness("a", "b", loads={"a": 0.6, "b": 0.1})
     harness.dispatch(api.Request("r", "web", 2 * SECOND_US))
     # A server that is absent from a full list is gone.
@@ -55,7 +55,7 @@
     assert harness.attempted_servers == ["a"]
 
 
-def test_failed_call_is_repeated_with_a_doubling_delay() -> None:
+def test_failed_discovery_call_is_repeated_with_a_doubling_delay() -> None:
     harness = BalancerHarness("a", poll_endpoints=True)
     assert any(timer.token == WATCH for timer in harness.timers)
     delays = [delay for _ in range(6) for delay in fail_call(harness)]
@@ -64,7 +64,7 @@
     assert 4 * SECOND_US <= min(delays[4:]) < 12 * SECOND_US
 
 
-def test_update_ends_the_back_off() -> None:
+def test_update_resets_the_backoff() -> None:
     harness = BalancerHarness("a", poll_endpoints=True)
     for _ in range(6):
         fail_call(harness)
@@ -72,7 +72,7 @@
     assert fail_call(harness)[0] <= 2 * SECOND_US
 
 
-def test_failed_call_keeps_the_list() -> None:
+def test_failed_discovery_call_keeps_the_endpoint_list() -> None:
     harness = BalancerHarness("a", poll_endpoints=True)
     fail_call(harness)
     assert of_type(harness.dispatch(api.TimerFired(WATCH)), api.WatchEndpoints)
--- a/tests/decisions/test_event_order.py
+++ b/tests/decisions/test_event_order.py
@@ -95,14 +95,14 @@
         self._checked_actions = len(self.harness.log)
 
 
-EventPlayer = Callable[[RuleChecker, Step], None]
-ALWAYS_POSSIBLE: tuple[EventPlayer, ...] = (
+EventAction = Callable[[RuleChecker, Step], None]
+ALWAYS_POSSIBLE: tuple[EventAction, ...] = (
     RuleChecker.request,
     RuleChecker.pass_time,
     RuleChecker.update_list,
     RuleChecker.answer_check,
 )
-WITH_AN_ATTEMPT: tuple[EventPlayer, ...] = (
+WITH_AN_ATTEMPT: tuple[EventAction, ...] = (
     RuleChecker.end_attempt,
     RuleChecker.establish,
     RuleChecker.report_latency,
@@ -117,16 +117,16 @@
     st.integers(0, 5),
     st.sampled_from(list(api.Idempotency)),
 )
-def test_any_order_of_events_keeps_the_rules(
-    script: list[tuple[EventPlayer, Step]], seed: int, idempotency: api.Idempotency
+def test_actions_obey_the_rules_for_any_order_of_events(
+    script: list[tuple[EventAction, Step]], seed: int, idempotency: api.Idempotency
 ) -> None:
     checker = RuleChecker(seed, idempotency)
-    for play, step in script:
-        if play in WITH_AN_ATTEMPT:
+    for apply_event, step in script:
+        if apply_event in WITH_AN_ATTEMPT:
             if not checker.attempts_in_flight:
                 continue
-            play(checker, step)
+            apply_event(checker, step)
             checker.harness.answer_checks()
         else:
-            play(checker, step)
+            apply_event(checker, step)
         checker.check_new_actions()
--- a/tests/decisions/test_exploration.py
+++ b/tests/decisions/test_exploration.py
@@ -18,7 +18,7 @@
 
 
 @pytest.mark.parametrize(("x_j", "probability"), [(1.0, 1.0), (1.2, 1.0), (0.5, 0.0), (0.0, 0.0)])
-def test_return_is_certain_or_excluded_outside_the_band(x_j: float, probability: float) -> None:
+def test_return_probability_is_zero_or_one_outside_the_band(x_j: float, probability: float) -> None:
     assert return_probability(1.0, x_j, n=10, gamma=0.05) == probability
 
 
@@ -31,7 +31,7 @@
     assert return_probability(2.0, 2 - band / 2, 10, gamma) == pytest.approx(0.75)
 
 
-def test_expected_loads_even_out() -> None:
+def test_expected_loads_are_equal_after_the_returns() -> None:
     """The identity behind the rule: the moves that stay even out the two expected loads."""
     gamma = 0.4
     x_i = 1.0
@@ -41,7 +41,7 @@
     assert x_i - stays_at_j + stays_at_i == pytest.approx(x_j + stays_at_j - stays_at_i)
 
 
-def test_one_server_has_no_return() -> None:
+def test_return_probability_is_zero_with_one_server() -> None:
     assert return_probability(1.0, 0.5, n=1, gamma=0.05) == 0.0
 
 
@@ -71,7 +71,7 @@
     assert moves == pytest.approx(10000 * GAMMA_CAP, rel=0.25)
 
 
-def test_moves_go_uniformly_to_the_other_servers() -> None:
+def test_exploration_targets_are_uniform_over_the_other_servers() -> None:
     targets: Counter[str] = Counter()
     for seed in range(20):
         harness = BalancerHarness("a", "b", "c", "d", seed=seed)
@@ -83,7 +83,9 @@
 
 
 @pytest.mark.parametrize(("load_after", "goes_back"), [(0.5, True), (0.4, True), (0.1, False)])
-def test_next_slot_compares_the_loads_before_and_after(load_after: float, goes_back: bool) -> None:
+def test_next_slot_returns_the_client_unless_the_new_server_has_a_lower_load(
+    load_after: float, goes_back: bool
+) -> None:
     harness = BalancerHarness("a", "b", loads={"a": 0.4, "b": 0.3})
     assert explore_one(harness) == "b"
     harness.loads["b"] = load_after
@@ -114,7 +116,7 @@
     assert harness.attempted_servers[-1] == "a"
 
 
-def test_one_server_does_not_explore() -> None:
+def test_fleet_of_one_server_does_not_explore() -> None:
     assert run_explore_slot(BalancerHarness("a"), 2000) == []
 
 
--- a/tests/decisions/test_health_checks.py
+++ b/tests/decisions/test_health_checks.py
@@ -6,7 +6,7 @@
 from wheatstile import interface as api
 
 
-def test_first_rejected_check_is_no_failure() -> None:
+def test_first_rejected_check_is_not_a_failure() -> None:
     """Many balancers that check a healthy server at once may overload it briefly; its clients stay."""
     harness = BalancerHarness("a", "b", "c", loads={"a": 0.6, "b": 0.4, "c": 0.4})
     harness.connect("c0", "a")
@@ -35,7 +35,7 @@
     assert moves == [api.Migrate("c0")]
 
 
-def test_no_check_where_checks_are_disabled() -> None:
+def test_no_health_check_is_sent_while_checks_are_disabled() -> None:
     harness = BalancerHarness("a", "b", "c", health_checks_enabled=False)
     harness.connect("c0", "a")
     harness.report_latency("c0", "a", 400.0)
@@ -72,7 +72,7 @@
     assert any(server.ejection.is_active(harness.now_us) for server in servers) == is_ejected
 
 
-def test_server_that_answers_checks_with_errors_keeps_its_clients_and_gets_no_more() -> None:
+def test_server_that_answers_checks_with_errors_keeps_its_clients_and_gets_no_new_ones() -> None:
     harness = BalancerHarness("a", "b", "c", reports_message_latency=False)
     harness.connect_many(40, "a")
     for _ in range(3):
--- a/tests/decisions/test_many_balancers.py
+++ b/tests/decisions/test_many_balancers.py
@@ -21,13 +21,13 @@
     """Drain these servers; all their clients disconnect now and reconnect within the spread."""
     draining = [replace(fleet.endpoints[name], state=api.EndpointState.DRAINING) for name in names]
     fleet.update_endpoints(*draining)
-    for id in [id for id, place in fleet.places.items() if place.server in names]:
-        fleet.end(id)
-        fleet.arrive(fleet.random.randrange(spread_us), reconnecting=True)
+    for id in [id for id, connection in fleet.connections.items() if connection.server in names]:
+        fleet.end_connection(id)
+        fleet.schedule_request(fleet.random.randrange(spread_us), reconnecting=True)
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_starting_servers_take_their_share_and_no_more_from_forty_balancers(seed: int) -> None:
+def test_forty_balancers_use_and_do_not_exceed_the_capacity_of_starting_servers(seed: int) -> None:
     fleet = FleetModel(40, SERVERS, capacity=60, seed=seed)
     fleet.connect_at_each_server(27)
     fleet.run(5 * SECOND_US)
@@ -38,7 +38,7 @@
     drain(fleet, *SERVERS[:3])
     fleet.run(4 * SECOND_US)
     # 6 s after its start a server has 0.3 of its capacity of 60 connections.
-    assert sum(fleet.open_connections[endpoint.name] for endpoint in starting) >= 20
+    assert sum(fleet.connection_counts[endpoint.name] for endpoint in starting) >= 20
     assert all(fleet.max_attempts_within(endpoint.name, 1_500_000) <= 0.3 * 60 for endpoint in starting)
 
 
@@ -57,7 +57,7 @@
         slow_start_overload_factor=OVERLOAD_FACTOR,
     )
     for number in range(45):
-        fleet.arrive(number * SECOND_US // 10)
+        fleet.schedule_request(number * SECOND_US // 10)
     fleet.run(6 * SECOND_US)
     fleet.update_endpoints(replace(fleet.endpoints["w0"], name=STARTING, started_at_us=fleet.now_us))
     fleet.run(6 * SECOND_US)
@@ -68,7 +68,7 @@
 
 
 @pytest.mark.parametrize("balancers", [20, 32])
-def test_reconnect_burst_uses_the_budget_of_a_starting_server_and_no_more(balancers: int) -> None:
+def test_reconnect_burst_uses_and_does_not_exceed_the_budget_of_a_starting_server(balancers: int) -> None:
     attempts = [attempts_at_a_starting_server(balancers, seed) for seed in range(30)]
     mean_age_us = 7.5 * SECOND_US  # at the end of the window
     budget = OVERLOAD_FACTOR * SMALL_CAPACITY * mean_age_us / SLOW_START_DURATION_US
@@ -81,9 +81,9 @@
     fleet = FleetModel(40, SERVERS, capacity=60, seed=seed)
     fleet.connect_at_each_server(60)
     for number in range(150):
-        fleet.arrive(number * SECOND_US // 30)
+        fleet.schedule_request(number * SECOND_US // 30)
     fleet.run(20 * SECOND_US)
-    for id in fleet.random.sample(sorted(fleet.places), len(fleet.places) * 5 // 6):
-        fleet.end(id)
+    for id in fleet.random.sample(sorted(fleet.connections), len(fleet.connections) * 5 // 6):
+        fleet.end_connection(id)
     fleet.run(LOAD_REPORT_TTL_US)
     assert len(fleet.waiting) <= 20
--- a/tests/decisions/test_package.py
+++ b/tests/decisions/test_package.py
@@ -9,7 +9,7 @@
 ROOT = Path(__file__).parents[2]
 PACKAGE = ROOT / "wheatstile" / "decisions"
 POLICY = [ROOT / name for name in tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]]
-DECIDES_NOTHING = {
+NON_POLICY_MODULES = {
     "__init__.py",
     "balancer.py",
     "connection.py",
@@ -45,11 +45,11 @@
 
 
 def test_policy_names_every_module_that_decides() -> None:
-    assert {path.name for path in PACKAGE.glob("*.py")} - DECIDES_NOTHING == {path.name for path in POLICY}
+    assert {path.name for path in PACKAGE.glob("*.py")} - NON_POLICY_MODULES == {path.name for path in POLICY}
     assert {path.parent for path in POLICY} == {PACKAGE}
 
 
-def test_head_names_the_interface() -> None:
+def test_balancer_docstring_names_the_interface() -> None:
     assert "wheatstile/interface/" in (PACKAGE / "balancer.py").read_text().split('"""')[1]
 
 
--- a/tests/decisions/test_rebalancing.py
+++ b/tests/decisions/test_rebalancing.py
@@ -12,7 +12,7 @@
     return sum(check.server == server for check in of_type(actions, api.CheckHealth))
 
 
-def test_server_with_late_messages_loses_its_excess() -> None:
+def test_server_with_high_message_latency_loses_its_excess_connections() -> None:
     harness = BalancerHarness("a", "b", "c", loads={"a": 2.0, "b": 0.5, "c": 0.5})
     harness.connect_many(60, "a")
     harness.report_latency("c0", "a", 400.0)
@@ -33,7 +33,7 @@
     assert "a" not in harness.attempted_servers
 
 
-def test_checks_after_late_messages_are_spread() -> None:
+def test_health_checks_after_high_message_latency_are_jittered() -> None:
     """All balancers learn of a server's latency at the same moment."""
     delays = set()
     for seed in range(20):
@@ -56,12 +56,12 @@
     return len(of_type(harness.run(SECOND_US // 2), api.Migrate))
 
 
-def test_growing_latency_outweighs_a_late_report() -> None:
+def test_growing_latency_overrides_a_stale_load_report() -> None:
     assert 8 <= migrations_after_latencies(300.0, 400.0) <= 30
     assert migrations_after_latencies(400.0, 300.0) == 0
 
 
-def test_latency_within_the_objective_migrates_nobody() -> None:
+def test_latency_within_the_objective_migrates_no_connection() -> None:
     harness = BalancerHarness("a", "b", loads={"a": 2.0, "b": 0.1})
     harness.connect("c0", "a")
     harness.report_latency("c0", "a", 49.0)
@@ -123,7 +123,7 @@
     assert after > before
 
 
-def test_connections_that_have_just_been_established_stay() -> None:
+def test_new_connections_are_not_migrated_before_the_settling_time() -> None:
     """The work of many setups shows as load for a moment."""
     harness = BalancerHarness("a", "b", loads={"a": 0.3, "b": 0.3}, reports_message_latency=False)
     for number in range(60):
--- a/tests/decisions/test_request_lifecycle.py
+++ b/tests/decisions/test_request_lifecycle.py
@@ -56,7 +56,7 @@
         assert [type(action) for action in harness.dispatch(request)] == [api.Reject]
 
 
-def test_empty_endpoint_list_ends_in_one_rejection() -> None:
+def test_request_with_an_empty_endpoint_list_gets_one_rejection() -> None:
     harness = BalancerHarness()
     harness.request("r")
     harness.run(3 * SECOND_US)
@@ -115,7 +115,7 @@
     assert BalancerHarness("a").dispatch(event) == []
 
 
-def test_waiting_request_checks_ever_less_often() -> None:
+def test_waiting_request_checks_servers_at_increasing_intervals() -> None:
     names = [f"s{number}" for number in range(40)]  # too many for one request to check all
     harness = BalancerHarness(*names, loads=dict.fromkeys(names, OVERLOAD_THRESHOLD + 0.1))
     harness.request("r:1", expires_in_us=4 * SECOND_US)
--- a/tests/decisions/test_retry_policy.py
+++ b/tests/decisions/test_retry_policy.py
@@ -32,7 +32,7 @@
     assert 500_000 <= harness.attempts[0].timeout_us <= SECOND_US
 
 
-def test_attempts_end_at_the_limit() -> None:
+def test_request_is_answered_once_after_the_maximum_number_of_attempts() -> None:
     harness = BalancerHarness("a", "b", "c")
     harness.request("r", 20 * SECOND_US)
     for attempt in range(3):
--- a/tests/decisions/test_server_load.py
+++ b/tests/decisions/test_server_load.py
@@ -46,17 +46,17 @@
     load = ServerLoad()
     assert (load.value, load.is_measured) == (None, False)
     load.record_report({"load": 0.6}, NOW_US)
-    assert (load.value, load.read_at_us, load.is_measured) == (0.6, NOW_US, True)
+    assert (load.value, load.reported_at_us, load.is_measured) == (0.6, NOW_US, True)
     load.record_report({}, NOW_US + 1)
-    assert (load.value, load.read_at_us, load.is_measured) == (None, NOW_US + 1, False)
+    assert (load.value, load.reported_at_us, load.is_measured) == (None, NOW_US + 1, False)
 
 
-def test_failed_checks_leave_no_measured_load() -> None:
+def test_load_is_not_measured_after_a_failed_check() -> None:
     load = ServerLoad()
     load.record_report({"load": 0.6}, NOW_US)
     load.mark_unreachable()
     assert (load.value, load.is_measured) == (UNREACHABLE_LOAD, False)
-    load.forget()
+    load.mark_unknown()
     assert (load.value, load.is_measured) == (None, False)
 
 
@@ -79,7 +79,7 @@
     assert set(harness.attempted_servers[-10:]) == {"b"}
 
 
-def test_counts_rank_servers_but_make_none_full() -> None:
+def test_counts_rank_servers_but_never_mark_one_overloaded() -> None:
     harness = BalancerHarness("a", "b", load_metrics=("inflight",))
     for index in range(30):
         harness.dispatch(api.Request(f"r{index}", "web", 2 * SECOND_US))
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -36,7 +36,7 @@
         server = harness.server("starting")
         selector = harness.balancer.selector
         now_us = harness.now_us + 4 * SECOND_US
-        harness.balancer.context.begin(now_us)
+        harness.balancer.context.begin_event(now_us)
         if any(selector.is_eligible(server, None) for _ in range(10)):
             permitted += 1
             server.slow_start.charge(now_us)
@@ -61,7 +61,7 @@
     assert count in permitted
 
 
-def test_budget_is_for_the_window_of_the_settings() -> None:
+def test_refill_rate_is_inversely_proportional_to_the_overload_window() -> None:
     refills = []
     for window_us in (SECOND_US, 2 * SECOND_US, 4 * SECOND_US):
         harness = harness_in_slow_start(slow_start_overload_window_us=window_us)
@@ -69,7 +69,7 @@
         server = harness.server("b")
         server.slow_start.tokens = 0.0
         server.slow_start.updated_at_us = harness.now_us
-        harness.balancer.context.begin(harness.now_us + SECOND_US // 10)
+        harness.balancer.context.begin_event(harness.now_us + SECOND_US // 10)
         harness.balancer.slow_start.permits(server, is_retry=False)
         refills.append(server.slow_start.tokens)
     assert refills[0] > 0
--- a/tests/decisions/test_slow_start_budget.py
+++ b/tests/decisions/test_slow_start_budget.py
@@ -46,7 +46,7 @@
     assert budget.tokens == Random(1).random()
 
 
-def test_tokens_are_refilled_with_time_and_kept_for_one_window() -> None:
+def test_tokens_are_refilled_over_time_up_to_the_refill_of_one_window() -> None:
     budget = started_budget(Random(1))
     budget.tokens = 0.0
     permits(budget, FIRST_ATTEMPT_COST, TWO_TOKENS_A_SECOND, START_US + SECOND_US // 4)
@@ -65,14 +65,14 @@
     assert not permits(budget, FIRST_ATTEMPT_COST, TWO_TOKENS_A_SECOND, START_US)
 
 
-def test_part_of_a_token_is_the_probability_of_an_attempt() -> None:
+def test_refill_below_one_token_is_the_probability_of_an_attempt() -> None:
     assert not permits(started_budget(Random(1)), FIRST_ATTEMPT_COST, JUST_BELOW_FIRST_DRAW, START_US)
     assert permits(started_budget(Random(1)), FIRST_ATTEMPT_COST, JUST_ABOVE_FIRST_DRAW, START_US)
     assert not permits(started_budget(Random(1)), RETRY_COST, JUST_ABOVE_FIRST_DRAW, START_US)
     assert permits(started_budget(Random(1)), RETRY_COST, ABOVE_TWICE_THE_FIRST_DRAW, START_US)
 
 
-def test_window_has_one_draw_and_at_most_one_attempt_of_it() -> None:
+def test_window_has_one_draw_and_at_most_one_attempt() -> None:
     budget = started_budget(Random(1))
     last_us = START_US + WINDOW_US - 1
     assert permits(budget, FIRST_ATTEMPT_COST, QUARTER_TOKEN_A_WINDOW, START_US)
--- a/tests/support/decision_replay.py
+++ b/tests/support/decision_replay.py
@@ -77,7 +77,7 @@
             shutdown_at_step = SHUTDOWN_STEP if seed % 2 else NO_SHUTDOWN
             environment = ReplayEnvironment(settings, seed, shutdown_at_step)
             lines.append(f"instance {number} seed {seed}")
-            lines += environment.play(STEPS_PER_INSTANCE)
+            lines += environment.run(STEPS_PER_INSTANCE)
     return lines
 
 
--- a/tests/support/fleet_model.py
+++ b/tests/support/fleet_model.py
@@ -23,7 +23,7 @@
 
 
 @dataclass(frozen=True)
-class Place:
+class OpenConnection:
     """Where a connection is open."""
 
     balancer: int
@@ -57,14 +57,14 @@
         self.capacity = capacity  # connections that fill one server
         self.settings = settings(fleet_size=balancers, reports_message_latency=False, **changes)
         self.endpoints = {name: api.Endpoint(name, api.EndpointState.READY, "here") for name in servers}
-        self.open_connections: Counter[str] = Counter()  # keyed by server
-        self.places: dict[str, Place] = {}  # open connections, keyed by id
+        self.connection_counts: Counter[str] = Counter()  # keyed by server
+        self.connections: dict[str, OpenConnection] = {}  # open connections, keyed by id
         self.attempts: list[Attempt] = []
         self.waiting: set[str] = set()  # requests without a connection
         self._readings: dict[str, list[LoadReading]] = defaultdict(list)  # keyed by server
         self._attempt_counts: Counter[str] = Counter()  # keyed by request
-        self._due: list[tuple[int, int, Callable[[], None]]] = []
-        self._order = count()
+        self._event_queue: list[tuple[int, int, Callable[[], None]]] = []
+        self._sequence_numbers = count()
         self._ids = count()
         self.balancers: list[Balancer] = []
         for number in range(balancers):
@@ -73,16 +73,16 @@
     def _start_balancer(self, number: int) -> None:
         balancer = Balancer(self.settings, self.random.getrandbits(32))
         self.balancers.append(balancer)
-        self._carry_out(number, balancer.start(self.now_us))
+        self._execute(number, balancer.start(self.now_us))
         endpoints = list(self.endpoints.values())
         self.dispatch(number, api.EndpointUpdate(api.EndpointUpdateKind.CACHED, endpoints))
 
     def run(self, duration_us: int) -> None:
         """Let time pass, and run the events that are due."""
         end_us = self.now_us + duration_us
-        while self._due and self._due[0][0] <= end_us:
-            self.now_us, _, work = heapq.heappop(self._due)
-            work()
+        while self._event_queue and self._event_queue[0][0] <= end_us:
+            self.now_us, _, callback = heapq.heappop(self._event_queue)
+            callback()
         self.now_us = end_us
 
     def update_endpoints(self, *changed: api.Endpoint) -> None:
@@ -90,19 +90,21 @@
         self.endpoints |= {endpoint.name: endpoint for endpoint in changed}
         event = api.EndpointUpdate(api.EndpointUpdateKind.DELTA, list(changed))
         for number in range(len(self.balancers)):
-            self._dispatch_later(self.random.randrange(DISCOVERY_SPREAD_US), number, lambda: event)
+            self._schedule_dispatch(self.random.randrange(DISCOVERY_SPREAD_US), number, lambda: event)
 
-    def arrive(self, delay_us: int, reconnecting: bool = False) -> None:
+    def schedule_request(self, delay_us: int, reconnecting: bool = False) -> None:
         """Let a client request a connection at a random balancer."""
-        self._later(delay_us, lambda: self._request(reconnecting))
+        self._schedule(delay_us, lambda: self._request(reconnecting))
 
-    def end(self, id: str) -> None:
+    def end_connection(self, id: str) -> None:
         """End an open connection, and report it to its balancer."""
-        place = self.places.pop(id)
-        self.open_connections[place.server] -= 1
+        connection = self.connections.pop(id)
+        self.connection_counts[connection.server] -= 1
         attempt = max(0, self._attempt_counts[id] - 1)
         outcome = api.AttemptOutcome.CANCELLED
-        self.dispatch(place.balancer, api.AttemptEnded(id, attempt, place.server, outcome, closed=True))
+        self.dispatch(
+            connection.balancer, api.AttemptEnded(id, attempt, connection.server, outcome, closed=True)
+        )
 
     def connect_at_each_server(self, number: int) -> None:
         """Add connections from before the start at each server, spread over the balancers."""
@@ -110,8 +112,8 @@
             for index in range(number):
                 id = f"o{next(self._ids)}"
                 balancer = index % len(self.balancers)
-                self.open_connections[server] += 1
-                self.places[id] = Place(balancer, server)
+                self.connection_counts[server] += 1
+                self.connections[id] = OpenConnection(balancer, server)
                 self.dispatch(balancer, api.ExistingConnection(id, "web", server, id))
 
     def max_attempts_within(self, server: str, window_us: int) -> int:
@@ -122,13 +124,13 @@
 
     def dispatch(self, number: int, event: api.Event) -> None:
         """Have a balancer handle an event now."""
-        self._carry_out(number, self.balancers[number].handle(self.now_us, event))
+        self._execute(number, self.balancers[number].handle(self.now_us, event))
 
-    def _later(self, delay_us: int, work: Callable[[], None]) -> None:
-        heapq.heappush(self._due, (self.now_us + delay_us, next(self._order), work))
+    def _schedule(self, delay_us: int, callback: Callable[[], None]) -> None:
+        heapq.heappush(self._event_queue, (self.now_us + delay_us, next(self._sequence_numbers), callback))
 
-    def _dispatch_later(self, delay_us: int, number: int, event: Callable[[], api.Event]) -> None:
-        self._later(delay_us, lambda: self.dispatch(number, event()))
+    def _schedule_dispatch(self, delay_us: int, number: int, event: Callable[[], api.Event]) -> None:
+        self._schedule(delay_us, lambda: self.dispatch(number, event()))
 
     def _request(self, reconnecting: bool) -> None:
         id = f"c{next(self._ids)}"
@@ -136,37 +138,37 @@
         request = api.Request(id, "web", 2 * SECOND_US, key=id, affinity_group=id, reconnecting=reconnecting)
         self.dispatch(self.random.choice(range(len(self.balancers))), request)
 
-    def _carry_out(self, number: int, actions: list[api.Action]) -> None:
+    def _execute(self, number: int, actions: list[api.Action]) -> None:
         for action in actions:
             match action:
                 case api.SetTimer():
-                    self._dispatch_later(action.delay_us, number, self._timer_event(action))
+                    self._schedule_dispatch(action.delay_us, number, self._timer_event(action))
                 case api.CheckHealth():
-                    self._dispatch_later(ROUND_TRIP_US, number, self._check_event(action))
+                    self._schedule_dispatch(ROUND_TRIP_US, number, self._check_event(action))
                 case api.StartAttempt():
                     self.attempts.append(Attempt(self.now_us, action.server))
-                    self._dispatch_later(ROUND_TRIP_US, number, self._attempt_event(number, action))
+                    self._schedule_dispatch(ROUND_TRIP_US, number, self._attempt_event(number, action))
                 case api.Reject():
                     self._reject(action.id)
-                case api.Migrate() if action.id in self.places:  # else its server has just ended it
-                    self.end(action.id)
-                    self.arrive(100_000 + self.random.randrange(SECOND_US), reconnecting=True)
+                case api.Migrate() if action.id in self.connections:  # else its server has just ended it
+                    self.end_connection(action.id)
+                    self.schedule_request(100_000 + self.random.randrange(SECOND_US), reconnecting=True)
 
     def _reject(self, id: str) -> None:
-        self._later(RETRY_DELAY_US, lambda: self.waiting.discard(id))
-        self.arrive(RETRY_DELAY_US, reconnecting=True)
+        self._schedule(RETRY_DELAY_US, lambda: self.waiting.discard(id))
+        self.schedule_request(RETRY_DELAY_US, reconnecting=True)
 
     @staticmethod
     def _timer_event(action: api.SetTimer) -> Callable[[], api.Event]:
         return lambda: api.TimerFired(action.token)
 
     def _check_event(self, action: api.CheckHealth) -> Callable[[], api.Event]:
-        return lambda: self._answer_check(action.server)
+        return lambda: self._health_check_result(action.server)
 
     def _attempt_event(self, number: int, action: api.StartAttempt) -> Callable[[], api.Event]:
         return lambda: self._establish(number, action.id, action.server)
 
-    def _answer_check(self, server: str) -> api.Event:
+    def _health_check_result(self, server: str) -> api.Event:
         readings = self._readings[server]
         readings.append(LoadReading(self.now_us, self._load(server)))
         old = [reading for reading in readings if reading.at_us <= self.now_us - REPORT_AGE_US]
@@ -181,12 +183,12 @@
             (self.now_us - started_at_us) / self.settings.slow_start_duration_us if started_at_us else 1.0
         )
         share = min(1.0, max(self.settings.slow_start_initial_capacity, relative_age))
-        return self.open_connections[server] / self.capacity / share
+        return self.connection_counts[server] / self.capacity / share
 
     def _establish(self, number: int, id: str, server: str) -> api.Event:
         attempt = self._attempt_counts[id]
         self._attempt_counts[id] += 1
-        self.open_connections[server] += 1
+        self.connection_counts[server] += 1
         self.waiting.discard(id)
-        self.places[id] = Place(number, server)
+        self.connections[id] = OpenConnection(number, server)
         return api.Established(id, attempt, server, ROUND_TRIP_US)
--- a/tests/support/replay_environment.py
+++ b/tests/support/replay_environment.py
@@ -36,7 +36,7 @@
 )
 HIGH_LOAD_REPORTS = REPORTS[2:5]
 UNKNOWN_ID = "nobody"
-EVENTS_ABOUT_NOBODY: tuple[api.Event, ...] = (
+EVENTS_WITH_UNKNOWN_IDS: tuple[api.Event, ...] = (
     api.ClientDisconnected(UNKNOWN_ID),
     api.Established(UNKNOWN_ID, 0, "s0", 1),
     api.AttemptEnded(UNKNOWN_ID, 0, "s0", api.AttemptOutcome.RESET),
@@ -72,10 +72,10 @@
             self._report_latency: 6,
             self._report_load: 3,
             self._open_connection: 2,
-            self._dispatch_events_about_nobody: 1,
+            self._dispatch_events_with_unknown_ids: 1,
         }
 
-    def play(self, steps: int) -> list[str]:
+    def run(self, steps: int) -> list[str]:
         """Return one line of text for each action of the module in this number of steps."""
         self._state.record(self._now_us, self._balancer.start(self._now_us))
         listed = [self._draw_endpoint(name) for name in FIRST_SERVERS]
@@ -83,10 +83,10 @@
         for _ in range(FIRST_CONNECTIONS):
             self._open_connection()
         for step in range(steps):
-            self._play_step(step)
+            self._run_step(step)
         return self._state.lines
 
-    def _play_step(self, step: int) -> None:
+    def _run_step(self, step: int) -> None:
         """Let some time pass, then dispatch one random event."""
         if step % 700 == 0:
             self._draw_conditions()
@@ -95,7 +95,7 @@
         if step == self._shutdown_at_step:
             self._dispatch(api.ShutdownStarted())
         self._now_us += int(self._random.expovariate(1 / self._mean_step_us))
-        for timer in self._state.take_due_timers(self._now_us):
+        for timer in self._state.pop_due_timers(self._now_us):
             self._dispatch(api.TimerFired(timer.token))
         events = list(self._weighted_events)
         weights = list(self._weighted_events.values())
@@ -236,6 +236,6 @@
         service_class = self._random.choice([*self._settings.classes])
         self._dispatch(api.ExistingConnection(id, service_class, server, f"k-{id}"))
 
-    def _dispatch_events_about_nobody(self) -> None:
-        for event in EVENTS_ABOUT_NOBODY:
+    def _dispatch_events_with_unknown_ids(self) -> None:
+        for event in EVENTS_WITH_UNKNOWN_IDS:
             self._dispatch(event)
--- a/tests/support/replay_state.py
+++ b/tests/support/replay_state.py
@@ -32,9 +32,9 @@
         """Write the actions down, and keep what has to be followed up."""
         for action in actions:
             self.lines.append(f"{now_us} {self._text(action)}")
-            self._remember(now_us, action)
+            self._track(now_us, action)
 
-    def take_due_timers(self, now_us: int) -> list[PendingTimer]:
+    def pop_due_timers(self, now_us: int) -> list[PendingTimer]:
         """Remove and return the timers that are due, in the order of their due times."""
         due = sorted(timer for timer in self._timers if timer.due_us <= now_us)
         self._timers = [timer for timer in self._timers if timer.due_us > now_us]
@@ -48,7 +48,7 @@
         """Return the open sessions."""
         return [session for session in self.sessions.values() if session.established]
 
-    def _remember(self, now_us: int, action: api.Action) -> None:
+    def _track(self, now_us: int, action: api.Action) -> None:
         match action:
             case api.StartAttempt():
                 self.sessions[action.id].server = action.server
--- a/wheatstile/decisions/admission.py
+++ b/wheatstile/decisions/admission.py
@@ -8,7 +8,7 @@
 from wheatstile.decisions.server_load import OVERLOAD_THRESHOLD
 from wheatstile.decisions.token_bucket import AdaptiveTokenBucket, TokenRates
 
-RENEWAL_TIME_S = 60  # unit of the rates below: setups for each connection in this time
+RATE_PERIOD_S = 60  # unit of the rates below: setups for each connection in this time
 INITIAL_RATE = 240.0  # four a second for each connection, enough for a whole reconnect burst
 MAX_RATE = 480.0
 MIN_RATE = 1.0
@@ -33,7 +33,7 @@
         self._connections = connections
         self._peak_connections = 0.0
         rates = TokenRates(INITIAL_RATE, MAX_RATE, MIN_RATE, RATE_INCREASE_PER_S, RATE_DECREASE_FACTOR)
-        self.bucket = AdaptiveTokenBucket(rates, RENEWAL_TIME_S)
+        self.bucket = AdaptiveTokenBucket(rates, RATE_PERIOD_S)
 
     def start(self) -> None:
         """Start the refill of tokens."""
@@ -58,8 +58,8 @@
         self._update_peak()
         fleet_size = self._context.settings.fleet_size
         assumed_connections = MIN_CONNECTIONS_PER_SERVER * len(self._endpoints.ready) / fleet_size
-        size = max(self._peak_connections, assumed_connections)
-        return self.bucket.try_acquire(self._context.now_us, size)
+        scale = max(self._peak_connections, assumed_connections)
+        return self.bucket.try_acquire(self._context.now_us, scale)
 
     def _update_peak(self) -> None:
         elapsed_s = self.bucket.seconds_since_update(self._context.now_us)
@@ -75,7 +75,7 @@
         self._context = context
         self._fleet_load = fleet_load
 
-    def rejects(self) -> bool:
+    def should_reject(self) -> bool:
         """Return whether to reject a request at once: at random, and only while the fleet is full."""
         if self._fleet_load.mean() <= OVERLOAD_THRESHOLD:
             return False
--- a/wheatstile/decisions/attempt_starter.py
+++ b/wheatstile/decisions/attempt_starter.py
@@ -20,10 +20,12 @@
         """Start an attempt at a server, or answer if the deadline has passed."""
         remaining_us = connection.deadline_us - self._context.now_us
         if remaining_us <= 0:
-            self._final_answer.give(connection)
+            self._final_answer.send(connection)
             return
         connection.begin_attempt(server)
         server.slow_start.charge(self._context.now_us)
         timeout_us = self._retry_policy.attempt_timeout_us(connection, remaining_us)
         send_before_us = self._retry_policy.repeat_window_end_us(connection)
-        self._context.act(api.StartAttempt(connection.id, server.endpoint.name, timeout_us, send_before_us))
+        self._context.add_action(
+            api.StartAttempt(connection.id, server.endpoint.name, timeout_us, send_before_us)
+        )
--- a/wheatstile/decisions/balancer.py
+++ b/wheatstile/decisions/balancer.py
@@ -49,12 +49,12 @@
         self._placement = self._build_request_placement()
         self._requests = self._build_request_lifecycle()
         self._event_handlers = self._build_event_handlers()
-        self._balancer_timers: Mapping[api.TimerKind, Callable[[], None]] = {
+        self._balancer_timer_handlers: Mapping[api.TimerKind, Callable[[], None]] = {
             api.TimerKind.EXPLORATION_SLOT: self.exploration.on_slot,
             api.TimerKind.LOAD_CHECK: self._rebalancer.on_load_check_due,
             api.TimerKind.WATCH_ENDPOINTS: self._watch.watch,
         }
-        self._connection_timers: Mapping[api.TimerKind, Callable[[Connection], None]] = {
+        self._connection_timer_handlers: Mapping[api.TimerKind, Callable[[Connection], None]] = {
             api.TimerKind.REPEATED_LOAD_CHECK: self._rebalancer.on_repeated_load_check_due,
             api.TimerKind.REBALANCE: self._rebalancer.on_rebalance_due,
         }
@@ -136,7 +136,7 @@
 
     def start(self, now_us: int) -> list[api.Action]:
         """Start the timers; called once, before any event. Return the actions to carry out."""
-        self.context.begin(now_us)
+        self.context.begin_event(now_us)
         self.setup_limiter.start()
         self.exploration.start()
         self._rebalancer.start()
@@ -148,7 +148,7 @@
 
         An event about a connection or a server that is not known is ignored.
         """
-        self.context.begin(now_us)
+        self.context.begin_event(now_us)
         self.fleet_load.begin_event()
         self._event_handlers[type(event)](event)
         return self.context.actions
@@ -183,7 +183,7 @@
 
     def _on_timer(self, event: api.TimerFired) -> None:
         token = event.token
-        if handler := self._balancer_timers.get(token.kind):
+        if handler := self._balancer_timer_handlers.get(token.kind):
             handler()
         elif connection := self.connections.get(token.connection_id):
             self._on_connection_timer(token, connection)
@@ -192,4 +192,4 @@
         if token.kind is api.TimerKind.CANDIDATE_TIMEOUT:
             self._placement.on_timeout(connection, token.due_us)
         elif connection.is_established:
-            self._connection_timers[token.kind](connection)
+            self._connection_timer_handlers[token.kind](connection)
--- a/wheatstile/decisions/candidate_selection.py
+++ b/wheatstile/decisions/candidate_selection.py
@@ -54,11 +54,11 @@
         With the same placement hash every balancer draws the same servers. A connection of None, or one
         without a placement hash, gets a random one.
         """
-        return self._pick(connection, excluded, own_zone_only=False)
+        return self._pick(connection, excluded, local_zone_only=False)
 
     def pick_near(self, connection: Connection) -> Server | None:
         """Draw an eligible server as `pick` does, from the own zone if crossing zones has a cost."""
-        return self._pick(connection, None, own_zone_only=self._context.settings.cross_zone_cost > 0)
+        return self._pick(connection, None, local_zone_only=self._context.settings.cross_zone_cost > 0)
 
     def draw_candidates(self, connection: Connection) -> list[Server]:
         """Draw up to two candidates for a connection."""
@@ -70,8 +70,8 @@
 
     def best_candidate(self, connection: Connection) -> Server | None:
         """Return the less loaded of the eligible candidates that have answered a health check."""
-        found = [server for server in connection.candidates if self._is_usable(server, connection)]
-        return min(self._without_ejected(found), key=self._load_with_crossing, default=None)
+        eligible = [server for server in connection.candidates if self._is_usable(server, connection)]
+        return min(self._without_ejected(eligible), key=self._load_with_crossing, default=None)
 
     def _is_usable(self, candidate: Server, connection: Connection) -> bool:
         if self._health_checks.is_in_flight(candidate):
@@ -88,7 +88,7 @@
         return load + CROSS_ZONE_LOAD * settings.cross_zone_cost
 
     def _pick(
-        self, connection: Connection | None, excluded: Server | None, own_zone_only: bool
+        self, connection: Connection | None, excluded: Server | None, local_zone_only: bool
     ) -> Server | None:
         seed = connection.placement_hash if connection else RANDOM_PLACEMENT
         if seed == RANDOM_PLACEMENT:
@@ -98,25 +98,25 @@
         def is_skipped(server: Server) -> bool:
             return server is excluded or server.ejection.until_us > now_us
 
-        for server in self._endpoints.lookup.draw(seed, MAX_DRAWS, is_skipped):
-            is_near = not own_zone_only or server.endpoint.zone == self._context.settings.zone
-            if is_near and self.is_eligible(server, connection):
+        for server in self._endpoints.lookup_table.draw(seed, MAX_DRAWS, is_skipped):
+            is_zone_allowed = not local_zone_only or server.endpoint.zone == self._context.settings.zone
+            if is_zone_allowed and self.is_eligible(server, connection):
                 return server
         return self._pick_from_all(connection, excluded)
 
     def _pick_from_all(self, connection: Connection | None, excluded: Server | None) -> Server | None:
         """Draw from the whole list of servers, by weight."""
-        found = [
+        eligible = [
             server
             for server in self._endpoints.ready
             if server is not excluded and self.is_eligible(server, connection)
         ]
-        found = self._without_ejected(found)
-        if not found:
+        eligible = self._without_ejected(eligible)
+        if not eligible:
             return None
-        if self._endpoints.lookup.has_equal_weights:
-            return self._context.random.choice(found)
-        return self._context.random.choices(found, [server.endpoint.weight for server in found])[0]
+        if self._endpoints.lookup_table.has_equal_weights:
+            return self._context.random.choice(eligible)
+        return self._context.random.choices(eligible, [server.endpoint.weight for server in eligible])[0]
 
     def _without_ejected(self, servers: list[Server]) -> list[Server]:
         """Return the servers that are not ejected; all of them if every one is ejected."""
--- a/wheatstile/decisions/connection.py
+++ b/wheatstile/decisions/connection.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FirstForward:
+class PossibleExecution:
     """The first attempt that may have run."""
 
     at_us: int
@@ -68,7 +68,7 @@
     candidates: list[Server] = field(default_factory=list)  # the request waits for their health checks
     candidate_draws: int = 0  # number of pairs drawn so far
     next_decision_at_us: int = 0  # due time of the request's last timer; earlier timers are ignored
-    first_forward: FirstForward | None = None  # None: no attempt may have run
+    first_possible_execution: PossibleExecution | None = None  # None: no attempt may have run
     established_at_us: int = 0
     load: float = 1.0  # microseconds of work a second, as last reported
     exploration_move: ExplorationMove | None = None  # the move that brought the connection to its server
@@ -100,8 +100,8 @@
         """Record that the attempt in flight has failed, and the request waits again."""
         self.phase = _WAITING
         self.is_repeated_setup = True
-        if self.server and not self.first_forward and outcome.may_have_run:
-            self.first_forward = FirstForward(started_at_us, self.server)
+        if self.server and not self.first_possible_execution and outcome.may_have_run:
+            self.first_possible_execution = PossibleExecution(started_at_us, self.server)
 
     def establish(self, now_us: int) -> None:
         """Record that the attempt in flight has succeeded, and the connection is open."""
--- a/wheatstile/decisions/endpoint_table.py
+++ b/wheatstile/decisions/endpoint_table.py
@@ -15,7 +15,7 @@
         self.servers: dict[str, Server] = {}  # keyed by name
         self.ready: list[Server] = []  # sorted by name
         self.ready_loads: list[ServerLoad] = []  # loads of the ready servers
-        self.lookup: WeightedLookupTable[Server] = WeightedLookupTable([], [])
+        self.lookup_table: WeightedLookupTable[Server] = WeightedLookupTable([], [])
 
     def update(self, event: api.EndpointUpdate) -> list[Server]:
         """Apply a list of endpoints or its changes. Return the servers that are new or have restarted."""
@@ -28,7 +28,7 @@
             self._mark_absent_as_gone(event.endpoints)
         self.ready = [server for _, server in sorted(self.servers.items()) if server.endpoint.is_ready]
         self.ready_loads = [server.load for server in self.ready]
-        self.lookup = WeightedLookupTable(self.ready, [server.endpoint.weight for server in self.ready])
+        self.lookup_table = WeightedLookupTable(self.ready, [server.endpoint.weight for server in self.ready])
         return started_servers
 
     def _apply(self, endpoint: api.Endpoint) -> tuple[Server, bool]:
--- a/wheatstile/decisions/endpoint_watch.py
+++ b/wheatstile/decisions/endpoint_watch.py
@@ -37,4 +37,4 @@
 
     def watch(self) -> None:
         """Request the list and its changes now."""
-        self._context.act(api.WatchEndpoints())
+        self._context.add_action(api.WatchEndpoints())
--- a/wheatstile/decisions/event_context.py
+++ b/wheatstile/decisions/event_context.py
@@ -24,12 +24,12 @@
         self.settings = settings
         self.health_checks_enabled = settings.health_checks_enabled and bool(settings.load_metrics)
 
-    def begin(self, now_us: int) -> None:
+    def begin_event(self, now_us: int) -> None:
         """Begin an event at this time, with no actions yet."""
         self.now_us = now_us
         self.actions = []
 
-    def act(self, action: api.Action) -> None:
+    def add_action(self, action: api.Action) -> None:
         """Add an action to the answer to this event."""
         self.actions.append(action)
 
--- a/wheatstile/decisions/exploration.py
+++ b/wheatstile/decisions/exploration.py
@@ -152,7 +152,7 @@
         if connection.key:
             move.expires_at_us = self._context.now_us + MOVE_TIMEOUT_US
             self._pending[connection.key] = move
-        self._context.act(api.Migrate(connection.id))
+        self._context.add_action(api.Migrate(connection.id))
         self._connections.remove(connection)
 
     def _expire_moves(self) -> None:
--- a/wheatstile/decisions/final_answer.py
+++ b/wheatstile/decisions/final_answer.py
@@ -17,14 +17,14 @@
         self._context = context
         self._connections = connections
 
-    def give(self, connection: Connection) -> None:
+    def send(self, connection: Connection) -> None:
         """Reject a request, or fail it if an attempt may have run and a retry could do harm."""
-        may_have_run = connection.first_forward is not None or connection.phase is _ATTEMPTING
+        may_have_run = connection.first_possible_execution is not None or connection.phase is _ATTEMPTING
         self._connections.remove(connection)
         if may_have_run and not connection.service_class.is_client_retry_harmless:
-            self._context.act(api.Fail(connection.id))
+            self._context.add_action(api.Fail(connection.id))
         else:
-            self._context.act(api.Reject(connection.id, self._draw_retry_after_us()))
+            self._context.add_action(api.Reject(connection.id, self._draw_retry_after_us()))
 
     def _draw_retry_after_us(self) -> int:
         """Draw the time after which the client should retry; 0 if the settings do not allow to name it."""
--- a/wheatstile/decisions/fleet_load.py
+++ b/wheatstile/decisions/fleet_load.py
@@ -42,7 +42,7 @@
         return self.mean() >= OVERLOAD_THRESHOLD
 
     def _compute_mean(self) -> float:
-        oldest_us = self._context.now_us - LOAD_REPORT_TTL_US
+        cutoff_us = self._context.now_us - LOAD_REPORT_TTL_US
         loads = []
         for load in self._endpoints.ready_loads:
             value = load.value
@@ -50,7 +50,7 @@
                 loads.append(ASSUMED_LOAD)
             elif value >= UNREACHABLE_LOAD:
                 continue
-            elif load.read_at_us <= oldest_us:
+            elif load.reported_at_us <= cutoff_us:
                 loads.append(ASSUMED_LOAD)
             else:
                 loads.append(value if value < FULL_LOAD else FULL_LOAD)
--- a/wheatstile/decisions/health_checks.py
+++ b/wheatstile/decisions/health_checks.py
@@ -37,7 +37,7 @@
         waiters = self._waiters.get(server)
         if waiters is None:
             waiters = self._waiters[server] = []
-            self._context.act(api.CheckHealth(server.endpoint.name))
+            self._context.add_action(api.CheckHealth(server.endpoint.name))
         waiters.append((callback, connection))
 
     def check_server_of(self, connection: Connection, callback: CheckCallback) -> None:
@@ -69,7 +69,7 @@
         """
         is_reachable = outcome is api.AttemptOutcome.ERROR or _is_first_rejection(server, outcome)
         if is_reachable:
-            server.load.forget()
+            server.load.mark_unknown()
         else:
             server.load.mark_unreachable()
         server.ejection.record_failure(self._context.now_us)
--- a/wheatstile/decisions/lookup_table.py
+++ b/wheatstile/decisions/lookup_table.py
@@ -18,14 +18,14 @@
 
 @dataclass(frozen=True, slots=True)
 class _LinearCongruentialGenerator:
-    factor: int
-    step: int
+    multiplier: int
+    increment: int
     modulus: int
-    low_bits: int  # number of lowest bits that are dropped, as the least random ones
+    discarded_bits: int  # number of lowest bits that are dropped, as the least random ones
 
 
-_FOR_EQUAL_WEIGHTS = _LinearCongruentialGenerator(1103515245, 12345, 2**31, 8)
-_FOR_UNEQUAL_WEIGHTS = _LinearCongruentialGenerator(6364136223846793005, 1442695040888963407, 2**64, 40)
+_EQUAL_WEIGHTS_GENERATOR = _LinearCongruentialGenerator(1103515245, 12345, 2**31, 8)
+_UNEQUAL_WEIGHTS_GENERATOR = _LinearCongruentialGenerator(6364136223846793005, 1442695040888963407, 2**64, 40)
 
 
 class WeightedLookupTable(Generic[Item]):
@@ -40,7 +40,7 @@
         self.has_equal_weights = len(set(weights)) < 2  # noqa: PLR2004
         mean_weight = sum(weights) / max(len(weights), 1)
         counts = [1 if self.has_equal_weights else ceil(weight / mean_weight) for weight in weights]
-        self._generator = _FOR_EQUAL_WEIGHTS if self.has_equal_weights else _FOR_UNEQUAL_WEIGHTS
+        self._generator = _EQUAL_WEIGHTS_GENERATOR if self.has_equal_weights else _UNEQUAL_WEIGHTS_GENERATOR
         slot_count = 4 << sum(counts).bit_length()
         self._slots: list[Item | None] = [None] * slot_count
         self._acceptance_ratios = [1.0] * slot_count  # share of the draws of a slot that its item accepts
@@ -57,28 +57,28 @@
         self._slots[index] = item
         self._acceptance_ratios[index] = acceptance_ratio
 
-    def draw(self, seed: int, draws: int, is_skipped: Callable[[Item], bool]) -> Iterator[Item]:
+    def draw(self, seed: int, draw_count: int, is_skipped: Callable[[Item], bool]) -> Iterator[Item]:
         """Yield the items of this number of draws, except skipped items and those that do not accept.
 
         A skipped item uses no draw for its acceptance ratio. The generator for equal weights (31 bits)
         favours some items by a few percent; the one for unequal weights (64 bits, Knuth's MMIX) does not.
         """
-        factor = self._generator.factor  # local names, since this is the module's busiest loop
-        step = self._generator.step
+        multiplier = self._generator.multiplier  # local names, since this is the module's busiest loop
+        increment = self._generator.increment
         modulus = self._generator.modulus
-        low_bits = self._generator.low_bits
+        discarded_bits = self._generator.discarded_bits
         slots = self._slots
         acceptance_ratios = self._acceptance_ratios
         value = seed
-        for _ in range(draws):
-            value = (value * factor + step) % modulus
-            index = (value >> low_bits) % len(slots)
+        for _ in range(draw_count):
+            value = (value * multiplier + increment) % modulus
+            index = (value >> discarded_bits) % len(slots)
             item = slots[index]
             if item is None or is_skipped(item):
                 continue
             acceptance_ratio = acceptance_ratios[index]
             if acceptance_ratio < 1:
-                value = (value * factor + step) % modulus
+                value = (value * multiplier + increment) % modulus
                 if value >= acceptance_ratio * modulus:
                     continue
             yield item
--- a/wheatstile/decisions/rebalancing.py
+++ b/wheatstile/decisions/rebalancing.py
@@ -126,7 +126,7 @@
         excess = load - OVERLOAD_THRESHOLD
         for candidate in self._connections.established_at(server):
             if self._is_settled(candidate) and self._context.random.random() * load < excess:
-                self._context.act(api.Migrate(candidate.id))
+                self._context.add_action(api.Migrate(candidate.id))
                 self._connections.remove(candidate)
 
     def _try_begin_interval(self, server: Server) -> bool:
--- a/wheatstile/decisions/request_lifecycle.py
+++ b/wheatstile/decisions/request_lifecycle.py
@@ -54,8 +54,8 @@
         connection = self._add_request(event)
         if self._try_follow_exploration(connection) or self._try_mid_flow(event, connection):
             return
-        if self._is_shutting_down or self._early_rejection.rejects():
-            self._final_answer.give(connection)
+        if self._is_shutting_down or self._early_rejection.should_reject():
+            self._final_answer.send(connection)
         else:
             self._placement.place(connection)
 
@@ -77,7 +77,7 @@
     def on_attempt_ended(self, event: api.AttemptEnded) -> None:
         """Handle the end of an attempt or of an open connection: retry, answer, or forget it."""
         connection = self._connections.get(event.id)
-        if connection is None or not _is_last_attempt(connection, event):
+        if connection is None or not _is_current_attempt(connection, event):
             return
         self._record_outcome(connection, event)
         if connection.is_established or event.closed or event.outcome.is_ok:
@@ -97,7 +97,7 @@
         """Answer all waiting requests now, and every later request at its arrival."""
         self._is_shutting_down = True
         for connection in self._connections.unanswered():
-            self._final_answer.give(connection)
+            self._final_answer.send(connection)
 
     def _record_outcome(self, connection: Connection, event: api.AttemptEnded) -> None:
         """Record the load report of the server, and the failure of an attempt."""
@@ -148,23 +148,23 @@
         """
         if not event.midflow or connection.is_repeated_setup:
             return False
-        holder = self._selector.pick_near(connection)
-        if holder is None or self._is_shutting_down:
+        probable_server = self._selector.pick_near(connection)
+        if probable_server is None or self._is_shutting_down:
             return False
-        self._attempt_starter.start(connection, holder)
+        self._attempt_starter.start(connection, probable_server)
         return True
 
     def _retry(self, connection: Connection, move: ExplorationMove | None) -> None:
         """Retry a failed attempt, at the origin of the client's move if it had one."""
         if not self._retry_policy.allows_retry(connection):
-            self._final_answer.give(connection)
+            self._final_answer.send(connection)
         elif move and self._selector.is_available(move.origin, connection):
             self._attempt_starter.start(connection, move.origin)
         else:
             self._placement.place(connection)
 
 
-def _is_last_attempt(connection: Connection, event: api.AttemptEnded) -> bool:
+def _is_current_attempt(connection: Connection, event: api.AttemptEnded) -> bool:
     """Return whether an event is about the connection's last attempt, in flight or established."""
     is_last = connection.attempts == event.attempt + 1
     return is_last and (connection.phase is _ATTEMPTING or connection.is_established)
--- a/wheatstile/decisions/request_placement.py
+++ b/wheatstile/decisions/request_placement.py
@@ -46,7 +46,7 @@
     def place(self, connection: Connection) -> None:
         """Draw two candidates and check both. A repeated setup waits for a token first."""
         if self._retry_policy.is_repeat_window_over(connection):
-            self._final_answer.give(connection)
+            self._final_answer.send(connection)
             return
         if connection.is_repeated_setup and not self._setup_limiter.try_acquire():
             self._wait_for_token(connection)
@@ -84,7 +84,7 @@
             return
         is_expired = self._context.now_us >= connection.deadline_us
         if is_expired or (best and self._fleet_load.is_overloaded()):
-            self._final_answer.give(connection)
+            self._final_answer.send(connection)
         elif is_timed_out:
             self.place(connection)
         elif best:
--- a/wheatstile/decisions/retry_policy.py
+++ b/wheatstile/decisions/retry_policy.py
@@ -21,10 +21,10 @@
 
     def repeat_window_end_us(self, connection: Connection) -> int | None:
         """Return when a repeat stops being harmless; None if that time is not limited."""
-        first_forward = connection.first_forward
-        if first_forward is None or connection.service_class.idempotency is _IDEMPOTENT:
+        first_possible_execution = connection.first_possible_execution
+        if first_possible_execution is None or connection.service_class.idempotency is _IDEMPOTENT:
             return None
-        return first_forward.at_us + int(connection.service_class.repeat_window_us)
+        return first_possible_execution.at_us + int(connection.service_class.repeat_window_us)
 
     def is_repeat_window_over(self, connection: Connection) -> bool:
         """Return whether an attempt may have run and another would not be harmless any more."""
@@ -33,13 +33,15 @@
 
     def may_attempt_at(self, server: Server, connection: Connection) -> bool:
         """Return whether an attempt at this server is harmless."""
-        first_forward = connection.first_forward
+        first_possible_execution = connection.first_possible_execution
         service_class = connection.service_class
-        if first_forward is None or service_class.idempotency is _IDEMPOTENT:
+        if first_possible_execution is None or service_class.idempotency is _IDEMPOTENT:
             return True
         if self.is_repeat_window_over(connection):
             return False
-        return server.endpoint.shares_scope(first_forward.server.endpoint, service_class.deduplication_scope)
+        return server.endpoint.shares_scope(
+            first_possible_execution.server.endpoint, service_class.deduplication_scope
+        )
 
     def attempt_timeout_us(self, connection: Connection, remaining_us: int) -> int:
         """Return the time-out of the next attempt, given the time until the deadline.
--- a/wheatstile/decisions/server_load.py
+++ b/wheatstile/decisions/server_load.py
@@ -8,7 +8,7 @@
 OVERLOAD_THRESHOLD = 0.7  # messages begin to miss their latency objectives above this load
 SEVERE_OVERLOAD_THRESHOLD = 0.8  # a single report above this load is evidence enough, despite its noise
 UNREACHABLE_LOAD = 1e6  # recorded when a health check gets no answer
-LOAD_WHERE_LATENCY_GROWS = 1.0  # lower bound of the load while message latency is growing
+MIN_LOAD_AT_GROWING_LATENCY = 1.0  # lower bound of the load while message latency is growing
 COUNT_METRICS = (LoadMetric.IN_FLIGHT, LoadMetric.QUEUE_LENGTH)  # no capacity is known to divide them by
 HALF_THRESHOLD_COUNT = 100  # a count of this size is read as a load of half of OVERLOAD_THRESHOLD
 LOAD_METRIC_PREFERENCE = (LoadMetric.LOAD, LoadMetric.BUSY_SHARE, LoadMetric.BACKLOG_S, *COUNT_METRICS)
@@ -21,23 +21,23 @@
     """
     for metric in LOAD_METRIC_PREFERENCE:
         if metric in report:
-            figure = report[metric]
-            return _load_of_count(figure) if metric in COUNT_METRICS else figure
+            value = report[metric]
+            return _load_from_count(value) if metric in COUNT_METRICS else value
     return None
 
 
-def _load_of_count(count: float) -> float:
+def _load_from_count(count: float) -> float:
     return OVERLOAD_THRESHOLD * count / (count + HALF_THRESHOLD_COUNT)
 
 
 class ServerLoad:
     """The last known load of one server."""
 
-    __slots__ = ("_message_latency_ms", "lower_bound", "read_at_us", "value")
+    __slots__ = ("_message_latency_ms", "lower_bound", "reported_at_us", "value")
 
     def __init__(self) -> None:
         self.value: float | None = None  # last reported load; None: unknown
-        self.read_at_us = 0  # time of the last report
+        self.reported_at_us = 0  # time of the last report
         self.lower_bound = 0.0  # implied by message latency, which is more recent than a report
         self._message_latency_ms = 0.0
 
@@ -49,18 +49,18 @@
     def record_report(self, report: LoadReport, now_us: int) -> None:
         """Record the load that a report shows; it becomes unknown if the report shows none."""
         self.value = load_in(report)
-        self.read_at_us = now_us
+        self.reported_at_us = now_us
 
     def record_message_latency(self, latency_ms: float) -> None:
         """Record a message latency. It sets the lower bound of the load if it is longer than the last one."""
         is_growing = latency_ms > self._message_latency_ms
-        self.lower_bound = LOAD_WHERE_LATENCY_GROWS if is_growing else 0.0
+        self.lower_bound = MIN_LOAD_AT_GROWING_LATENCY if is_growing else 0.0
         self._message_latency_ms = latency_ms
 
     def mark_unreachable(self) -> None:
         """Record that a health check got no answer."""
         self.value = UNREACHABLE_LOAD
 
-    def forget(self) -> None:
+    def mark_unknown(self) -> None:
         """Make the load unknown."""
         self.value = None
--- a/wheatstile/decisions/slow_start.py
+++ b/wheatstile/decisions/slow_start.py
@@ -32,7 +32,7 @@
         context = self._context
         window_us = context.settings.slow_start_overload_window_us
         server.slow_start.reset(server.endpoint.started_at_us, context.now_us, window_us, context.random)
-        server.load.forget()
+        server.load.mark_unknown()
 
     def permits(self, server: Server, is_retry: bool) -> bool:
         """Return whether one more attempt is within the server's budget; always, once slow start is over."""
@@ -58,6 +58,6 @@
         settings = self._context.settings
         capacity = max(settings.slow_start_initial_capacity, age_us / settings.slow_start_duration_us)
         connections_per_server = OVERLOAD_THRESHOLD * len(self._connections) / len(self._endpoints.ready)
-        share = connections_per_server / max(self._fleet_load.mean(), MIN_MEAN_LOAD) * capacity
+        target_connections = connections_per_server / max(self._fleet_load.mean(), MIN_MEAN_LOAD) * capacity
         period_us = max(MIN_REFILL_PERIOD_US, settings.slow_start_overload_window_us)
-        return share * settings.slow_start_overload_factor / period_us
+        return target_connections * settings.slow_start_overload_factor / period_us
--- a/wheatstile/decisions/slow_start_budget.py
+++ b/wheatstile/decisions/slow_start_budget.py
@@ -4,7 +4,7 @@
 
 FIRST_ATTEMPT_COST = 1  # tokens
 RETRY_COST = 2  # tokens; most attempts in a reconnect burst are retries
-SPENT_DRAW = 1.0  # value of a draw that has been used; not below any probability
+USED_DRAW = 1.0  # value of a draw that has been used; not below any probability
 
 
 class SlowStartBudget:
@@ -19,7 +19,7 @@
     def __init__(self) -> None:
         self.tokens = 0.0
         self.updated_at_us = 0
-        self._draw = SPENT_DRAW  # last draw, from 0 to 1
+        self._draw = USED_DRAW  # last draw, from 0 to 1
         self._draw_expires_at_us = 0
         self._last_attempt_at_us = -1
 
@@ -39,7 +39,7 @@
     def charge(self, now_us: int) -> None:
         """Charge an attempt that is sent now. No draw of this window admits another one."""
         self.tokens -= FIRST_ATTEMPT_COST
-        self._draw = SPENT_DRAW
+        self._draw = USED_DRAW
         self._last_attempt_at_us = now_us
 
     def permits(self, cost: int, tokens_per_us: float, window_us: int, now_us: int, random: Random) -> bool:
@@ -48,14 +48,14 @@
         self._refill(tokens_per_us, tokens_per_window, now_us)
         if tokens_per_window >= 1:
             return self.tokens >= cost
-        return self._draw_of_window(window_us, now_us, random) * cost < tokens_per_window
+        return self._draw_for_window(window_us, now_us, random) * cost < tokens_per_window
 
     def _refill(self, tokens_per_us: float, max_tokens: float, now_us: int) -> None:
         gained = (now_us - self.updated_at_us) * tokens_per_us
         self.tokens = min(max_tokens, self.tokens + gained)
         self.updated_at_us = now_us
 
-    def _draw_of_window(self, window_us: int, now_us: int, random: Random) -> float:
+    def _draw_for_window(self, window_us: int, now_us: int, random: Random) -> float:
         if now_us >= self._draw_expires_at_us:
             self._draw = random.random()
             self._draw_expires_at_us = now_us + window_us
--- a/wheatstile/decisions/token_bucket.py
+++ b/wheatstile/decisions/token_bucket.py
@@ -8,26 +8,26 @@
 
 @dataclass(frozen=True, slots=True)
 class TokenRates:
-    """The bounds and steps of a bucket's rate, which is in tokens for each unit of size and renewal time."""
+    """The bounds and steps of a bucket's rate, which is in tokens for each unit of scale and renewal time."""
 
     initial: float
     max: float
     min: float
-    increase_per_s: float  # multiplied by the size
+    increase_per_s: float  # multiplied by the scale
     decrease_factor: float  # applied at each failure
 
 
 class AdaptiveTokenBucket:
-    """A bucket that is refilled with `rate * size / renewal_time_s` tokens a second.
+    """A bucket that is refilled with `rate * scale / rate_period_s` tokens a second.
 
-    The size is given with each call: here the number of connections, to which failures are proportional.
+    The scale is given with each call: here the number of connections, to which failures are proportional.
     """
 
-    __slots__ = ("_rates", "_renewal_time_s", "rate", "tokens", "updated_at_us")
+    __slots__ = ("_rates", "_rate_period_s", "rate", "tokens", "updated_at_us")
 
-    def __init__(self, rates: TokenRates, renewal_time_s: float) -> None:
+    def __init__(self, rates: TokenRates, rate_period_s: float) -> None:
         self._rates = rates
-        self._renewal_time_s = renewal_time_s
+        self._rate_period_s = rate_period_s
         self.rate = rates.initial
         self.tokens = 1.0
         self.updated_at_us = 0
@@ -44,12 +44,12 @@
         """Return the seconds since the last call of `try_acquire`, or since the start."""
         return (now_us - self.updated_at_us) / SECOND_US
 
-    def try_acquire(self, now_us: int, size: float) -> bool:
+    def try_acquire(self, now_us: int, scale: float) -> bool:
         """Refill the bucket and take one token. Return whether there was one."""
         elapsed_s = self.seconds_since_update(now_us)
         self.updated_at_us = now_us
-        self.rate = min(self._rates.max, self.rate + self._rates.increase_per_s * size * elapsed_s)
-        tokens_per_s = self.rate * size / self._renewal_time_s
+        self.rate = min(self._rates.max, self.rate + self._rates.increase_per_s * scale * elapsed_s)
+        tokens_per_s = self.rate * scale / self._rate_period_s
         max_tokens = max(1.0, tokens_per_s * MAX_BURST_S)
         self.tokens = min(self.tokens + tokens_per_s * elapsed_s, max_tokens)
         if self.tokens < 1:
--- a/wheatstile/interface/enumerations.py
+++ b/wheatstile/interface/enumerations.py
@@ -71,15 +71,15 @@
     @property
     def is_failure(self) -> bool:
         """Whether the outcome counts as a failure of the server."""
-        return self not in _WITHOUT_FAULT
+        return self not in _NON_FAILURES
 
     @property
     def may_have_run(self) -> bool:
         """Whether the server may have acted on the request."""
-        return self not in _WITHOUT_EFFECT
+        return self not in _CANNOT_HAVE_RUN
 
 
 # Cached: access to an enumeration's member is slow in Python 3.11.
 _OK = AttemptOutcome.OK
-_WITHOUT_FAULT = (AttemptOutcome.OK, AttemptOutcome.CANCELLED, AttemptOutcome.NOT_SENT)
-_WITHOUT_EFFECT = (AttemptOutcome.OVERLOADED, AttemptOutcome.CONNECT_FAILED, AttemptOutcome.NOT_SENT)
+_NON_FAILURES = (AttemptOutcome.OK, AttemptOutcome.CANCELLED, AttemptOutcome.NOT_SENT)
+_CANNOT_HAVE_RUN = (AttemptOutcome.OVERLOADED, AttemptOutcome.CONNECT_FAILED, AttemptOutcome.NOT_SENT)
