--- a/wheatstile/decisions/__init__.py
+++ b/wheatstile/decisions/__init__.py
@@ -1,6 +1,7 @@
-"""The decisions of a balancer: which server, when to retry, when to reject. No input or output, no clock.
+"""The decision module of a balancer: it chooses servers, retries and rejections.
 
-`Balancer` takes events and returns actions (`wheatstile.interface`). docs/architecture.md lists the modules.
+`Balancer` takes events and returns actions (`wheatstile.interface`). It does no input or output and reads no
+clock. docs/architecture.md lists the modules.
 """
 
 from wheatstile.decisions.balancer import Balancer
--- a/wheatstile/decisions/admission.py
+++ b/wheatstile/decisions/admission.py
@@ -1,4 +1,4 @@
-"""Admission: the rate of repeated setups, and the early rejection of requests in a full fleet."""
+"""Admission control: the rate limit of repeated setups, and early rejection while the fleet is full."""
 
 from wheatstile import interface as api
 from wheatstile.decisions.connection_table import ConnectionTable
@@ -8,21 +8,21 @@
 from wheatstile.decisions.server_load import OVERLOAD_THRESHOLD
 from wheatstile.decisions.token_bucket import AdaptiveTokenBucket, TokenRates
 
-RATE_PERIOD_S = 60  # unit of the rates below: setups for each connection in this time
-INITIAL_RATE = 240.0  # four a second for each connection, enough for a whole reconnect burst
+RATE_PERIOD_S = 60  # the rates below are setups per connection in this period
+INITIAL_RATE = 240.0  # four per second for each connection, enough for a whole reconnect burst
 MAX_RATE = 480.0
 MIN_RATE = 1.0
 RATE_INCREASE_PER_S = 0.6  # per connection, since failures are proportional to connections
-RATE_DECREASE_FACTOR = 0.7  # applied at each failure
-MIN_CONNECTIONS_PER_SERVER = 27  # whole fleet; lower bound for a balancer with few connections
-PEAK_DECAY_PER_S = 0.01  # share of the peak
-MAX_PEAK_DECAY_TIME_S = 1.0  # longest time between two setups that counts for the decay
-EARLY_REJECTION_RATIO = 0.7  # share of the requests to a full fleet
-OVERLOAD_OUTCOMES = (api.AttemptOutcome.ERROR, api.AttemptOutcome.TIMEOUT)  # reduce the rate
+RATE_DECREASE_FACTOR = 0.7  # multiplies the rate at each failure
+MIN_CONNECTIONS_PER_SERVER = 27  # fleet-wide assumption; lower bound for a balancer with few connections
+PEAK_DECAY_PER_S = 0.01  # fraction of the peak by which it falls per second
+MAX_PEAK_DECAY_TIME_S = 1.0  # maximum time between two setups that is counted for the decay
+EARLY_REJECTION_RATIO = 0.7  # fraction of the requests that a full fleet rejects early
+OVERLOAD_OUTCOMES = (api.AttemptOutcome.ERROR, api.AttemptOutcome.TIMEOUT)  # outcomes that reduce the rate
 
 
 class SetupRateLimiter:
-    """Limits repeated setups (additive increase, multiplicative decrease).
+    """Limits the rate of repeated setups (additive increase, multiplicative decrease).
 
     The limit keeps a reconnect burst from overloading a store that the servers share.
     """
@@ -45,15 +45,15 @@
         return self.bucket.rate < INITIAL_RATE
 
     def on_attempt_failed(self, outcome: api.AttemptOutcome) -> None:
-        """Reduce the rate after an error or a time-out."""
+        """Reduce the rate after an error or a timeout."""
         if outcome in OVERLOAD_OUTCOMES:
             self.bucket.on_failure()
 
     def try_acquire(self) -> bool:
-        """Acquire a token for a repeated setup, if there is one.
+        """Acquire a token for a repeated setup, if one is available.
 
         The refill rate is proportional to the recent peak of this balancer's connections, which includes
-        those that have just broken.
+        connections that have just broken.
         """
         self._update_peak()
         fleet_size = self._context.settings.fleet_size
@@ -76,7 +76,7 @@
         self._fleet_load = fleet_load
 
     def should_reject(self) -> bool:
-        """Return whether to reject a request at once: at random, and only while the fleet is full."""
+        """Return whether to reject a request at once: random, and only while the fleet is full."""
         if self._fleet_load.mean() <= OVERLOAD_THRESHOLD:
             return False
         return self._context.random.random() < EARLY_REJECTION_RATIO
--- a/wheatstile/decisions/attempt_starter.py
+++ b/wheatstile/decisions/attempt_starter.py
@@ -1,4 +1,4 @@
-"""The start of an attempt, with its time-out and the end of its idempotency window."""
+"""Starts attempts, each with its timeout and the end of its deduplication window."""
 
 from wheatstile import interface as api
 from wheatstile.decisions.connection import Connection
@@ -17,7 +17,7 @@
         self._final_answer = final_answer
 
     def start(self, connection: Connection, server: Server) -> None:
-        """Start an attempt at a server, or answer if the deadline has passed."""
+        """Start an attempt at a server, or send the final answer if the deadline has passed."""
         remaining_us = connection.deadline_us - self._context.now_us
         if remaining_us <= 0:
             self._final_answer.send(connection)
--- a/wheatstile/decisions/balancer.py
+++ b/wheatstile/decisions/balancer.py
@@ -1,6 +1,7 @@
-"""The decision module of one balancer: events in, actions out (wheatstile/interface/).
+"""The decision module of one balancer: it takes events and returns actions (wheatstile/interface/).
 
-This module builds the parts and passes each event on. How the parts decide is explained in docs/design.md.
+This module builds the components, and passes each event to the component that handles it. docs/design.md
+explains how the components decide.
 """
 
 from collections.abc import Callable, Mapping
@@ -29,7 +30,7 @@
 
 
 class Balancer:
-    """The decisions of one balancer, from the events that it alone is given."""
+    """Makes the decisions of one balancer, based only on the events that it receives itself."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         self.context = EventContext(settings, Random(seed))
@@ -127,7 +128,7 @@
 
     @property
     def settings(self) -> api.Settings:
-        """The settings in force."""
+        """The current settings."""
         return self.context.settings
 
     def configure(self, settings: api.Settings) -> None:
@@ -135,7 +136,7 @@
         self.context.configure(settings)
 
     def start(self, now_us: int) -> list[api.Action]:
-        """Start the timers; called once, before any event. Return the actions to carry out."""
+        """Start the timers; called once, before any event. Return the actions to execute."""
         self.context.begin_event(now_us)
         self.setup_limiter.start()
         self.exploration.start()
@@ -144,7 +145,7 @@
         return self.context.actions
 
     def handle(self, now_us: int, event: api.Event) -> list[api.Action]:
-        """Handle one event at this time. Return the actions to carry out.
+        """Handle one event at this time. Return the actions to execute.
 
         An event about a connection or a server that is not known is ignored.
         """
--- a/wheatstile/decisions/candidate_selection.py
+++ b/wheatstile/decisions/candidate_selection.py
@@ -1,4 +1,4 @@
-"""Candidate selection: which servers are eligible, which are drawn, and which of two candidates is better."""
+"""Candidate selection: finds eligible servers, draws candidates, and chooses the better one of two."""
 
 from wheatstile.decisions.connection import Connection
 from wheatstile.decisions.endpoint_table import EndpointTable
@@ -11,9 +11,9 @@
 from wheatstile.decisions.server_load import UNREACHABLE_LOAD
 from wheatstile.decisions.slow_start import SlowStart
 
-MAX_DRAWS = 100  # limit of draws from the lookup table; then the whole list of servers is searched
+MAX_DRAWS = 100  # maximum draws from the lookup table, before all ready servers are searched
 RANDOM_SEED_BITS = 31
-CROSS_ZONE_LOAD = 3.0  # load that is added to a candidate in another zone, at a cross-zone cost of 1
+CROSS_ZONE_LOAD = 3.0  # load added to a candidate in another zone if the cross-zone cost is 1
 
 
 class CandidateSelector:
@@ -36,7 +36,7 @@
         self._retry_policy = retry_policy
 
     def is_eligible(self, server: Server, connection: Connection | None) -> bool:
-        """Return whether a connection may go to this server; None: any connection."""
+        """Return whether a connection may go to a server; None stands for any connection."""
         if not server.endpoint.is_ready:
             return False
         if connection is None or connection.attempts == 0:
@@ -51,13 +51,13 @@
     def pick(self, connection: Connection | None, excluded: Server | None = None) -> Server | None:
         """Draw an eligible server by weight; an ejected one if no other is left, None if none is eligible.
 
-        With the same placement hash every balancer draws the same servers. A connection of None, or one
-        without a placement hash, gets a random one.
+        Every balancer draws the same servers for the same placement hash. For a connection of None, or one
+        without a placement hash, the draw is random.
         """
         return self._pick(connection, excluded, local_zone_only=False)
 
     def pick_near(self, connection: Connection) -> Server | None:
-        """Draw an eligible server as `pick` does, from the own zone if crossing zones has a cost."""
+        """Draw an eligible server as `pick` does; prefer the local zone if a cross-zone cost is set."""
         return self._pick(connection, None, local_zone_only=self._context.settings.cross_zone_cost > 0)
 
     def draw_candidates(self, connection: Connection) -> list[Server]:
@@ -69,7 +69,7 @@
         return [first, second] if second else [first]
 
     def best_candidate(self, connection: Connection) -> Server | None:
-        """Return the less loaded of the eligible candidates that have answered a health check."""
+        """Return the less loaded of the eligible candidates whose health checks have been answered."""
         eligible = [server for server in connection.candidates if self._is_usable(server, connection)]
         return min(self._without_ejected(eligible), key=self._load_with_crossing, default=None)
 
@@ -80,7 +80,7 @@
         return is_reachable and self.is_eligible(candidate, connection)
 
     def _load_with_crossing(self, server: Server) -> float:
-        """Return a server's load, raised if the connection would cross zones."""
+        """Return a server's load, increased by the cross-zone cost if it is in another zone."""
         load = self._fleet_load.load_of(server)
         settings = self._context.settings
         if server.endpoint.zone == settings.zone:
@@ -105,7 +105,7 @@
         return self._pick_from_all(connection, excluded)
 
     def _pick_from_all(self, connection: Connection | None, excluded: Server | None) -> Server | None:
-        """Draw from the whole list of servers, by weight."""
+        """Draw from all ready servers, by weight."""
         eligible = [
             server
             for server in self._endpoints.ready
--- a/wheatstile/decisions/connection_table.py
+++ b/wheatstile/decisions/connection_table.py
@@ -1,4 +1,4 @@
-"""The connections of one balancer, by id and by phase."""
+"""The connections of one balancer, indexed by id and by phase."""
 
 from collections.abc import Collection
 
@@ -7,14 +7,14 @@
 
 
 class ConnectionTable:
-    """Requests without an answer, and open connections."""
+    """Stores the requests without a final answer, and the open connections."""
 
     def __init__(self) -> None:
         self._by_id: dict[str, Connection] = {}
         self._established: dict[Connection, None] = {}  # an ordered set
 
     def __len__(self) -> int:
-        """Return the number of requests without an answer and of open connections."""
+        """Return the number of requests without a final answer, plus that of open connections."""
         return len(self._by_id)
 
     def __contains__(self, id: str) -> bool:
@@ -29,7 +29,7 @@
         self._by_id[connection.id] = connection
 
     def establish(self, connection: Connection, now_us: int) -> None:
-        """Add a connection, whose attempt has succeeded, to the open ones."""
+        """Add a connection whose attempt has succeeded to the open ones."""
         connection.establish(now_us)
         self._established[connection] = None
 
@@ -40,7 +40,7 @@
         self._established[connection] = None
 
     def remove(self, connection: Connection) -> None:
-        """End a connection that is answered, closed, migrated, or without a client, and remove it."""
+        """End and remove a connection that is answered, closed or migrated, or has lost its client."""
         connection.end()
         self._by_id.pop(connection.id, None)
         self._established.pop(connection, None)
--- a/wheatstile/decisions/endpoint_table.py
+++ b/wheatstile/decisions/endpoint_table.py
@@ -1,4 +1,4 @@
-"""The servers of one balancer, as discovery lists them."""
+"""The servers of one balancer, as listed by discovery."""
 
 from zlib import crc32
 
@@ -9,7 +9,7 @@
 
 
 class EndpointTable:
-    """All servers that discovery has listed, those that are ready, and the lookup table of the ready ones."""
+    """Stores all servers that discovery has listed, the ready ones, and a lookup table of the ready ones."""
 
     def __init__(self) -> None:
         self.servers: dict[str, Server] = {}  # keyed by name
@@ -18,7 +18,7 @@
         self.lookup_table: WeightedLookupTable[Server] = WeightedLookupTable([], [])
 
     def update(self, event: api.EndpointUpdate) -> list[Server]:
-        """Apply a list of endpoints or its changes. Return the servers that are new or have restarted."""
+        """Apply an endpoint list, or changes to it. Return the servers that are new or have restarted."""
         started_servers = []
         for endpoint in event.endpoints:
             server, has_started = self._apply(endpoint)
--- a/wheatstile/decisions/endpoint_watch.py
+++ b/wheatstile/decisions/endpoint_watch.py
@@ -1,4 +1,4 @@
-"""When the list of servers is requested from discovery."""
+"""Requests the endpoint list from discovery."""
 
 from wheatstile import interface as api
 from wheatstile.decisions.event_context import EventContext
@@ -9,27 +9,27 @@
 
 
 class EndpointWatch:
-    """Requests the list of servers, and repeats failed calls with a jittered, doubling delay."""
+    """Requests the endpoint list, and repeats failed calls with a jittered exponential backoff."""
 
     def __init__(self, context: EventContext) -> None:
         self._context = context
         self._backoff_us = INITIAL_BACKOFF_US
 
     def start(self) -> None:
-        """Request the list soon, if the settings ask for polling."""
+        """Request the list after a random delay, if the settings require polling."""
         settings = self._context.settings
         if settings.poll_endpoints:
             max_delay_us = min(MAX_START_DELAY_US, settings.poll_interval_us * 3 // 4)
             self._context.set_jittered_timer(max_delay_us, api.TimerKind.WATCH_ENDPOINTS)
 
     def on_update(self, kind: api.EndpointUpdateKind) -> None:
-        """End the back-off; if discovery has moved, request the list at its new address."""
+        """Reset the backoff; if discovery has moved, request the list at its new address."""
         self._backoff_us = INITIAL_BACKOFF_US
         if kind == api.EndpointUpdateKind.MOVED:
             self.watch()
 
     def on_failure(self) -> None:
-        """Repeat a failed call after the back-off."""
+        """Repeat a failed call after the backoff."""
         jittered_us = int(self._backoff_us * (0.5 + self._context.random.random()))
         max_backoff_us = min(MAX_BACKOFF_US, 2 * self._context.settings.poll_interval_us)
         self._backoff_us = min(2 * self._backoff_us, max_backoff_us)
--- a/wheatstile/decisions/exploration.py
+++ b/wheatstile/decisions/exploration.py
@@ -1,7 +1,7 @@
-"""The paper's dynamics: capped exploration on a balancer-wide clock, and the ratio rule for the return.
+"""Exploration: random migrations on a balancer-wide clock, and the ratio rule that decides on the return.
 
-"Fast, Concurrent and Distributed Load Balancing under Switching Costs and Imperfect Observations"; the names
-t, beta, gamma, n, X_i and X_j are the paper's.
+Implements "Fast, Concurrent and Distributed Load Balancing under Switching Costs and Imperfect Observations",
+with a cap on the exploration probability. The names t, beta, gamma, n, X_i and X_j are the paper's.
 """
 
 from math import log
@@ -15,10 +15,10 @@
 from wheatstile.decisions.fleet_load import FleetLoad
 from wheatstile.decisions.health_checks import HealthChecks
 
-SLOT_US = 4_000_000  # long enough for a migration to show in reports that are seconds late
+SLOT_US = 4_000_000  # long enough for load reports, which lag by seconds, to show a migration
 BETA = 0.75  # the middle of the range for which the paper proves convergence
-GAMMA_CAP = 0.01  # each migration costs its client a gap and a setup
-MIN_SERVERS = 2  # ready servers that exploration needs
+GAMMA_CAP = 0.01  # low, since each migration costs its client an interruption and a setup
+MIN_SERVERS = 2  # minimum number of ready servers for exploration
 MOVE_TIMEOUT_US = 2 * SLOT_US  # a client that reconnects later is placed as a new one
 
 
@@ -37,9 +37,9 @@
 
 
 class Exploration:
-    """Migrates open connections at random, and some of them back.
+    """Migrates random open connections, and some of them back.
 
-    Keeps the clock t and the moves whose clients have not reconnected.
+    Holds the clock t, and the moves whose clients have not reconnected yet.
     """
 
     def __init__(
@@ -66,7 +66,7 @@
         return self._pending
 
     def start(self) -> None:
-        """Start the slots, at a random phase."""
+        """Start the slot timer, at a random phase."""
         self._context.set_jittered_timer(SLOT_US, api.TimerKind.EXPLORATION_SLOT)
 
     def on_slot(self) -> None:
@@ -76,7 +76,7 @@
         self._expire_moves()
         if not self._context.health_checks_enabled or len(self._endpoints.ready) < MIN_SERVERS:
             return
-        first_index = self._draw_skip_count()  # drawn in even slots as well, where it is not used
+        first_index = self._draw_skip_count()  # also drawn in even slots, where it is not used
         is_odd_slot = self._slot % 2 == 1
         if is_odd_slot:
             self._explore_from(first_index)
@@ -84,7 +84,7 @@
             self._compare_all()
 
     def take_pending(self, key: str) -> ExplorationMove | None:
-        """Remove and return the move of a client that reconnects; None if it has none or comes too late."""
+        """Remove and return the move of a client that reconnects; None if it has none or it has expired."""
         move = self._pending.pop(key, None)
         if move is None or move.expires_at_us <= self._context.now_us:
             return None
@@ -95,13 +95,13 @@
         connection.exploration_move = None if move.is_return else move
 
     def end_move(self, connection: Connection) -> ExplorationMove | None:
-        """End the move of a connection whose attempt has failed, and return the move."""
+        """End the move of a connection, if it has one, and return the move."""
         move = connection.exploration_move
         connection.exploration_move = None
         return move
 
     def on_connection_ended(self, connection: Connection, has_failed: bool) -> None:
-        """Send the client of a connection that failed after a move back, if it reconnects in time.
+        """Return the client to the origin of its move if the connection failed and it reconnects in time.
 
         The failure counts as a load above X_i.
         """
@@ -111,7 +111,7 @@
             self._pending[connection.key] = move
 
     def _draw_skip_count(self) -> int:
-        """Draw how many connections to skip until one explores, in place of a draw for each connection."""
+        """Draw how many connections to skip before one explores, instead of one draw per connection."""
         return int(log(1 - self._context.random.random()) / log(1 - gamma_at(self._slot)))
 
     def _explore_from(self, next_index: int) -> None:
@@ -126,7 +126,7 @@
                 self._health_checks.check_server_of(connection, self._compare)
 
     def _explore(self, connection: Connection) -> None:
-        """Migrate a connection to another server, drawn at random, now that X_i has been read."""
+        """Migrate a connection to another server, drawn at random, after a health check measured X_i."""
         origin = connection.server
         target = self._selector.pick(None, excluded=origin)
         if not connection.is_established or not origin or not target:
@@ -148,7 +148,7 @@
             self._migrate(connection, move)
 
     def _migrate(self, connection: Connection, move: ExplorationMove) -> None:
-        """Migrate a connection, and keep its client's move until MOVE_TIMEOUT_US from now."""
+        """Migrate a connection, and keep its client's move for MOVE_TIMEOUT_US."""
         if connection.key:
             move.expires_at_us = self._context.now_us + MOVE_TIMEOUT_US
             self._pending[connection.key] = move
--- a/wheatstile/decisions/health_checks.py
+++ b/wheatstile/decisions/health_checks.py
@@ -1,4 +1,4 @@
-"""Health checks: at most one in flight for each server, and what its result shows."""
+"""Health checks: at most one in flight for each server. Their results update its load and its ejection."""
 
 from collections.abc import Callable
 from typing import TypeAlias
@@ -10,11 +10,11 @@
 from wheatstile.decisions.server import Server
 
 CheckCallback: TypeAlias = Callable[[Connection], None]
-CheckWaiter: TypeAlias = tuple[CheckCallback, Connection]  # what to call after a check, and its argument
+CheckWaiter: TypeAlias = tuple[CheckCallback, Connection]  # callback for the end of a check, and its argument
 
 
 class HealthChecks:
-    """Requests health checks, joins callers to the one in flight, and records the results."""
+    """Requests health checks, adds callers to a check in flight, and records the results."""
 
     def __init__(self, context: EventContext, endpoints: EndpointTable) -> None:
         self._context = context
@@ -22,15 +22,15 @@
         self._waiters: dict[Server, list[CheckWaiter]] = {}  # keyed by the server being checked
 
     def is_in_flight(self, server: Server) -> bool:
-        """Return whether the result of a health check of this server is awaited."""
+        """Return whether a health check of this server is in flight."""
         return server in self._waiters
 
     def is_any_in_flight(self, servers: list[Server]) -> bool:
-        """Return whether the result of a health check of any of these servers is awaited."""
+        """Return whether a health check of any of these servers is in flight."""
         return not self._waiters.keys().isdisjoint(servers)
 
     def check(self, server: Server, callback: CheckCallback, connection: Connection) -> None:
-        """Call back with the connection once the server has been checked; at once if checks are disabled."""
+        """Call back with the connection after a check of the server; at once if checks are disabled."""
         if not self._context.health_checks_enabled:
             callback(connection)
             return
@@ -41,12 +41,12 @@
         waiters.append((callback, connection))
 
     def check_server_of(self, connection: Connection, callback: CheckCallback) -> None:
-        """Check the server of a connection."""
+        """Check the server of a connection, if it has one."""
         if connection.server:
             self.check(connection.server, callback, connection)
 
     def on_result(self, event: api.HealthCheckResult) -> Server | None:
-        """Record a result and call back. Return the server, unless no health check of it was in flight."""
+        """Record a result and run the callbacks. Return the server; None if it was not being checked."""
         server = self._endpoints.servers.get(event.server)
         if server is None or server not in self._waiters:
             return None
@@ -79,7 +79,7 @@
     """Return whether a server rejects a health check while its load is known and its latency does not grow.
 
     Many balancers that check a healthy server at the same moment can overload it briefly. The load is unknown
-    after the first rejection, so that the second in a row counts as no answer.
+    after the first rejection, so a second rejection in a row counts as an unanswered check.
     """
     is_rejection = outcome is api.AttemptOutcome.OVERLOADED
     return is_rejection and server.load.is_measured and not server.load.lower_bound
--- a/wheatstile/decisions/lookup_table.py
+++ b/wheatstile/decisions/lookup_table.py
@@ -1,4 +1,4 @@
-"""A lookup table in which each item has entries by its weight, and the generator that draws from it."""
+"""A lookup table with entries in proportion to weights, and the random generator that draws from it."""
 
 from collections.abc import Callable, Iterator, Sequence
 from dataclasses import dataclass
@@ -8,7 +8,7 @@
 
 
 class TableItem(Protocol):
-    """What the table needs of its items."""
+    """The attributes that an item of the table must have."""
 
     name_hash: int
 
@@ -21,7 +21,7 @@
     multiplier: int
     increment: int
     modulus: int
-    discarded_bits: int  # number of lowest bits that are dropped, as the least random ones
+    discarded_bits: int  # number of lowest bits to discard, since they are the least random
 
 
 _EQUAL_WEIGHTS_GENERATOR = _LinearCongruentialGenerator(1103515245, 12345, 2**31, 8)
@@ -32,8 +32,8 @@
     """A hash table of items, from which every balancer draws the same items with the same seed.
 
     An item has one entry if all weights are equal, else its weight divided by the mean weight, rounded up.
-    Its acceptance ratio makes up for the rounding. The number of slots is a power of two, and at least four
-    times the number of entries.
+    Its acceptance ratio compensates for the rounding. The number of slots is a power of two, and at least
+    four times the number of entries.
     """
 
     def __init__(self, items: Sequence[Item], weights: Sequence[float]) -> None:
@@ -43,7 +43,7 @@
         self._generator = _EQUAL_WEIGHTS_GENERATOR if self.has_equal_weights else _UNEQUAL_WEIGHTS_GENERATOR
         slot_count = 4 << sum(counts).bit_length()
         self._slots: list[Item | None] = [None] * slot_count
-        self._acceptance_ratios = [1.0] * slot_count  # share of the draws of a slot that its item accepts
+        self._acceptance_ratios = [1.0] * slot_count  # fraction of the draws of a slot that its item accepts
         for item, weight, count in zip(items, weights, counts, strict=True):
             acceptance_ratio = 1.0 if self.has_equal_weights else weight / (count * mean_weight)
             for entry in range(count):
@@ -58,12 +58,13 @@
         self._acceptance_ratios[index] = acceptance_ratio
 
     def draw(self, seed: int, draw_count: int, is_skipped: Callable[[Item], bool]) -> Iterator[Item]:
-        """Yield the items of this number of draws, except skipped items and those that do not accept.
+        """Yield the items of this number of draws, except items that are skipped or do not accept the draw.
 
-        A skipped item uses no draw for its acceptance ratio. The generator for equal weights (31 bits)
-        favours some items by a few percent; the one for unequal weights (64 bits, Knuth's MMIX) does not.
+        No random number is used for the acceptance ratio of a skipped item. The generator for equal weights
+        (31 bits) favours some items by a few percent; the one for unequal weights (64 bits, Knuth's MMIX)
+        does not.
         """
-        multiplier = self._generator.multiplier  # local names, since this is the module's busiest loop
+        multiplier = self._generator.multiplier  # local variables are faster, and this loop runs most often
         increment = self._generator.increment
         modulus = self._generator.modulus
         discarded_bits = self._generator.discarded_bits
--- a/wheatstile/decisions/outlier_ejection.py
+++ b/wheatstile/decisions/outlier_ejection.py
@@ -1,12 +1,12 @@
-"""Outlier ejection: how long a server that failed gets no new connections."""
+"""Outlier ejection: a server that failed gets no new connections for some time."""
 
 BASE_EJECTION_US = 1_000_000  # doubles with each consecutive failure
 MAX_EJECTION_US = 8_000_000
-MAX_EJECTION_DOUBLINGS = 4  # reaches MAX_EJECTION_US; keeps the shift small after many failures
+MAX_EJECTION_DOUBLINGS = 4  # enough to reach MAX_EJECTION_US; keeps the shift small after many failures
 
 
 class OutlierEjection:
-    """The consecutive failures of one server, and the end of its ejection."""
+    """Tracks the consecutive failures of one server, and the end of its ejection."""
 
     __slots__ = ("_consecutive_failures", "until_us")
 
--- a/wheatstile/decisions/rebalancing.py
+++ b/wheatstile/decisions/rebalancing.py
@@ -1,6 +1,6 @@
-"""Rebalancing: connections are migrated away from overloaded servers.
+"""Rebalancing: migrates connections away from overloaded servers.
 
-Where only load checks show an overload, the fleet as a whole must have room.
+If only load checks show an overload, connections are migrated only while the fleet is not overloaded.
 """
 
 from wheatstile import interface as api
@@ -17,17 +17,17 @@
 )
 
 US_PER_MS = 1000
-REBALANCE_INTERVAL_US = 1_000_000  # time for the effect to show in late reports
-# All balancers learn of a high latency at the same moment.
+REBALANCE_INTERVAL_US = 1_000_000  # time until load reports, which lag, show the effect
+# Spreads the health checks, since all balancers learn of a high latency at the same moment.
 MAX_REBALANCE_JITTER_US = REBALANCE_INTERVAL_US / 2
-UNREACHABLE_RECHECK_US = REBALANCE_INTERVAL_US // 2  # a paused server may answer again
-SETTLING_TIME_US = 2_000_000  # a connection's setup shows as load for this time
-MIN_LOAD_CHECK_INTERVAL_US = 1_000_000  # after an overload or a change of the list of servers
+UNREACHABLE_RECHECK_US = REBALANCE_INTERVAL_US // 2  # by then, a paused server may answer again
+SETTLING_TIME_US = 2_000_000  # the setup of a connection counts as load for this time
+MIN_LOAD_CHECK_INTERVAL_US = 1_000_000  # used after an overload or a change of the endpoint list
 MAX_LOAD_CHECK_INTERVAL_US = 4_000_000  # reached while no server is overloaded
 
 
 class Rebalancer:
-    """Finds overloaded servers by message latency or by load checks, and migrates connections away."""
+    """Finds overloaded servers by message latency or load checks, and migrates their connections."""
 
     def __init__(
         self,
@@ -41,20 +41,20 @@
         self._fleet_load = fleet_load
         self._health_checks = health_checks
         self._load_check_interval_us = MIN_LOAD_CHECK_INTERVAL_US
-        self._next_rebalance_us: dict[Server, int] = {}  # earliest time of the next one at each server
+        self._next_rebalance_us: dict[Server, int] = {}  # earliest time of the next rebalance, by server
 
     def start(self) -> None:
-        """Start the load checks, where message latencies are not reported."""
+        """Start the load checks, if message latencies are not reported."""
         context = self._context
         if context.health_checks_enabled and not context.settings.reports_message_latency:
             context.set_jittered_timer(MIN_LOAD_CHECK_INTERVAL_US, api.TimerKind.LOAD_CHECK)
 
     def on_endpoints_changed(self) -> None:
-        """Check loads more often, since the clients of a server that leaves reconnect to others."""
+        """Check loads more often, since the clients of a removed server reconnect to others."""
         self._load_check_interval_us = MIN_LOAD_CHECK_INTERVAL_US
 
     def on_load_check_due(self) -> None:
-        """Check a server, drawn by the load of its connections here, and schedule the next check."""
+        """Check a random server, weighted by the load of its connections, and schedule the next check."""
         self._context.set_timer(self._load_check_interval_us, api.TimerKind.LOAD_CHECK)
         longer_us = self._load_check_interval_us * 3 // 2
         self._load_check_interval_us = min(longer_us, MAX_LOAD_CHECK_INTERVAL_US)
@@ -65,7 +65,7 @@
             self._health_checks.check_server_of(connection, self.on_load_read)
 
     def on_repeated_load_check_due(self, connection: Connection) -> None:
-        """Check the server of a connection again, since it was severely overloaded."""
+        """Check the server of a connection again after a severe overload."""
         self._health_checks.check_server_of(connection, self.on_load_read)
 
     def on_rebalance_due(self, connection: Connection) -> None:
@@ -73,7 +73,7 @@
         self._health_checks.check_server_of(connection, self.rebalance)
 
     def on_server_read(self, server: Server) -> None:
-        """Rebalance after any health check that reports severe overload, not only after a load check."""
+        """Rebalance a server after any health check, not only a load check, that reports severe overload."""
         if self._context.settings.reports_message_latency:
             return
         if self._fleet_load.load_of(server) <= SEVERE_OVERLOAD_THRESHOLD:
@@ -83,7 +83,7 @@
             self.on_load_read(connections[0])
 
     def on_message_latency(self, connection: Connection, latency_ms: float) -> None:
-        """Schedule a rebalance of a server whose messages miss their objective, at most once an interval."""
+        """Schedule a rebalance of a server that misses its latency objective, at most once per interval."""
         server = connection.server
         if not connection.is_established or not server:
             return
@@ -93,10 +93,10 @@
             self._context.set_jittered_timer(MAX_REBALANCE_JITTER_US, api.TimerKind.REBALANCE, connection.id)
 
     def on_load_read(self, connection: Connection) -> None:
-        """Rebalance a connection's server if it is overloaded while the fleet has room.
+        """Rebalance a connection's server if it is overloaded and the fleet is not.
 
-        A server that did not answer is checked a second time first, since it may only have paused. A severely
-        overloaded one is checked again after the interval.
+        A server that did not answer is first checked a second time, since it may only have paused. A severely
+        overloaded server is checked again after REBALANCE_INTERVAL_US.
         """
         server = connection.server
         if not server or self._fleet_load.is_overloaded():
@@ -115,9 +115,9 @@
             self._context.set_timer(REBALANCE_INTERVAL_US, kind, remaining[0].id)
 
     def rebalance(self, connection: Connection) -> None:
-        """Migrate the share above OVERLOAD_THRESHOLD of the connections of a connection's server.
+        """Migrate connections of a connection's server, by the fraction of its load above OVERLOAD_THRESHOLD.
 
-        At UNREACHABLE_LOAD that share is nearly 1.
+        At UNREACHABLE_LOAD that fraction is nearly 1.
         """
         server = connection.server
         if server is None:
@@ -130,13 +130,13 @@
                 self._connections.remove(candidate)
 
     def _try_begin_interval(self, server: Server) -> bool:
-        """Begin a server's next interval if the last one is over. Return whether it was."""
+        """Begin a server's next rebalance interval if the last one is over. Return whether it began."""
         if self._next_rebalance_us.get(server, 0) > self._context.now_us:
             return False
         self._next_rebalance_us[server] = self._context.now_us + REBALANCE_INTERVAL_US
         return True
 
     def _is_settled(self, connection: Connection) -> bool:
-        """Return whether a connection may be migrated: at any age where latencies are reported."""
+        """Return whether a connection is old enough to be migrated; any age is, if latencies are reported."""
         age_us = self._context.now_us - connection.established_at_us
         return self._context.settings.reports_message_latency or age_us >= SETTLING_TIME_US
--- a/wheatstile/decisions/request_lifecycle.py
+++ b/wheatstile/decisions/request_lifecycle.py
@@ -1,4 +1,4 @@
-"""A request from its arrival to its one final answer, and the connection that it becomes."""
+"""Handles a request from its arrival to its final answer, and the connection that it becomes."""
 
 from wheatstile import interface as api
 from wheatstile.decisions.admission import EarlyRejection, SetupRateLimiter
@@ -16,11 +16,11 @@
 
 ANSWER_MARGIN_US = 8_000  # the final answer is sent this long before the client's deadline
 
-_ATTEMPTING = ConnectionPhase.ATTEMPTING  # cached: access to an enumeration's member is slow in Python 3.11
+_ATTEMPTING = ConnectionPhase.ATTEMPTING  # cached, since access to an enum member is slow in Python 3.11
 
 
 class RequestLifecycle:
-    """Handles the events of each request. It has one attempt at a time, and one final answer."""
+    """Handles the events of each request, which has one attempt at a time and one final answer."""
 
     def __init__(
         self,
@@ -75,7 +75,7 @@
             self._connections.establish(connection, self._context.now_us)
 
     def on_attempt_ended(self, event: api.AttemptEnded) -> None:
-        """Handle the end of an attempt or of an open connection: retry, answer, or forget it."""
+        """Handle the end of an attempt or of an open connection: retry, answer or remove it."""
         connection = self._connections.get(event.id)
         if connection is None or not _is_current_attempt(connection, event):
             return
@@ -89,12 +89,12 @@
             self._retry(connection, self._exploration.end_move(connection))
 
     def on_client_disconnected(self, event: api.ClientDisconnected) -> None:
-        """Forget a request or an open connection whose client has disconnected."""
+        """Remove a request or an open connection whose client has disconnected."""
         if connection := self._connections.get(event.id):
             self._connections.remove(connection)
 
     def on_shutdown(self, _event: api.ShutdownStarted) -> None:
-        """Answer all waiting requests now, and every later request at its arrival."""
+        """Answer all waiting requests now, and every later request on arrival."""
         self._is_shutting_down = True
         for connection in self._connections.unanswered():
             self._final_answer.send(connection)
@@ -112,7 +112,8 @@
 
     def _add_request(self, event: api.Request) -> Connection:
         deadline_us = self._context.now_us + event.expires_in_us - ANSWER_MARGIN_US
-        # While setups fail, a mid-flow request counts as a repeated setup, since every miss is another setup.
+        # While setups fail, a mid-flow request counts as a repeated setup, since each one that reaches the
+        # wrong server causes another setup.
         is_limited_mid_flow = event.midflow and self._setup_limiter.is_reduced
         connection = Connection(
             event.id,
@@ -126,12 +127,12 @@
         return connection
 
     def _service_class(self, name: str) -> api.ServiceClass:
-        """Return the class with this name; the first one if the name is unknown."""
+        """Return the service class with this name, or the first one if the name is unknown."""
         classes = self._context.settings.classes
         return classes.get(name) or next(iter(classes.values()))
 
     def _try_follow_exploration(self, connection: Connection) -> bool:
-        """Send a client that was migrated by exploration to its destination. Return whether it did."""
+        """Send a client that exploration has migrated to its destination. Return whether it was sent."""
         if self._is_shutting_down or not connection.key:
             return False
         move = self._exploration.take_pending(connection.key)
@@ -142,9 +143,9 @@
         return True
 
     def _try_mid_flow(self, event: api.Request, connection: Connection) -> bool:
-        """Send mid-flow packets to the server that probably has their connection, if there is one.
+        """Send a mid-flow request to the server that probably has its connection. Return whether it was sent.
 
-        Any other server would set the connection up anew.
+        Any other server would have to set up the connection again.
         """
         if not event.midflow or connection.is_repeated_setup:
             return False
@@ -155,7 +156,7 @@
         return True
 
     def _retry(self, connection: Connection, move: ExplorationMove | None) -> None:
-        """Retry a failed attempt, at the origin of the client's move if it had one."""
+        """Retry a failed attempt; if it followed a move, preferably at the origin of that move."""
         if not self._retry_policy.allows_retry(connection):
             self._final_answer.send(connection)
         elif move and self._selector.is_available(move.origin, connection):
@@ -165,6 +166,6 @@
 
 
 def _is_current_attempt(connection: Connection, event: api.AttemptEnded) -> bool:
-    """Return whether an event is about the connection's last attempt, in flight or established."""
+    """Return whether an event is about the connection's latest attempt, in flight or established."""
     is_last = connection.attempts == event.attempt + 1
     return is_last and (connection.phase is _ATTEMPTING or connection.is_established)
--- a/wheatstile/decisions/request_placement.py
+++ b/wheatstile/decisions/request_placement.py
@@ -1,4 +1,4 @@
-"""How a waiting request gets a server: a token, two candidates, their health checks, the better of both."""
+"""Places waiting requests: acquires a token, draws two candidates, checks both, and chooses one."""
 
 from wheatstile import interface as api
 from wheatstile.decisions.admission import SetupRateLimiter
@@ -12,16 +12,16 @@
 from wheatstile.decisions.retry_policy import RetryPolicy
 from wheatstile.decisions.server_load import OVERLOAD_THRESHOLD
 
-CANDIDATE_TIMEOUT_US = 50_000  # time for both health checks, which is several round trips
-MAX_TOKEN_WAIT_TIMEOUTS = 4  # longest wait of a setup without a token, in multiples of CANDIDATE_TIMEOUT_US
+CANDIDATE_TIMEOUT_US = 50_000  # time limit of both health checks, which is several round trips
+MAX_TOKEN_WAIT_TIMEOUTS = 4  # maximum delay between two tries for a token, in CANDIDATE_TIMEOUT_US
 
-_WAITING = ConnectionPhase.WAITING  # cached: access to an enumeration's member is slow in Python 3.11
+_WAITING = ConnectionPhase.WAITING  # cached, since access to an enum member is slow in Python 3.11
 _ATTEMPTING = ConnectionPhase.ATTEMPTING
 _CANDIDATE_TIMEOUT = api.TimerKind.CANDIDATE_TIMEOUT
 
 
 class RequestPlacement:
-    """Finds a server for a waiting request, or answers the request if none has room in time."""
+    """Finds a server for a waiting request, or answers the request if none has capacity in time."""
 
     def __init__(
         self,
@@ -44,7 +44,7 @@
         self._final_answer = final_answer
 
     def place(self, connection: Connection) -> None:
-        """Draw two candidates and check both. A repeated setup waits for a token first."""
+        """Draw two candidates and check both. A repeated setup must first acquire a token."""
         if self._retry_policy.is_repeat_window_over(connection):
             self._final_answer.send(connection)
             return
@@ -58,21 +58,22 @@
             self._defer(connection, CANDIDATE_TIMEOUT_US)
 
     def on_timeout(self, connection: Connection, due_us: int) -> None:
-        """Decide without further answers of the candidates, unless a later timer was set."""
+        """Decide without the health checks that are still in flight, unless a later timer was set."""
         if due_us == connection.next_decision_at_us:
             self._choose_candidate(connection, is_timed_out=True)
 
     def _wait_for_token(self, connection: Connection) -> None:
-        """Have a repeated setup ask for a token again after a jittered delay."""
+        """Schedule another try to acquire a token for a repeated setup, after a jittered delay."""
         random_share = self._context.random.random()
         timeouts = 1 + (MAX_TOKEN_WAIT_TIMEOUTS - 1) * random_share
         self._defer(connection, int(CANDIDATE_TIMEOUT_US * timeouts))
 
     def _choose_candidate(self, connection: Connection, is_timed_out: bool = False) -> None:
-        """Decide on a waiting request, once both candidates have answered or the time-out has passed.
+        """Decide on a waiting request, once both candidates have answered or the timeout has expired.
 
-        Starts an attempt at the less loaded candidate if that has room, answers the request if nothing has
-        room before its deadline, and else waits or draws other candidates.
+        Starts an attempt at the less loaded candidate if it is not overloaded. Answers the request if its
+        deadline has passed, or if both the candidate and the fleet are overloaded. Otherwise waits, or draws
+        other candidates.
         """
         if connection.phase is not _WAITING:
             return
@@ -88,14 +89,14 @@
         elif is_timed_out:
             self.place(connection)
         elif best:
-            # Reports are late: a check right now would return the same loads.
+            # Load reports lag, so an immediate check would return the same loads.
             doublings = connection.candidate_draws - 1
             self._defer(connection, CANDIDATE_TIMEOUT_US << doublings)
 
     def _defer(self, connection: Connection, delay_us: int) -> None:
-        """Schedule the next decision on a waiting request, by its deadline at the latest.
+        """Schedule the next decision on a waiting request, no later than its deadline.
 
-        It replaces the decision that was scheduled before.
+        It replaces any decision that was scheduled before.
         """
         delay_us = max(1, min(delay_us, connection.deadline_us - self._context.now_us))
         due_us = self._context.now_us + delay_us
--- a/wheatstile/decisions/retry_policy.py
+++ b/wheatstile/decisions/retry_policy.py
@@ -1,15 +1,15 @@
-"""Whether, where and with how much time another attempt may follow."""
+"""Retry policy: whether another attempt may follow, at which server, and with which timeout."""
 
 from wheatstile import interface as api
 from wheatstile.decisions.connection import Connection
 from wheatstile.decisions.event_context import EventContext
 from wheatstile.decisions.server import Server
 
-_IDEMPOTENT = api.Idempotency.IDEMPOTENT  # cached: access to an enumeration's member is slow in Python 3.11
+_IDEMPOTENT = api.Idempotency.IDEMPOTENT  # cached, since access to an enum member is slow in Python 3.11
 
 
 class RetryPolicy:
-    """Decides on further attempts. Once one may have run, another goes only where a repeat is harmless."""
+    """Decides on further attempts. After one that may have run, only harmless repeats are allowed."""
 
     def __init__(self, context: EventContext) -> None:
         self._context = context
@@ -20,14 +20,14 @@
         return is_below_limit and self._context.now_us < connection.deadline_us
 
     def repeat_window_end_us(self, connection: Connection) -> int | None:
-        """Return when a repeat stops being harmless; None if that time is not limited."""
+        """Return the time from which a repeat is no longer harmless; None if there is no limit."""
         first_possible_execution = connection.first_possible_execution
         if first_possible_execution is None or connection.service_class.idempotency is _IDEMPOTENT:
             return None
         return first_possible_execution.at_us + int(connection.service_class.repeat_window_us)
 
     def is_repeat_window_over(self, connection: Connection) -> bool:
-        """Return whether an attempt may have run and another would not be harmless any more."""
+        """Return whether an attempt may have run and the time in which a repeat is harmless is over."""
         end_us = self.repeat_window_end_us(connection)
         return end_us is not None and self._context.now_us >= end_us
 
@@ -44,10 +44,10 @@
         )
 
     def attempt_timeout_us(self, connection: Connection, remaining_us: int) -> int:
-        """Return the time-out of the next attempt, given the time until the deadline.
+        """Return the timeout of the next attempt, given the time until the deadline.
 
         It is half of that time, which leaves the rest for retries, or the latency objective if that is
-        longer. The last attempt gets all of it.
+        longer. The last allowed attempt gets all of the time.
         """
         is_last = connection.attempts >= self._context.settings.max_attempts
         limit_us = remaining_us if is_last else remaining_us // 2
--- a/wheatstile/decisions/server.py
+++ b/wheatstile/decisions/server.py
@@ -1,4 +1,4 @@
-"""The record of one server: its endpoint, and one part for each kind of state."""
+"""The state of one server: its endpoint, its load, its ejection and its slow start."""
 
 from dataclasses import replace
 
@@ -9,7 +9,7 @@
 
 
 class Server:
-    """One server, as this balancer knows it. The endpoint is written by the methods of this class only."""
+    """One server, as this balancer knows it. Only the methods of this class modify the endpoint."""
 
     __slots__ = ("ejection", "endpoint", "load", "name_hash", "slow_start")
 
@@ -21,11 +21,11 @@
         self.slow_start = SlowStartBudget()
 
     def update_endpoint(self, endpoint: api.Endpoint) -> bool:
-        """Record what discovery lists now. Return whether the server's process has restarted."""
+        """Record the endpoint that discovery lists now. Return whether the server's process has restarted."""
         has_restarted = self.endpoint.started_at_us != endpoint.started_at_us
         self.endpoint = endpoint
         return has_restarted
 
     def mark_gone(self) -> None:
-        """Record that discovery lists the server no longer."""
+        """Record that discovery no longer lists the server."""
         self.endpoint = replace(self.endpoint, state=api.EndpointState.GONE)
--- a/wheatstile/decisions/server_load.py
+++ b/wheatstile/decisions/server_load.py
@@ -1,21 +1,24 @@
-"""The load of one server, as health checks, load reports and message latencies show it.
+"""The load of one server, derived from health checks, load reports and message latencies.
 
-Load is work divided by capacity (the paper's X): 1.0 is full.
+Load is work divided by capacity (the paper's X); at 1.0 the server is full.
 """
 
 from wheatstile.interface import LoadMetric, LoadReport
 
-OVERLOAD_THRESHOLD = 0.7  # messages begin to miss their latency objectives above this load
-SEVERE_OVERLOAD_THRESHOLD = 0.8  # a single report above this load is evidence enough, despite its noise
-UNREACHABLE_LOAD = 1e6  # recorded when a health check gets no answer
+OVERLOAD_THRESHOLD = 0.7  # above this load, messages begin to miss their latency objectives
+SEVERE_OVERLOAD_THRESHOLD = 0.8  # above this load, a single report is sufficient evidence despite its noise
+UNREACHABLE_LOAD = 1e6  # recorded for a server that does not answer a health check
 MIN_LOAD_AT_GROWING_LATENCY = 1.0  # lower bound of the load while message latency is growing
-COUNT_METRICS = (LoadMetric.IN_FLIGHT, LoadMetric.QUEUE_LENGTH)  # no capacity is known to divide them by
-HALF_THRESHOLD_COUNT = 100  # a count of this size is read as a load of half of OVERLOAD_THRESHOLD
+COUNT_METRICS = (
+    LoadMetric.IN_FLIGHT,
+    LoadMetric.QUEUE_LENGTH,
+)  # counts without a known capacity to divide by
+HALF_THRESHOLD_COUNT = 100  # a count that is read as a load of half of OVERLOAD_THRESHOLD
 LOAD_METRIC_PREFERENCE = (LoadMetric.LOAD, LoadMetric.BUSY_SHARE, LoadMetric.BACKLOG_S, *COUNT_METRICS)
 
 
 def load_in(report: LoadReport) -> float | None:
-    """Return the load that a report shows, from the first metric of LOAD_METRIC_PREFERENCE in it.
+    """Return the load in a report, from the first metric of LOAD_METRIC_PREFERENCE that it contains.
 
     A count ranks servers but never reaches OVERLOAD_THRESHOLD. Return None if the report has no such metric.
     """
@@ -38,29 +41,29 @@
     def __init__(self) -> None:
         self.value: float | None = None  # last reported load; None: unknown
         self.reported_at_us = 0  # time of the last report
-        self.lower_bound = 0.0  # implied by message latency, which is more recent than a report
+        self.lower_bound = 0.0  # implied by the message latency, which is more recent than a report
         self._message_latency_ms = 0.0
 
     @property
     def is_measured(self) -> bool:
-        """Whether a load was reported, and no later health check failed."""
+        """Whether a load was reported and no health check has failed since then."""
         return self.value is not None and self.value != UNREACHABLE_LOAD
 
     def record_report(self, report: LoadReport, now_us: int) -> None:
-        """Record the load that a report shows; it becomes unknown if the report shows none."""
+        """Record the load in a report; the load becomes unknown if the report contains none."""
         self.value = load_in(report)
         self.reported_at_us = now_us
 
     def record_message_latency(self, latency_ms: float) -> None:
-        """Record a message latency. It sets the lower bound of the load if it is longer than the last one."""
+        """Record a message latency. If it is longer than the last one, it sets a lower bound of the load."""
         is_growing = latency_ms > self._message_latency_ms
         self.lower_bound = MIN_LOAD_AT_GROWING_LATENCY if is_growing else 0.0
         self._message_latency_ms = latency_ms
 
     def mark_unreachable(self) -> None:
-        """Record that a health check got no answer."""
+        """Record that the server did not answer a health check."""
         self.value = UNREACHABLE_LOAD
 
     def mark_unknown(self) -> None:
-        """Make the load unknown."""
+        """Record that the load is unknown."""
         self.value = None
--- a/wheatstile/decisions/slow_start.py
+++ b/wheatstile/decisions/slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: how many attempts this balancer may send to a server that has just started."""
+"""Slow start: limits the attempts that this balancer sends to a server that has just started."""
 
 from wheatstile.decisions.connection_table import ConnectionTable
 from wheatstile.decisions.endpoint_table import EndpointTable
@@ -9,7 +9,7 @@
 from wheatstile.decisions.slow_start_budget import FIRST_ATTEMPT_COST, RETRY_COST
 
 MIN_REFILL_PERIOD_US = 1_000_000
-MIN_MEAN_LOAD = 0.2  # lower bound of the divisor, which is near zero in an idle fleet
+MIN_MEAN_LOAD = 0.2  # lower bound of the mean load as a divisor, since an idle fleet has a load near 0
 
 
 class SlowStart:
@@ -28,14 +28,14 @@
         self._fleet_load = fleet_load
 
     def begin(self, server: Server) -> None:
-        """Begin the slow start of a new process, and discard the load of the process before it."""
+        """Begin the slow start of a new process, and discard the load of the previous process."""
         context = self._context
         window_us = context.settings.slow_start_overload_window_us
         server.slow_start.reset(server.endpoint.started_at_us, context.now_us, window_us, context.random)
         server.load.mark_unknown()
 
     def permits(self, server: Server, is_retry: bool) -> bool:
-        """Return whether one more attempt is within the server's budget; always, once slow start is over."""
+        """Return whether the server's budget permits one more attempt; always true after slow start."""
         started_at_us = server.endpoint.started_at_us
         if started_at_us <= 0:
             return True
@@ -51,9 +51,9 @@
     def _tokens_per_us(self, age_us: int) -> float:
         """Return the refill rate for a server of this age.
 
-        The connections of all balancers, divided by the number of ready servers, make the mean load. The
-        refills of all balancers therefore add up to the connections that fill one server to
-        OVERLOAD_THRESHOLD, times its present capacity and the overload factor.
+        The mean load results from the connections of all balancers, divided by the number of ready servers.
+        The refills of all balancers therefore add up to the connections that load one server to
+        OVERLOAD_THRESHOLD, multiplied by its current capacity and the overload factor.
         """
         settings = self._context.settings
         capacity = max(settings.slow_start_initial_capacity, age_us / settings.slow_start_duration_us)
--- a/wheatstile/decisions/slow_start_budget.py
+++ b/wheatstile/decisions/slow_start_budget.py
@@ -2,16 +2,16 @@
 
 from random import Random
 
-FIRST_ATTEMPT_COST = 1  # tokens
-RETRY_COST = 2  # tokens; most attempts in a reconnect burst are retries
-USED_DRAW = 1.0  # value of a draw that has been used; not below any probability
+FIRST_ATTEMPT_COST = 1  # in tokens
+RETRY_COST = 2  # in tokens; higher, since most attempts in a reconnect burst are retries
+USED_DRAW = 1.0  # replaces a draw that has been used; it is not below any probability
 
 
 class SlowStartBudget:
-    """The tokens of one server, refilled at a rate that `SlowStart` gives.
+    """The tokens of one server, refilled at a rate that `SlowStart` provides.
 
-    If a window refills less than one token, that share is the probability of one attempt in the window. It
-    is decided by one draw for each window, since one of many draws would almost certainly succeed.
+    If less than one token is refilled in a window, that fraction is the probability of one attempt in the
+    window. Only one draw is made per window, since one of many draws would almost certainly succeed.
     """
 
     __slots__ = ("_draw", "_draw_expires_at_us", "_last_attempt_at_us", "tokens", "updated_at_us")
@@ -37,13 +37,13 @@
             self._draw_expires_at_us = self._last_attempt_at_us + window_us
 
     def charge(self, now_us: int) -> None:
-        """Charge an attempt that is sent now. No draw of this window admits another one."""
+        """Charge an attempt that is sent now, and use up the draw of this window."""
         self.tokens -= FIRST_ATTEMPT_COST
         self._draw = USED_DRAW
         self._last_attempt_at_us = now_us
 
     def permits(self, cost: int, tokens_per_us: float, window_us: int, now_us: int, random: Random) -> bool:
-        """Refill the bucket. Return whether an attempt of this cost (tokens) is within the budget."""
+        """Refill the bucket. Return whether the budget permits an attempt of this cost (in tokens)."""
         tokens_per_window = window_us * tokens_per_us
         self._refill(tokens_per_us, tokens_per_window, now_us)
         if tokens_per_window >= 1:
--- a/wheatstile/decisions/token_bucket.py
+++ b/wheatstile/decisions/token_bucket.py
@@ -1,26 +1,27 @@
-"""A token bucket whose rate grows additively with time and shrinks multiplicatively with failures (AIMD)."""
+"""A token bucket whose rate increases additively over time and is reduced by a factor on failure (AIMD)."""
 
 from dataclasses import dataclass
 
 SECOND_US = 1_000_000
-MAX_BURST_S = 0.5  # refill time that the bucket can hold; it can always hold one token
+MAX_BURST_S = 0.5  # the bucket holds the refill of this time, but at least one token
 
 
 @dataclass(frozen=True, slots=True)
 class TokenRates:
-    """The bounds and steps of a bucket's rate, which is in tokens for each unit of scale and renewal time."""
+    """The initial value, bounds and steps of a rate, in tokens per rate period and unit of scale."""
 
     initial: float
     max: float
     min: float
     increase_per_s: float  # multiplied by the scale
-    decrease_factor: float  # applied at each failure
+    decrease_factor: float  # multiplies the rate at each failure
 
 
 class AdaptiveTokenBucket:
     """A bucket that is refilled with `rate * scale / rate_period_s` tokens a second.
 
-    The scale is given with each call: here the number of connections, to which failures are proportional.
+    The caller passes the scale with each call. Here it is the number of connections, since the number of
+    failures is proportional to it.
     """
 
     __slots__ = ("_rates", "_rate_period_s", "rate", "tokens", "updated_at_us")
@@ -45,7 +46,7 @@
         return (now_us - self.updated_at_us) / SECOND_US
 
     def try_acquire(self, now_us: int, scale: float) -> bool:
-        """Refill the bucket and take one token. Return whether there was one."""
+        """Refill the bucket and take one token. Return whether one was available."""
         elapsed_s = self.seconds_since_update(now_us)
         self.updated_at_us = now_us
         self.rate = min(self._rates.max, self.rate + self._rates.increase_per_s * scale * elapsed_s)
--- a/wheatstile/interface/__init__.py
+++ b/wheatstile/interface/__init__.py
@@ -1,8 +1,8 @@
 """The interface of the decision module: its settings, its events and its actions.
 
-It uses the terms of load balancing (server, connection, drain, health check) and of no wire protocol. All
-times are integers on one clock, which the host chooses and which never goes back; each name ends in the unit
-(`_us`: microseconds).
+It uses the terms of load balancing (server, connection, drain, health check) and is independent of any wire
+protocol. All times are integers on one monotonic clock that the host provides. The suffix of a name gives
+the unit (`_us`: microseconds).
 """
 
 from wheatstile.interface.actions import (
--- a/wheatstile/interface/actions.py
+++ b/wheatstile/interface/actions.py
@@ -8,25 +8,25 @@
 
 @dataclass(slots=True)
 class StartAttempt:
-    """Try to set the connection up at this server."""
+    """Attempt to set up a connection at a server."""
 
     id: str
     server: str
-    timeout_us: int = 0  # 0: until the client's deadline
-    send_before_us: int | None = None  # end of the idempotency key's window; None: no limit
+    timeout_us: int = 0  # 0: limited only by the client's deadline
+    send_before_us: int | None = None  # end of the deduplication window; None: no limit
 
 
 @dataclass(slots=True)
 class Reject:
-    """Final answer: rejected; a retry by the client is harmless."""
+    """Reject a request as its final answer; a retry by the client is harmless."""
 
     id: str
-    retry_after_us: int = 0  # how long the client should wait; 0: it is told no time
+    retry_after_us: int = 0  # how long the client should wait before a retry; 0: not specified
 
 
 @dataclass(slots=True)
 class Fail:
-    """Final answer: failed; the request may have had an effect."""
+    """Fail a request as its final answer; the request may have had an effect."""
 
     id: str
 
@@ -47,7 +47,7 @@
 
 @dataclass(slots=True)
 class SetTimer:
-    """Fire a timer after this delay."""
+    """Set a timer that fires after a delay."""
 
     delay_us: int
     token: TimerToken
@@ -55,7 +55,7 @@
 
 @dataclass(slots=True)
 class WatchEndpoints:
-    """Watch the list of servers for changes from now on."""
+    """Request the endpoint list, and watch it for changes."""
 
 
 Action: TypeAlias = StartAttempt | Reject | Fail | Migrate | CheckHealth | SetTimer | WatchEndpoints
--- a/wheatstile/interface/endpoint.py
+++ b/wheatstile/interface/endpoint.py
@@ -1,13 +1,13 @@
-"""A server in the list of servers, and its load reports."""
+"""A server in the endpoint list, and its load reports."""
 
 from dataclasses import dataclass
 from typing import TypeAlias
 
 from wheatstile.interface.enumerations import DeduplicationScope, EndpointState
 
-_READY = EndpointState.READY  # cached: access to an enumeration's member is slow in Python 3.11
+_READY = EndpointState.READY  # cached, since access to an enum member is slow in Python 3.11
 LoadReport: TypeAlias = dict[str, float]
-"""The figures of a server's load report by `LoadMetric`; each is finite and 0 or more."""
+"""The values of a load report, keyed by `LoadMetric`; each is finite and 0 or more."""
 
 
 @dataclass(slots=True)
@@ -19,15 +19,15 @@
     zone: str = ""
     cell: int = 0
     weight: float = 1.0
-    started_at_us: int = 0  # start of its process, on the module's clock; 0: long ago
+    started_at_us: int = 0  # start of its process, on the module's clock; 0: too long ago to matter
 
     @property
     def is_ready(self) -> bool:
-        """Whether it accepts new connections."""
+        """Whether the server accepts new connections."""
         return self.state == _READY
 
     def shares_scope(self, other: "Endpoint", scope: DeduplicationScope) -> bool:
-        """Return whether both servers recognize the same idempotency key as a repeat."""
+        """Return whether both servers share one record of idempotency keys, for this scope."""
         match scope:
             case DeduplicationScope.ALL:
                 return True
--- a/wheatstile/interface/enumerations.py
+++ b/wheatstile/interface/enumerations.py
@@ -1,13 +1,13 @@
-"""Enumerations of the interface; their values are the strings that are logged."""
+"""The enumerations of the interface. Their values are the strings that appear in the log."""
 
 from enum import StrEnum
 
 
 class LoadMetric(StrEnum):
-    """One figure of a load report."""
+    """A metric of a load report."""
 
-    LOAD = "load"  # work divided by capacity; 1.0 is full
-    BUSY_SHARE = "busy"  # share of the cores in use
+    LOAD = "load"  # work divided by capacity; at 1.0 the server is full
+    BUSY_SHARE = "busy"  # fraction of the CPU cores in use
     BACKLOG_S = "backlog_s"  # seconds of queued work
     IN_FLIGHT = "inflight"  # requests being processed
     QUEUE_LENGTH = "queue"  # queued requests
@@ -17,7 +17,7 @@
 
 
 class Idempotency(StrEnum):
-    """Whether a request may be sent a second time."""
+    """The idempotency of a request: whether it may be sent a second time."""
 
     IDEMPOTENT = "idempotent"  # a repeat is harmless
     IDEMPOTENCY_KEY = "idempotency_key"  # servers of one scope discard a repeat within a time window
@@ -25,7 +25,7 @@
 
 
 class DeduplicationScope(StrEnum):
-    """Which servers share the record of idempotency keys, and so discard a repeat."""
+    """The servers that share one record of idempotency keys, and so discard a repeat."""
 
     ALL = "all"
     ZONE = "zone"
@@ -34,7 +34,7 @@
 
 
 class EndpointState(StrEnum):
-    """The state of a server in the list of servers."""
+    """The state of a server in the endpoint list."""
 
     READY = "ready"
     DRAINING = "draining"  # completes its connections and accepts no new ones
@@ -42,26 +42,26 @@
 
 
 class EndpointUpdateKind(StrEnum):
-    """What an update of the list of servers contains."""
+    """The content of an update of the endpoint list."""
 
-    DELTA = "delta"  # changed endpoints
+    DELTA = "delta"  # only the changed endpoints
     FULL = "full"  # all endpoints
-    CACHED = "cached"  # all endpoints, possibly out of date
+    CACHED = "cached"  # all endpoints, possibly stale
     FAILED = "failed"  # no endpoints: a call to discovery failed
     MOVED = "moved"  # no endpoints: the address of discovery has changed
 
 
 class AttemptOutcome(StrEnum):
-    """How an attempt, an established connection or a health check ended."""
+    """The outcome of an attempt, of an established connection or of a health check."""
 
     OK = "ok"
     ERROR = "error"
-    OVERLOADED = "overloaded"  # rejected by the server without effect
+    OVERLOADED = "overloaded"  # rejected by the server, without effect
     TIMEOUT = "timeout"
     CONNECT_FAILED = "connect_failed"
     RESET = "reset"
     CANCELLED = "cancelled"
-    NOT_SENT = "not_sent"  # abandoned before anything was sent; the server has not failed
+    NOT_SENT = "not_sent"  # abandoned before anything was sent; not a failure of the server
 
     @property
     def is_ok(self) -> bool:
@@ -79,7 +79,7 @@
         return self not in _CANNOT_HAVE_RUN
 
 
-# Cached: access to an enumeration's member is slow in Python 3.11.
+# Cached, since access to an enum member is slow in Python 3.11.
 _OK = AttemptOutcome.OK
 _NON_FAILURES = (AttemptOutcome.OK, AttemptOutcome.CANCELLED, AttemptOutcome.NOT_SENT)
 _CANNOT_HAVE_RUN = (AttemptOutcome.OVERLOADED, AttemptOutcome.CONNECT_FAILED, AttemptOutcome.NOT_SENT)
--- a/wheatstile/interface/events.py
+++ b/wheatstile/interface/events.py
@@ -10,7 +10,7 @@
 
 @dataclass(slots=True)
 class EndpointUpdate:
-    """The list of servers, or its changes; without endpoints if the kind is FAILED or MOVED."""
+    """The endpoint list, or changes to it. It has no endpoints if the kind is FAILED or MOVED."""
 
     kind: EndpointUpdateKind
     endpoints: list[Endpoint] = field(default_factory=list)
@@ -18,18 +18,18 @@
 
 @dataclass(slots=True)
 class Request:
-    """A client requests a connection. It must get exactly one final answer."""
+    """A client requests a connection. The request must get exactly one final answer."""
 
     id: str
     service_class: str
     expires_in_us: int  # time until the client stops waiting
     key: str = ""  # identifies the client across reconnections; empty: unknown
     tenant: str = ""
-    midflow: bool = False  # packets of a connection that a server may still have open
+    midflow: bool = False  # its packets belong to a connection that a server may still have open
     reconnecting: bool = False  # the client reconnects after a broken connection or a migration
     client_retry: bool = False  # the client marks the request as a repeat
     load_hint: float = 0.0  # load that the client expects to cause
-    affinity_group: str = ""  # connections of one group share work at a server
+    affinity_group: str = ""  # connections of one group at the same server share work
 
 
 @dataclass(slots=True)
@@ -85,7 +85,7 @@
 
 @dataclass(slots=True)
 class ConnectionLoadChanged:
-    """The load of a connection has changed, in microseconds of work a second."""
+    """The load of a connection has changed. The unit is microseconds of work per second."""
 
     id: str
     server: str
@@ -103,14 +103,14 @@
 
 @dataclass(slots=True)
 class TimerFired:
-    """A timer that the module has set has fired."""
+    """A timer that the module set has fired."""
 
     token: TimerToken
 
 
 @dataclass(slots=True)
 class ShutdownStarted:
-    """This balancer exits within seconds: every waiting request has to be answered now."""
+    """This balancer will exit within seconds: every waiting request must be answered now."""
 
 
 Event: TypeAlias = (
--- a/wheatstile/interface/settings.py
+++ b/wheatstile/interface/settings.py
@@ -1,4 +1,4 @@
-"""The settings of one balancer, as the platform gives them."""
+"""The settings of one balancer, which the platform provides."""
 
 from dataclasses import dataclass
 from math import inf, isfinite
@@ -8,10 +8,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceClass:
-    """The objectives of one class of connections, and whether their setup may be repeated."""
+    """One class of connections: its latency objectives, and whether a setup may be repeated."""
 
     name: str
-    latency_objective_us: int  # objective for the setup of a connection
+    latency_objective_us: int  # objective for the duration of a connection setup
     idempotency: Idempotency = Idempotency.IDEMPOTENT
     deduplication_scope: DeduplicationScope = DeduplicationScope.ALL  # only used for IDEMPOTENCY_KEY
     deduplication_window_us: int = 0  # how long servers keep an idempotency key
@@ -20,9 +20,9 @@
 
     @property
     def repeat_window_us(self) -> float:
-        """How long after a first attempt that may have run another attempt is harmless, in microseconds.
+        """The time, after a first attempt that may have run, in which another attempt is harmless.
 
-        This holds for servers in the deduplication scope. Infinite for IDEMPOTENT, 0 for NON_IDEMPOTENT.
+        It applies to servers in the deduplication scope. Infinite for IDEMPOTENT, 0 for NON_IDEMPOTENT.
         """
         if self.idempotency == Idempotency.IDEMPOTENT:
             return inf
@@ -44,18 +44,18 @@
     zone: str
     classes: dict[str, ServiceClass]
     max_attempts: int
-    slow_start_initial_capacity: float  # share of its full capacity that a starting server has at least
-    slow_start_duration_us: int  # time from a start to full capacity
-    slow_start_overload_factor: float  # multiple of its present capacity that a starting server survives
-    slow_start_overload_window_us: int = 1_500_000  # time over which that multiple is counted
-    poll_endpoints: bool = False  # whether the list of servers has to be requested
-    poll_interval_us: int = 10_000_000  # a balancer that polls less often is expected to know the list
+    slow_start_initial_capacity: float  # minimum fraction of full capacity of a starting server
+    slow_start_duration_us: int  # time from the start of a server to its full capacity
+    slow_start_overload_factor: float  # multiple of its current capacity that a starting server withstands
+    slow_start_overload_window_us: int = 1_500_000  # window over which that multiple is measured
+    poll_endpoints: bool = False  # whether the endpoint list must be polled
+    poll_interval_us: int = 10_000_000  # after this time a balancer is expected to know a changed list
     health_checks_enabled: bool = True
-    load_metrics: tuple[str, ...] = ()  # figures that a load report may contain
+    load_metrics: tuple[str, ...] = ()  # metrics that a load report may contain
     retry_after_enabled: bool = False  # whether a rejection may tell the client when to retry
     max_retry_after_us: int = 0
     reports_message_latency: bool = True  # whether MessageLatencyChanged is sent for slow servers
-    cross_zone_cost: float = 0.0  # cost of a request to another zone, in points of the score
+    cross_zone_cost: float = 0.0  # cost of a request to a server in another zone, in points of the score
 
     def __post_init__(self) -> None:
         for name in ("fleet_size", "max_attempts", "slow_start_overload_window_us"):
--- a/wheatstile/interface/timers.py
+++ b/wheatstile/interface/timers.py
@@ -1,15 +1,15 @@
-"""The timers that the decision module asks for, and what each is for."""
+"""The timers that the decision module sets, and the purpose of each."""
 
 from dataclasses import dataclass
 from enum import StrEnum
 
 
 class TimerKind(StrEnum):
-    """What the module does when a timer fires."""
+    """The purpose of a timer."""
 
     EXPLORATION_SLOT = "exploration_slot"
     WATCH_ENDPOINTS = "watch_endpoints"
-    LOAD_CHECK = "load_check"  # check a server, drawn at random
+    LOAD_CHECK = "load_check"  # check a randomly drawn server
     REPEATED_LOAD_CHECK = "repeated_load_check"  # check the overloaded server of a connection again
     CANDIDATE_TIMEOUT = "candidate_timeout"  # decide on a waiting request
     REBALANCE = "rebalance"  # rebalance the server of a connection
@@ -21,4 +21,4 @@
 
     kind: TimerKind
     connection_id: str = ""  # empty for a timer of the whole balancer
-    due_us: int = 0  # identifies the last CANDIDATE_TIMEOUT of a request
+    due_us: int = 0  # identifies the latest CANDIDATE_TIMEOUT of a request
