--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_admission.py
@@ -1,4 +1,4 @@
-"""The rate of repeated setups, and early rejection."""
+"""Tests of the rate limit of repeated setups, and of early rejection."""
 
 from support.balancer_harness import SECOND_US, BalancerHarness, of_type
 
@@ -12,10 +12,10 @@
     harness = BalancerHarness("a", "b", loads={"a": 1.0, "b": 1.0})
     harness.request("first")
     assert of_type(harness.log, api.Reject)
-    mark = len(harness.log)
+    previous_count = len(harness.log)
     for index in range(40):
         harness.dispatch(api.Request(f"r{index}", "web", 2 * SECOND_US))
-    assert 20 < len(of_type(harness.log[mark:], api.Reject)) < 40
+    assert 20 < len(of_type(harness.log[previous_count:], api.Reject)) < 40
 
 
 def test_servers_are_checked_again_once_the_reports_of_a_full_fleet_expire() -> None:
@@ -49,7 +49,7 @@
 
 
 def test_setup_rate_recovers_in_proportion_to_the_connections() -> None:
-    """Each of two hundred balancers sees few failures, and may not restore its rate between two of them."""
+    """With 200 balancers each sees few failures, and must not restore its full rate between two of them."""
     recovered = []
     for number in (4, 100):
         harness = BalancerHarness("a", "b", fleet_size=200)
--- a/tests/decisions/test_candidate_selection.py
+++ b/tests/decisions/test_candidate_selection.py
@@ -1,4 +1,4 @@
-"""Which candidates are drawn, and which of them is chosen."""
+"""Tests of the draw of candidates, and of the choice between them."""
 
 from collections import Counter
 
@@ -17,29 +17,30 @@
     for index in range(1200):
         harness.request(f"r{index}", key=f"k{index}")
     attempts = Counter(harness.attempted_servers)
-    won_pairs = {"a": 3, "b": 2, "c": 1, "d": 0}  # of the six pairs of servers
+    # The number of pairs, of the six possible ones, in which a server has the lower load.
+    won_pairs = {"a": 3, "b": 2, "c": 1, "d": 0}
     for name in names:
         assert attempts[name] == pytest.approx(1200 * won_pairs[name] / 6, rel=0.15)
 
 
 def test_every_balancer_draws_the_same_candidates_for_a_key() -> None:
-    there = [api.Endpoint(name, api.EndpointState.READY, "there") for name in NAMES[10:]]
+    remote_endpoints = [api.Endpoint(name, api.EndpointState.READY, "there") for name in NAMES[10:]]
     first = BalancerHarness(*NAMES, seed=1, cross_zone_cost=0.1)
     second = BalancerHarness(*NAMES, seed=2, cross_zone_cost=0.1)
-    same = 0
+    matches = 0
     for harness in (first, second):
-        harness.update_endpoints(*endpoints(*NAMES[:10]), *there, kind=api.EndpointUpdateKind.FULL)
+        harness.update_endpoints(*endpoints(*NAMES[:10]), *remote_endpoints, kind=api.EndpointUpdateKind.FULL)
     for index in range(200):
         first.request(f"r{index}", key=f"k{index}")
         second.dispatch(api.Request(f"r{index}", "web", 2 * SECOND_US, f"k{index}", midflow=True))
-        same += first.attempted_servers[-1] == second.attempted_servers[-1]
-    # The candidate in the own zone wins, unless the other one is clearly less loaded.
-    assert same > 150
+        matches += first.attempted_servers[-1] == second.attempted_servers[-1]
+    # The candidate in the local zone is chosen, unless the other one is clearly less loaded.
+    assert matches > 150
 
 
 @pytest.mark.parametrize("group", ["g1", "g2", "g3"])
 def test_affinity_group_with_full_candidates_uses_the_same_servers_at_every_balancer(group: str) -> None:
-    """A group that outgrows its two servers may not spread over all of them."""
+    """If both candidates of a group are full, the group must not spread over all other servers."""
     first = BalancerHarness(*NAMES, fleet_size=50)
     checks = of_type(
         first.dispatch(api.Request("r", "web", SECOND_US, "k", affinity_group=group)), api.CheckHealth
@@ -87,7 +88,7 @@
     assert len(pairs) == 1
 
 
-def test_reconnecting_client_gets_other_candidates() -> None:
+def test_reconnecting_client_without_a_group_gets_random_candidates() -> None:
     harness = BalancerHarness(*NAMES, seed=3)
     servers = set()
     for index in range(16):
--- a/tests/decisions/test_determinism.py
+++ b/tests/decisions/test_determinism.py
@@ -1,4 +1,4 @@
-"""One seed and one sequence of events always give the same actions."""
+"""Tests that the same seed and the same events always result in the same actions."""
 
 import os
 import subprocess
@@ -25,7 +25,7 @@
 
 
 def run_scenario(seed: int) -> list[api.Action]:
-    """Return the actions of 200 requests and ten seconds."""
+    """Return the actions for 200 requests and the following ten seconds."""
     harness = BalancerHarness("a", "b", "c", seed=seed)
     for index in range(200):
         harness.request(f"r{index}", key=f"k{index}")
--- a/tests/decisions/test_event_order.py
+++ b/tests/decisions/test_event_order.py
@@ -1,4 +1,4 @@
-"""The rules hold for any order of events, also late, repeated and unknown ones (rules 1 and 2)."""
+"""Tests rules 1 and 2 for any order of events, including late, repeated and unknown ones."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True)
 class Step:
-    """One drawn event; `index` selects its request and its server, `flag` one of two variants."""
+    """A random event: `index` selects its request and its server, `flag` one of two variants."""
 
     index: int
     outcome: api.AttemptOutcome
@@ -27,7 +27,7 @@
 
 
 class RuleChecker:
-    """Plays drawn events against one balancer and checks each action against the rules."""
+    """Dispatches random events to one balancer and checks each action against the rules."""
 
     def __init__(self, seed: int, idempotency: api.Idempotency) -> None:
         zone = api.DeduplicationScope.ZONE
@@ -35,7 +35,7 @@
             "web", 500_000, idempotency, zone, 5 * SECOND_US, message_latency_objective_us=50_000
         )
         self.harness = BalancerHarness(*SERVERS, seed=seed, classes={"web": service_class})
-        self.attempts_in_flight: dict[str, int] = {}  # the attempt's number by request
+        self.attempts_in_flight: dict[str, int] = {}  # number of the attempt, keyed by request
         self.attempt_counts: dict[str, int] = {}
         self.ended: set[str] = set()
         self._checked_actions = 0
@@ -81,7 +81,7 @@
         return sorted(self.attempts_in_flight)[step.index % len(self.attempts_in_flight)]
 
     def check_new_actions(self) -> None:
-        """Check the new actions: one attempt at a time, one final answer, nothing after it."""
+        """Check the new actions: one attempt at a time, one final answer, and no action after it."""
         for action in self.harness.log[self._checked_actions :]:
             if isinstance(action, api.StartAttempt):
                 assert action.id not in self.ended, "an attempt after the end"
--- a/tests/decisions/test_exploration.py
+++ b/tests/decisions/test_exploration.py
@@ -1,4 +1,4 @@
-"""The exploration probability, the ratio rule of Proposition 1, and the moves of connections."""
+"""Tests of the exploration probability, the ratio rule of Proposition 1, and the moves of connections."""
 
 from collections import Counter
 
@@ -32,7 +32,7 @@
 
 
 def test_expected_loads_are_equal_after_the_returns() -> None:
-    """The identity behind the rule: the moves that stay even out the two expected loads."""
+    """The identity behind the ratio rule: moves without a return make the two expected loads equal."""
     gamma = 0.4
     x_i = 1.0
     x_j = 0.7
@@ -45,21 +45,21 @@
     assert return_probability(1.0, 0.5, n=1, gamma=0.05) == 0.0
 
 
-def run_explore_slot(harness: BalancerHarness, connections: int) -> list[api.Migrate]:
-    """Add connections c0, c1 and so on at server "a", and run one slot. Return the moves."""
+def run_exploration_slot(harness: BalancerHarness, connections: int) -> list[api.Migrate]:
+    """Add the connections c0, c1 and so on at server "a", and run one slot. Return the migrations."""
     for index in range(connections):
         harness.connect(f"c{index}", "a", f"k{index}")
     return of_type(harness.run(SLOT_US), api.Migrate)
 
 
 def key_of(move: api.Migrate) -> str:
-    """Return the client key of a connection of `run_explore_slot`."""
+    """Return the client key of a connection that `run_exploration_slot` added."""
     return f"k{move.id[1:]}"
 
 
-def explore_one(harness: BalancerHarness) -> str:
-    """Move one connection by exploration, and let its client reconnect as "moved". Return its server."""
-    moves = run_explore_slot(harness, 1000)
+def migrate_one_by_exploration(harness: BalancerHarness) -> str:
+    """Have exploration migrate a connection, whose client reconnects as "moved". Return its server."""
+    moves = run_exploration_slot(harness, 1000)
     assert moves
     harness.request("moved", key=key_of(moves[0]), reconnecting=True)
     return harness.establish("moved")
@@ -67,7 +67,7 @@
 
 def test_share_of_connections_that_explore_is_gamma() -> None:
     harnesses = [BalancerHarness("a", "b", "c", seed=seed) for seed in range(5)]
-    moves = sum(len(run_explore_slot(harness, 2000)) for harness in harnesses)
+    moves = sum(len(run_exploration_slot(harness, 2000)) for harness in harnesses)
     assert moves == pytest.approx(10000 * GAMMA_CAP, rel=0.25)
 
 
@@ -75,7 +75,7 @@
     targets: Counter[str] = Counter()
     for seed in range(20):
         harness = BalancerHarness("a", "b", "c", "d", seed=seed)
-        for move in run_explore_slot(harness, 2000):
+        for move in run_exploration_slot(harness, 2000):
             harness.request(f"moved-{move.id}", key=key_of(move), reconnecting=True)
         targets.update(harness.attempted_servers)
     assert set(targets) == {"b", "c", "d"}
@@ -87,7 +87,7 @@
     load_after: float, goes_back: bool
 ) -> None:
     harness = BalancerHarness("a", "b", loads={"a": 0.4, "b": 0.3})
-    assert explore_one(harness) == "b"
+    assert migrate_one_by_exploration(harness) == "b"
     harness.loads["b"] = load_after
     migrated = [move.id for move in of_type(harness.run(SLOT_US), api.Migrate)]
     assert ("moved" in migrated) is goes_back
@@ -99,7 +99,7 @@
 
 def test_rejection_after_a_move_counts_as_a_higher_load() -> None:
     harness = BalancerHarness("a", "b", "c", loads={"a": 0.4, "b": 0.3, "c": 0.3})
-    moves = run_explore_slot(harness, 1000)
+    moves = run_exploration_slot(harness, 1000)
     harness.request("moved", key=key_of(moves[0]), reconnecting=True)
     target = harness.attempted_servers[-1]
     assert target != "a"
@@ -109,7 +109,7 @@
 
 def test_failed_connection_after_a_move_counts_as_a_higher_load() -> None:
     harness = BalancerHarness("a", "b", loads={"a": 0.4, "b": 0.3})
-    assert explore_one(harness) == "b"
+    assert migrate_one_by_exploration(harness) == "b"
     key = key_of(of_type(harness.log, api.Migrate)[0])
     harness.dispatch(api.AttemptEnded("moved", 0, "b", api.AttemptOutcome.RESET, closed=True))
     harness.request("back", key=key, reconnecting=True)
@@ -117,10 +117,10 @@
 
 
 def test_fleet_of_one_server_does_not_explore() -> None:
-    assert run_explore_slot(BalancerHarness("a"), 2000) == []
+    assert run_exploration_slot(BalancerHarness("a"), 2000) == []
 
 
-def test_slots_start_at_a_seeded_phase() -> None:
+def test_phase_of_the_slots_is_drawn_from_the_seed() -> None:
     first_due = {BalancerHarness("a", seed=seed).timers[0].due_us for seed in range(8)}
     assert len(first_due) == 8
     assert all(0 < due_us - START_US <= SLOT_US for due_us in first_due)
--- a/tests/decisions/test_fleet_load.py
+++ b/tests/decisions/test_fleet_load.py
@@ -1,4 +1,4 @@
-"""When the fleet counts as full."""
+"""Tests of the mean load, above which the fleet counts as full."""
 
 from support.balancer_harness import SECOND_US, BalancerHarness, of_type
 
@@ -13,8 +13,8 @@
     assert harness.balancer.fleet_load.mean() < OVERLOAD_THRESHOLD
 
 
-def test_full_servers_of_the_own_zone_do_not_make_the_fleet_full() -> None:
-    """Servers of the own zone are drawn more often, but each ready server counts once."""
+def test_full_servers_of_the_local_zone_do_not_make_the_fleet_full() -> None:
+    """Servers of the local zone are drawn more often, but each ready server counts once."""
     loads = {"a": 1.2, "b": 1.2, "c": 0.4, "d": 0.4, "e": 0.4}
     harness = BalancerHarness(*"abcde", loads=loads, cross_zone_cost=0.01)
     for name in "cde":
--- a/tests/decisions/test_health_checks.py
+++ b/tests/decisions/test_health_checks.py
@@ -1,4 +1,4 @@
-"""What the results of health checks show, and outlier ejection."""
+"""Tests of the results of health checks, and of the ejections that they cause."""
 
 import pytest
 from support.balancer_harness import SECOND_US, BalancerHarness, of_type
@@ -7,7 +7,7 @@
 
 
 def test_first_rejected_check_is_not_a_failure() -> None:
-    """Many balancers that check a healthy server at once may overload it briefly; its clients stay."""
+    """Many balancers that check a healthy server at once may overload it briefly; its clients must stay."""
     harness = BalancerHarness("a", "b", "c", loads={"a": 0.6, "b": 0.4, "c": 0.4})
     harness.connect("c0", "a")
     harness.server("a").load.record_report({"load": 0.6}, harness.now_us)
@@ -20,7 +20,7 @@
         assert harness.pending_checks.pop() == "a"
         moves.append(of_type(harness.answer_check("a", api.AttemptOutcome.OVERLOADED), api.Migrate))
         harness.run(SECOND_US)
-    # The second rejection in a row counts as no answer.
+    # A second rejection in a row counts as an unanswered check.
     assert moves == [[], [api.Migrate("c0")]]
 
 
@@ -52,10 +52,10 @@
     harness.connect("c0", failed)
     harness.report_latency("c0", failed, 400.0)
     harness.run(SECOND_US // 2)
-    mark = len(harness.attempts)
+    previous_count = len(harness.attempts)
     for index in range(30):
         harness.request(f"x{index}")
-    servers = {attempt.server for attempt in harness.attempts[mark:] if attempt.id != "r"}
+    servers = {attempt.server for attempt in harness.attempts[previous_count:] if attempt.id != "r"}
     assert failed not in servers
     assert len(servers) == 2
 
@@ -64,7 +64,9 @@
     ("outcome", "is_ejected"),
     [(api.AttemptOutcome.NOT_SENT, False), (api.AttemptOutcome.CONNECT_FAILED, True)],
 )
-def test_check_that_was_not_sent_does_not_eject(outcome: api.AttemptOutcome, is_ejected: bool) -> None:
+def test_check_that_was_not_sent_does_not_eject_the_server(
+    outcome: api.AttemptOutcome, is_ejected: bool
+) -> None:
     harness = BalancerHarness("a", "b")
     harness.dispatch(api.Request("r", "web", 2 * SECOND_US))
     harness.answer_check(harness.pending_checks.pop(), outcome)
--- a/tests/decisions/test_interface_settings.py
+++ b/tests/decisions/test_interface_settings.py
@@ -1,4 +1,4 @@
-"""Settings outside their range are rejected by name."""
+"""Tests of the validation of settings."""
 
 import pytest
 from support.balancer_harness import settings
--- a/tests/decisions/test_lookup_table.py
+++ b/tests/decisions/test_lookup_table.py
@@ -1,4 +1,4 @@
-"""Draws follow the weights, and are the same at every balancer for one seed."""
+"""Tests that draws follow the weights, and that one seed gives the same draws at every balancer."""
 
 from collections import Counter
 from zlib import crc32
@@ -11,7 +11,7 @@
 
 NAMES = [f"s{number}" for number in range(10)]
 RISING_WEIGHTS = {name: float(number) for number, name in enumerate(NAMES, 1)}
-# By degrees of freedom; exceeded by chance once in a thousand.
+# Keyed by degrees of freedom; the probability of exceeding a limit by chance is 0.001.
 CHI_SQUARE_LIMITS = {1: 10.83, 9: 27.88, 19: 43.82}
 
 
@@ -27,7 +27,7 @@
 
 
 def connection_of(group: str) -> Connection:
-    """Return a request whose candidates are drawn from the hash of an affinity group."""
+    """Return a request whose placement hash is that of an affinity group."""
     service_class = api.ServiceClass("web", 1)
     return Connection("id", "key", service_class, 0, placement_hash=crc32(group.encode()))
 
@@ -88,7 +88,7 @@
 
 
 def test_last_servers_that_are_not_ejected_are_drawn_by_weight() -> None:
-    """With nearly all servers ejected the whole list is searched in place of the lookup table."""
+    """If nearly all servers are ejected, all ready servers are searched instead of the lookup table."""
     weights = {"heavy": 3.0, "light": 1.0} | {f"ejected{number}": 100.0 for number in range(60)}
     harness = weighted_harness(weights)
     for name, server in harness.balancer.endpoints.servers.items():
--- a/tests/decisions/test_many_balancers.py
+++ b/tests/decisions/test_many_balancers.py
@@ -1,4 +1,4 @@
-"""What many balancers do together, on a simple model of servers; a run is the same each time."""
+"""Tests of many balancers on a simple model of servers. Each run gives the same result."""
 
 from dataclasses import replace
 from math import sqrt
@@ -18,7 +18,7 @@
 
 
 def drain(fleet: FleetModel, *names: str, spread_us: int = SECOND_US) -> None:
-    """Drain these servers; all their clients disconnect now and reconnect within the spread."""
+    """Drain these servers; all their clients disconnect now, and reconnect within `spread_us`."""
     draining = [replace(fleet.endpoints[name], state=api.EndpointState.DRAINING) for name in names]
     fleet.update_endpoints(*draining)
     for id in [id for id, connection in fleet.connections.items() if connection.server in names]:
@@ -37,15 +37,16 @@
     fleet.run(2 * SECOND_US)
     drain(fleet, *SERVERS[:3])
     fleet.run(4 * SECOND_US)
-    # 6 s after its start a server has 0.3 of its capacity of 60 connections.
+    # 6 s after its start, a server has 0.3 of its capacity of 60 connections.
     assert sum(fleet.connection_counts[endpoint.name] for endpoint in starting) >= 20
     assert all(fleet.max_attempts_within(endpoint.name, 1_500_000) <= 0.3 * 60 for endpoint in starting)
 
 
 def attempts_at_a_starting_server(balancers: int, seed: int) -> int:
-    """Return the attempts in one window after four of five servers drain: one full and one starting remain.
+    """Return the attempts in one window after four of five servers drain.
 
-    Each server has 9 connections at a load of 0.75, so that most balancers have one or two.
+    One full server and the starting one remain. Each server has 9 connections at a load of 0.75, so that most
+    balancers have one or two.
     """
     fleet = FleetModel(
         balancers,
@@ -61,17 +62,17 @@
     fleet.run(6 * SECOND_US)
     fleet.update_endpoints(replace(fleet.endpoints["w0"], name=STARTING, started_at_us=fleet.now_us))
     fleet.run(6 * SECOND_US)
-    mark = len(fleet.attempts)
-    drain(fleet, *SERVERS[:4], spread_us=SECOND_US // 5)  # faster than load reports arrive
+    previous_count = len(fleet.attempts)
+    drain(fleet, *SERVERS[:4], spread_us=SECOND_US // 5)  # shorter than the delay of load reports
     fleet.run(fleet.settings.slow_start_overload_window_us)
-    return sum(attempt.server == STARTING for attempt in fleet.attempts[mark:])
+    return sum(attempt.server == STARTING for attempt in fleet.attempts[previous_count:])
 
 
 @pytest.mark.parametrize("balancers", [20, 32])
 def test_reconnect_burst_uses_and_does_not_exceed_the_budget_of_a_starting_server(balancers: int) -> None:
     attempts = [attempts_at_a_starting_server(balancers, seed) for seed in range(30)]
-    mean_age_us = 7.5 * SECOND_US  # at the end of the window
-    budget = OVERLOAD_FACTOR * SMALL_CAPACITY * mean_age_us / SLOW_START_DURATION_US
+    age_at_window_end_us = 7.5 * SECOND_US
+    budget = OVERLOAD_FACTOR * SMALL_CAPACITY * age_at_window_end_us / SLOW_START_DURATION_US
     assert max(attempts) <= budget + 2 * sqrt(budget) + 2
     assert budget / 3 <= sum(attempts) / len(attempts) <= budget
 
--- a/tests/decisions/test_outlier_ejection.py
+++ b/tests/decisions/test_outlier_ejection.py
@@ -1,4 +1,4 @@
-"""How long a server that failed is ejected."""
+"""Tests of the duration of an outlier ejection."""
 
 import pytest
 
--- a/tests/decisions/test_package.py
+++ b/tests/decisions/test_package.py
@@ -1,4 +1,4 @@
-"""Limits of the decision modules: their length, their width, their imports, and no input or output."""
+"""Tests of limits for the decision modules: length, line width, imports, and no input or output."""
 
 import ast
 import tomllib
--- a/tests/decisions/test_rebalancing.py
+++ b/tests/decisions/test_rebalancing.py
@@ -1,4 +1,4 @@
-"""Connections leave overloaded servers while the fleet has capacity."""
+"""Tests that connections are migrated from overloaded servers while the fleet has capacity."""
 
 import pytest
 from support.balancer_harness import SECOND_US, BalancerHarness, of_type
@@ -34,7 +34,7 @@
 
 
 def test_health_checks_after_high_message_latency_are_jittered() -> None:
-    """All balancers learn of a server's latency at the same moment."""
+    """All balancers learn of a server's latency at the same moment, and must not all check it then."""
     delays = set()
     for seed in range(20):
         harness = BalancerHarness("a", "b", "c", seed=seed)
@@ -48,7 +48,7 @@
 
 
 def migrations_after_latencies(first_ms: float, second_ms: float) -> int:
-    """Return the migrations from a server with a low reported load and these two latencies."""
+    """Return the number of migrations from a server with a low reported load and these two latencies."""
     harness = BalancerHarness("a", "b", "c", loads={"a": 0.1, "b": 0.4, "c": 0.4})
     harness.connect_many(60, "a")
     harness.server("a").load.record_message_latency(first_ms)
@@ -75,7 +75,7 @@
 def test_load_checks_rebalance_an_overloaded_server(
     reports_latency: bool, other_loads: float, is_rebalanced: bool
 ) -> None:
-    """Load checks replace latency reports, and migrate no connection while the whole fleet is full."""
+    """Load checks replace latency reports, and cause no migration while the whole fleet is full."""
     loads = {"a": 1.4, "b": other_loads, "c": other_loads}
     harness = BalancerHarness("a", "b", "c", loads=loads, reports_message_latency=reports_latency)
     for number in range(8):
@@ -124,7 +124,7 @@
 
 
 def test_new_connections_are_not_migrated_before_the_settling_time() -> None:
-    """The work of many setups shows as load for a moment."""
+    """The work of many setups briefly counts as load."""
     harness = BalancerHarness("a", "b", loads={"a": 0.3, "b": 0.3}, reports_message_latency=False)
     for number in range(60):
         harness.request(f"r{number}", key=f"k{number}")
--- a/tests/decisions/test_replay.py
+++ b/tests/decisions/test_replay.py
@@ -1,8 +1,8 @@
-"""The decisions do not change when the module's names and shape do."""
+"""Test that a change of the module's names or structure does not change its decisions."""
 
 from support.decision_replay import digest, replay
 
-# Changes only with a commit that changes a decision and says so.
+# Change them only in a commit that changes a decision, and state that in its message.
 EXPECTED_DIGEST = "326478ce7541f55af1594909ed7caa6b7aac0674b226cfe72c227cc1e9b58390"
 EXPECTED_LINES = 122_579
 
--- a/tests/decisions/test_request_lifecycle.py
+++ b/tests/decisions/test_request_lifecycle.py
@@ -1,4 +1,4 @@
-"""A request from its arrival to its one final answer."""
+"""Tests of a request from its arrival to its one final answer."""
 
 import pytest
 from support.balancer_harness import SECOND_US, BalancerHarness, of_type, settings
@@ -32,7 +32,7 @@
     harness.dispatch(api.Request("waiting", "web", 2 * SECOND_US))
     harness.connect("established", "a")
     actions = harness.dispatch(api.ShutdownStarted())
-    # The attempt in flight may have run: its client may retry only where a repeat is harmless.
+    # The attempt in flight may have run, so its client may retry only if a repeat is harmless.
     assert [type(action) for action in actions] == [answer, api.Reject]
     late = harness.dispatch(api.Request("late", "web", 2 * SECOND_US))
     assert [type(action) for action in late] == [api.Reject]
@@ -90,7 +90,7 @@
     assert harness.attempted_servers[-1] == "a"
 
 
-def test_requests_are_placed_without_health_checks() -> None:
+def test_requests_are_placed_if_health_checks_are_disabled() -> None:
     harness = BalancerHarness("a", "b", health_checks_enabled=False, load_metrics=())
     harness.request("r")
     assert harness.attempts
@@ -125,7 +125,7 @@
 
 
 def test_timer_that_fires_early_does_not_stop_a_request() -> None:
-    """A host may round delays, so that a timer fires before its due time."""
+    """A host may round a delay down, so that a timer fires before its due time."""
     harness = BalancerHarness()
     harness.request("r", expires_in_us=SECOND_US)
     requested_at_us = harness.now_us
--- a/tests/decisions/test_retry_policy.py
+++ b/tests/decisions/test_retry_policy.py
@@ -1,4 +1,4 @@
-"""Whether, where and with how much time another attempt follows (rules 1 and 2)."""
+"""Tests of the retry policy: its limit, its servers and its timeouts (rules 1 and 2)."""
 
 import pytest
 from support.balancer_harness import SECOND_US, BalancerHarness, endpoints, of_type
@@ -7,7 +7,7 @@
 
 
 def classes_of(idempotency: api.Idempotency, window_us: int = 5 * SECOND_US) -> dict[str, api.ServiceClass]:
-    """Return one class, whose servers discard repeats within a zone and this window."""
+    """Return one class, whose servers discard repeats within one zone and this window."""
     zone = api.DeduplicationScope.ZONE
     return {"web": api.ServiceClass("web", 500_000, idempotency, zone, window_us)}
 
@@ -16,14 +16,14 @@
 NON_IDEMPOTENT = classes_of(api.Idempotency.NON_IDEMPOTENT)
 
 
-def fail_first(harness: BalancerHarness, outcome: api.AttemptOutcome) -> list[api.Action]:
-    """Let the first attempt of a request "r" fail. Return the actions of the second after it."""
+def fail_first_attempt(harness: BalancerHarness, outcome: api.AttemptOutcome) -> list[api.Action]:
+    """End the first attempt of a request "r" with this outcome. Return the actions of the next second."""
     harness.request("r", 10 * SECOND_US)
-    mark = len(harness.log)
+    previous_count = len(harness.log)
     harness.end_attempt("r", outcome)
     harness.answer_checks()
     harness.run(SECOND_US)
-    return harness.log[mark:]
+    return harness.log[previous_count:]
 
 
 def test_timeout_leaves_time_for_another_attempt() -> None:
@@ -55,7 +55,7 @@
 )
 def test_non_idempotent_request_that_may_have_run_fails(outcome: api.AttemptOutcome) -> None:
     harness = BalancerHarness("a", "b", "c", classes=NON_IDEMPOTENT)
-    after = fail_first(harness, outcome) + harness.run(10 * SECOND_US)
+    after = fail_first_attempt(harness, outcome) + harness.run(10 * SECOND_US)
     assert not of_type(after, api.StartAttempt)
     assert not of_type(after, api.Reject)
     assert of_type(after, api.Fail) == [api.Fail("r")]
@@ -71,15 +71,15 @@
 )
 def test_non_idempotent_request_without_effect_is_retried(outcome: api.AttemptOutcome) -> None:
     harness = BalancerHarness("a", "b", "c", classes=NON_IDEMPOTENT)
-    assert of_type(fail_first(harness, outcome), api.StartAttempt)
+    assert of_type(fail_first_attempt(harness, outcome), api.StartAttempt)
 
 
 @pytest.mark.parametrize("seed", range(12))
 def test_keyed_retry_stays_in_its_deduplication_scope(seed: int) -> None:
     harness = BalancerHarness("a", "b", "c", "d", classes=KEYED, seed=seed)
-    there = [api.Endpoint(name, api.EndpointState.READY, "there") for name in ("c", "d")]
-    harness.update_endpoints(*endpoints("a", "b"), *there, kind=api.EndpointUpdateKind.FULL)
-    retries = of_type(fail_first(harness, api.AttemptOutcome.TIMEOUT), api.StartAttempt)
+    remote_endpoints = [api.Endpoint(name, api.EndpointState.READY, "there") for name in ("c", "d")]
+    harness.update_endpoints(*endpoints("a", "b"), *remote_endpoints, kind=api.EndpointUpdateKind.FULL)
+    retries = of_type(fail_first_attempt(harness, api.AttemptOutcome.TIMEOUT), api.StartAttempt)
     scope = {"a", "b"} if harness.attempted_servers[0] in "ab" else {"c", "d"}
     assert {retry.server for retry in retries} <= scope
     assert retries
@@ -88,7 +88,7 @@
 def test_keyed_retry_has_to_be_sent_within_the_deduplication_window() -> None:
     harness = BalancerHarness("a", "b", "c", classes=KEYED)
     ended_at_us = harness.now_us
-    retry = of_type(fail_first(harness, api.AttemptOutcome.TIMEOUT), api.StartAttempt)[0]
+    retry = of_type(fail_first_attempt(harness, api.AttemptOutcome.TIMEOUT), api.StartAttempt)[0]
     assert harness.attempts[0].send_before_us is None
     assert retry.send_before_us == ended_at_us - 1000 + 5 * SECOND_US  # the attempt ended after 1 ms
 
@@ -99,11 +99,11 @@
     )
     harness.request("r", 10 * SECOND_US)
     harness.now_us += 200_000
-    mark = len(harness.log)
+    previous_count = len(harness.log)
     harness.end_attempt("r", api.AttemptOutcome.TIMEOUT, elapsed_us=200_000)
     harness.answer_checks()
     harness.run(11 * SECOND_US)
-    after = harness.log[mark:]
+    after = harness.log[previous_count:]
     assert not of_type(after, api.StartAttempt)
     assert not of_type(after, api.Reject)
     assert of_type(after, api.Fail)
--- a/tests/decisions/test_server_load.py
+++ b/tests/decisions/test_server_load.py
@@ -1,4 +1,4 @@
-"""The load that a report shows, and what is recorded of a server's load."""
+"""Tests of the load in a report, and of the recorded load of a server."""
 
 import pytest
 from support.balancer_harness import SECOND_US, BalancerHarness
@@ -23,7 +23,7 @@
         ({"latency_ms": 7.0, "served_per_s": 3.0, "errors_per_s": 1.0}, None),
     ],
 )
-def test_load_in_a_report(report: api.LoadReport, load: float | None) -> None:
+def test_load_is_read_from_the_metrics_of_a_report(report: api.LoadReport, load: float | None) -> None:
     assert load_in(report) == load
 
 
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -1,4 +1,4 @@
-"""How many attempts a server in slow start gets (rule 4)."""
+"""Tests of the number of attempts at a server in slow start (rule 4)."""
 
 import pytest
 from support.balancer_harness import SECOND_US, BalancerHarness, endpoints
@@ -7,7 +7,7 @@
 
 
 def harness_in_slow_start(**changes: object) -> BalancerHarness:
-    """Return a balancer with the server "a", and "b", which has just started."""
+    """Return a balancer with the server "a" and the server "b", which has just started."""
     harness = BalancerHarness("a", "b", loads={"a": 0.5, "b": 0.0}, **changes)  # type: ignore[arg-type]
     starting = endpoints("b", started_at_us=harness.now_us)
     harness.update_endpoints(*endpoints("a"), *starting, kind=api.EndpointUpdateKind.FULL)
@@ -27,7 +27,7 @@
 
 
 def test_two_hundred_balancers_share_one_budget() -> None:
-    """If the share of a balancer is less than one attempt, not every balancer sends one."""
+    """If the share of each balancer is less than one attempt, only some balancers send one."""
     permitted = 0
     for seed in range(200):
         harness = BalancerHarness(*"abcdefgh", fleet_size=200, seed=seed)
@@ -41,14 +41,14 @@
             permitted += 1
             server.slow_start.charge(now_us)
             assert not selector.is_eligible(server, None)
-    # Three connections on nine servers at a load of 0.5 are 0.47 on one server at 0.7, of which a starting
-    # server bears a fifth. Three times that is permitted: 56 attempts of the 200 balancers.
+    # Three connections on nine servers at a load of 0.5 correspond to 0.47 on one server at 0.7. A starting
+    # server can serve a fifth of that, and three times this is permitted: 56 attempts of the 200 balancers.
     assert 40 < permitted < 72
 
 
 @pytest.mark.parametrize(("is_after_start", "permitted"), [(False, range(10, 30)), (True, range(1))])
 def test_attempts_before_the_start_was_reported_are_charged(is_after_start: bool, permitted: range) -> None:
-    """A server may answer again seconds before discovery reports its restart."""
+    """A restarted server may answer seconds before discovery reports its restart."""
     count = 0
     for seed in range(30):
         harness = BalancerHarness("a", "b", seed=seed, slow_start_overload_factor=1.0)
@@ -85,25 +85,25 @@
     for index in range(20):
         harness.request(f"r{index}")
         harness.run(50_000)
-    # The 20 connections fill two servers to 0.5 or less, so 20 fill one, and 40 with the new ones. At a fifth
-    # of its capacity, three times that is 12 to 24 attempts a second.
+    # The 20 connections load two servers to 0.5 or less, so 20 (40 with the new ones) load one server fully.
+    # At a fifth of its capacity, three times that is 12 to 24 attempts per second.
     assert 5 <= harness.attempted_servers.count("b") < 20
     harness.run(20 * SECOND_US)
-    mark = len(harness.attempts)
+    previous_count = len(harness.attempts)
     for index in range(20):
         harness.request(f"x{index}")
-    assert harness.attempted_servers[mark:].count("b") == 20
+    assert harness.attempted_servers[previous_count:].count("b") == 20
 
 
 def test_restarted_server_begins_a_new_budget() -> None:
-    """Attempts at the process before the restart are not charged to it."""
+    """Attempts at the previous process are not charged to the new budget."""
     harness = BalancerHarness("a", "b", loads={"a": 0.5, "b": 0.0})
     for index in range(300):
         harness.request(f"w{index}")
         harness.run(50_000)
     harness.update_endpoints(*endpoints("b", started_at_us=harness.now_us))
-    mark = len(harness.attempts)
+    previous_count = len(harness.attempts)
     for index in range(60):
         harness.request(f"r{index}")
         harness.run(50_000)
-    assert "b" in harness.attempted_servers[mark:]
+    assert "b" in harness.attempted_servers[previous_count:]
--- a/tests/decisions/test_slow_start_budget.py
+++ b/tests/decisions/test_slow_start_budget.py
@@ -1,4 +1,4 @@
-"""The tokens of one server in slow start, and the draw that decides where a window has less than one."""
+"""Tests of the tokens of one server in slow start, and of the draw for windows with less than one token."""
 
 from random import Random
 
@@ -7,7 +7,7 @@
 SECOND_US = 1_000_000
 START_US = 100 * SECOND_US
 WINDOW_US = 2 * SECOND_US
-TWO_TOKENS_A_SECOND = 2 / SECOND_US  # four in a window
+TWO_TOKENS_A_SECOND = 2 / SECOND_US  # four tokens in a window
 QUARTER_TOKEN_A_WINDOW = 0.25 / WINDOW_US
 JUST_BELOW_FIRST_DRAW = 0.13 / WINDOW_US  # the first draw of Random(1) is 0.134, the second 0.847
 JUST_ABOVE_FIRST_DRAW = 0.14 / WINDOW_US
@@ -15,14 +15,14 @@
 
 
 def started_budget(random: Random) -> SlowStartBudget:
-    """Return the budget of a server that has started at START_US; it takes one draw for its tokens."""
+    """Return the budget of a server that started at START_US; its initial tokens use one draw."""
     budget = SlowStartBudget()
     budget.reset(START_US, START_US, WINDOW_US, random)
     return budget
 
 
 def permits(budget: SlowStartBudget, cost: int, tokens_per_us: float, now_us: int, seed: int = 1) -> bool:
-    """Return whether the budget permits an attempt; a new draw is the first one of this seed."""
+    """Return whether the budget permits an attempt. A new draw is the first one of this seed."""
     return budget.permits(cost, tokens_per_us, WINDOW_US, now_us, Random(seed))
 
 
--- a/tests/decisions/test_token_bucket.py
+++ b/tests/decisions/test_token_bucket.py
@@ -1,4 +1,4 @@
-"""The tokens of a bucket, and its rate: additive increase, multiplicative decrease."""
+"""Tests of the tokens of a bucket, and of its rate (additive increase, multiplicative decrease)."""
 
 from wheatstile.decisions.token_bucket import AdaptiveTokenBucket, TokenRates
 
@@ -29,7 +29,7 @@
     assert bucket.tokens == 0.0
 
 
-def test_refill_is_proportional_to_the_rate_and_the_size() -> None:
+def test_refill_is_proportional_to_the_rate_and_the_scale() -> None:
     for scale, tokens in ((1.0, 0.2), (2.0, 0.4)):
         bucket = started_bucket(CONSTANT_RATE)
         bucket.try_acquire(START_US, scale)
@@ -53,7 +53,7 @@
     assert rates == [4.0, 3.0, 3.0]
 
 
-def test_time_increases_the_rate_in_proportion_to_the_size_up_to_its_maximum() -> None:
+def test_time_increases_the_rate_in_proportion_to_the_scale_up_to_its_maximum() -> None:
     bucket = started_bucket(RATES)
     bucket.try_acquire(START_US + SECOND_US, scale=4)
     assert bucket.rate == 10.0
--- a/tests/support/balancer_harness.py
+++ b/tests/support/balancer_harness.py
@@ -1,4 +1,4 @@
-"""One instance of the decision module, with a clock, timers, and servers that answer health checks."""
+"""A harness for one decision module, with a clock, timers, and servers that answer health checks."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
@@ -53,7 +53,7 @@
 
 
 class BalancerHarness:
-    """One balancer and its clock. Servers answer health checks with `loads`; unresponsive ones time out."""
+    """One balancer and its clock. Servers report `loads` to health checks; unresponsive ones time out."""
 
     def __init__(self, *names: str, loads: dict[str, float] | None = None, seed: int = 1, **changes: object):
         self.now_us = START_US
@@ -79,13 +79,13 @@
         return actions
 
     def dispatch(self, event: api.Event) -> list[api.Action]:
-        """Handle one event; health checks are not answered yet."""
+        """Handle one event. Health checks that it causes stay pending."""
         return self._record(self.balancer.handle(self.now_us, event))
 
     def update_endpoints(
         self, *changed: api.Endpoint, kind: api.EndpointUpdateKind = api.EndpointUpdateKind.DELTA
     ) -> list[api.Action]:
-        """Handle an update of the list of servers."""
+        """Handle an update of the endpoint list."""
         return self.dispatch(api.EndpointUpdate(kind, list(changed)))
 
     def answer_check(
@@ -95,7 +95,7 @@
         return self.dispatch(api.HealthCheckResult(server, outcome, 1000, report))
 
     def answer_checks(self) -> list[api.Action]:
-        """Answer every pending health check, also those that the answers cause."""
+        """Answer every pending health check, including those that the answers cause."""
         answers: list[api.Action] = []
         while self.pending_checks:
             name = self.pending_checks.pop(0)
@@ -106,7 +106,7 @@
         return answers
 
     def run(self, duration_us: int) -> list[api.Action]:
-        """Let time pass, while timers fire and health checks are answered."""
+        """Advance the time by this duration; timers fire, and health checks are answered."""
         end_us = self.now_us + duration_us
         answers: list[api.Action] = []
         while any(timer.due_us <= end_us for timer in self.timers):
@@ -116,7 +116,7 @@
         return answers
 
     def run_to_next_timer(self) -> list[api.Action]:
-        """Fire the next timer; health checks are not answered."""
+        """Fire the next timer. Health checks that it causes stay pending."""
         timer = min(self.timers)
         self.now_us = max(self.now_us, timer.due_us)
         return self.fire(timer)
@@ -127,7 +127,7 @@
         return self.dispatch(api.TimerFired(timer.token))
 
     def run_to_check_of(self, server: str) -> None:
-        """Fire timers until a health check of this server is pending, and take it; answer the others."""
+        """Fire timers until a health check of this server is pending, and remove it; answer the others."""
         while server not in self.pending_checks:
             self.run_to_next_timer()
             for name in [name for name in self.pending_checks if name != server]:
@@ -136,7 +136,7 @@
         self.pending_checks.remove(server)
 
     def request(self, id: str, expires_in_us: int = 2 * SECOND_US, **changes: object) -> list[api.Action]:
-        """Handle a client's request; the health checks of its candidates are answered at once."""
+        """Handle a client's request, and answer the health checks of its candidates at once."""
         event = api.Request(id, SERVICE_CLASS, expires_in_us, **changes)  # type: ignore[arg-type]
         return self.dispatch(event) + self.answer_checks()
 
@@ -145,12 +145,12 @@
         self.dispatch(api.ExistingConnection(id, SERVICE_CLASS, server, key))
 
     def connect_many(self, number: int, server: str) -> None:
-        """Add the connections c0, c1 and so on at this server."""
+        """Add the existing connections c0, c1 and so on at this server."""
         for index in range(number):
             self.connect(f"c{index}", server)
 
     def establish(self, id: str, attempt: int = 0) -> str:
-        """Let a request's last attempt succeed. Return its server."""
+        """Report that a request's latest attempt has succeeded. Return its server."""
         server = [sent.server for sent in self.attempts if sent.id == id][-1]
         self.dispatch(api.Established(id, attempt, server, 1000))
         return server
@@ -158,12 +158,12 @@
     def end_attempt(
         self, id: str, outcome: api.AttemptOutcome, attempt: int = 0, elapsed_us: int = 1000
     ) -> list[api.Action]:
-        """Let a request's last attempt fail."""
+        """Report that a request's latest attempt has ended with this outcome."""
         server = [sent.server for sent in self.attempts if sent.id == id][-1]
         return self.dispatch(api.AttemptEnded(id, attempt, server, outcome, elapsed_us))
 
     def report_latency(self, id: str, server: str, latency_ms: float) -> list[api.Action]:
-        """Handle a message latency of one connection."""
+        """Report the message latency of one connection."""
         return self.dispatch(api.MessageLatencyChanged(id, server, latency_ms))
 
     @property
--- a/tests/support/decision_replay.py
+++ b/tests/support/decision_replay.py
@@ -1,6 +1,6 @@
-"""A seeded input for the decision module, and the text of all its actions.
+"""Replays seeded events with the decision module, and returns the text of all its actions.
 
-The text names no type of the program, so that it stays the same when types are renamed.
+The text contains no type names of the program, so that renaming a type does not change it.
 tests/decisions/test_replay.py compares its digest.
 """
 
@@ -46,7 +46,7 @@
     retry_after_enabled=True,
     max_retry_after_us=1_200_000,
 )
-# Each setting that switches something is on in one variant and off in another.
+# Each setting that enables something is on in at least one variant and off in another.
 VARIANTS = (
     BASE,
     replace(BASE, reports_message_latency=False, cross_zone_cost=0.08, fleet_size=40),
@@ -70,7 +70,7 @@
 
 
 def replay() -> list[str]:
-    """Return the actions of every variant with three seeds each, of which one is shut down."""
+    """Return the actions of every variant with three seeds each, one of which includes a shutdown."""
     lines: list[str] = []
     for number, settings in enumerate(VARIANTS):
         for seed in (2 * number, 2 * number + 1, 2 * number + 100):
--- a/tests/support/fleet_model.py
+++ b/tests/support/fleet_model.py
@@ -1,8 +1,8 @@
-"""Many balancers of one fleet on a simple model of servers, to show what they do together.
+"""A model of a fleet: many balancers and simple servers, to test the effects of all balancers together.
 
-The load of a server is its open connections divided by its present capacity, and is read REPORT_AGE_US late.
-Events are played from one heap in the order of their times, and every random choice is drawn from the seed,
-so that a run is always the same.
+The load of a server is its open connections divided by its current capacity; reports of it are REPORT_AGE_US
+old. Events are dispatched from one heap in the order of their times, and every random choice is drawn from
+the seed, so that each run gives the same result.
 """
 
 import heapq
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True)
 class OpenConnection:
-    """Where a connection is open."""
+    """The balancer and the server of an open connection."""
 
     balancer: int
     server: str
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True)
-class LoadReading:
+class LoadSample:
     """The load of a server at one time."""
 
     at_us: int
@@ -47,21 +47,24 @@
 
 
 class FleetModel:
-    """Balancers by number, servers by name. Rejected and migrated clients reconnect at a random balancer."""
+    """Balancers are identified by number, servers by name.
+
+    Rejected and migrated clients reconnect at a random balancer.
+    """
 
     def __init__(
         self, balancers: int, servers: list[str], capacity: int, seed: int, **changes: object
     ) -> None:
         self.now_us = START_US
         self.random = Random(seed)
-        self.capacity = capacity  # connections that fill one server
+        self.capacity = capacity  # number of connections that fill one server
         self.settings = settings(fleet_size=balancers, reports_message_latency=False, **changes)
         self.endpoints = {name: api.Endpoint(name, api.EndpointState.READY, "here") for name in servers}
-        self.connection_counts: Counter[str] = Counter()  # keyed by server
-        self.connections: dict[str, OpenConnection] = {}  # open connections, keyed by id
+        self.connection_counts: Counter[str] = Counter()  # open connections, keyed by server
+        self.connections: dict[str, OpenConnection] = {}  # keyed by id
         self.attempts: list[Attempt] = []
         self.waiting: set[str] = set()  # requests without a connection
-        self._readings: dict[str, list[LoadReading]] = defaultdict(list)  # keyed by server
+        self._load_samples: dict[str, list[LoadSample]] = defaultdict(list)  # keyed by server
         self._attempt_counts: Counter[str] = Counter()  # keyed by request
         self._event_queue: list[tuple[int, int, Callable[[], None]]] = []
         self._sequence_numbers = count()
@@ -78,7 +81,7 @@
         self.dispatch(number, api.EndpointUpdate(api.EndpointUpdateKind.CACHED, endpoints))
 
     def run(self, duration_us: int) -> None:
-        """Let time pass, and run the events that are due."""
+        """Advance the time by this duration, and run the events that are due."""
         end_us = self.now_us + duration_us
         while self._event_queue and self._event_queue[0][0] <= end_us:
             self.now_us, _, callback = heapq.heappop(self._event_queue)
@@ -86,14 +89,14 @@
         self.now_us = end_us
 
     def update_endpoints(self, *changed: api.Endpoint) -> None:
-        """Give every balancer these changes, each at its own time."""
+        """Dispatch these changes to every balancer, each after its own random delay."""
         self.endpoints |= {endpoint.name: endpoint for endpoint in changed}
         event = api.EndpointUpdate(api.EndpointUpdateKind.DELTA, list(changed))
         for number in range(len(self.balancers)):
             self._schedule_dispatch(self.random.randrange(DISCOVERY_SPREAD_US), number, lambda: event)
 
     def schedule_request(self, delay_us: int, reconnecting: bool = False) -> None:
-        """Let a client request a connection at a random balancer."""
+        """Schedule a request for a connection at a random balancer."""
         self._schedule(delay_us, lambda: self._request(reconnecting))
 
     def end_connection(self, id: str) -> None:
@@ -107,7 +110,7 @@
         )
 
     def connect_at_each_server(self, number: int) -> None:
-        """Add connections from before the start at each server, spread over the balancers."""
+        """Add existing connections at each server, distributed over the balancers."""
         for server in self.endpoints:
             for index in range(number):
                 id = f"o{next(self._ids)}"
@@ -117,7 +120,7 @@
                 self.dispatch(balancer, api.ExistingConnection(id, "web", server, id))
 
     def max_attempts_within(self, server: str, window_us: int) -> int:
-        """Return the largest number of attempts at a server within any window of this length."""
+        """Return the maximum number of attempts at a server within any window of this length."""
         times = [attempt.at_us for attempt in self.attempts if attempt.server == server]
         counts = (sum(start_us <= time_us < start_us + window_us for time_us in times) for start_us in times)
         return max(counts, default=0)
@@ -150,7 +153,7 @@
                     self._schedule_dispatch(ROUND_TRIP_US, number, self._attempt_event(number, action))
                 case api.Reject():
                     self._reject(action.id)
-                case api.Migrate() if action.id in self.connections:  # else its server has just ended it
+                case api.Migrate() if action.id in self.connections:  # otherwise its server has just ended it
                     self.end_connection(action.id)
                     self.schedule_request(100_000 + self.random.randrange(SECOND_US), reconnecting=True)
 
@@ -169,15 +172,15 @@
         return lambda: self._establish(number, action.id, action.server)
 
     def _health_check_result(self, server: str) -> api.Event:
-        readings = self._readings[server]
-        readings.append(LoadReading(self.now_us, self._load(server)))
-        old = [reading for reading in readings if reading.at_us <= self.now_us - REPORT_AGE_US]
-        reported = old[-1] if old else readings[0]
+        samples = self._load_samples[server]
+        samples.append(LoadSample(self.now_us, self._load(server)))
+        old = [sample for sample in samples if sample.at_us <= self.now_us - REPORT_AGE_US]
+        reported = old[-1] if old else samples[0]
         report = {"load": reported.load}
         return api.HealthCheckResult(server, api.AttemptOutcome.OK, ROUND_TRIP_US, report)
 
     def _load(self, server: str) -> float:
-        """Return the open connections of a server divided by its present capacity."""
+        """Return the open connections of a server, divided by its current capacity."""
         started_at_us = self.endpoints[server].started_at_us
         relative_age = (
             (self.now_us - started_at_us) / self.settings.slow_start_duration_us if started_at_us else 1.0
--- a/tests/support/replay_environment.py
+++ b/tests/support/replay_environment.py
@@ -1,7 +1,7 @@
-"""Clients, servers and discovery of one decision module, drawn from a seed.
+"""The environment of one decision module in a replay: clients, servers and discovery, drawn from a seed.
 
-The events are drawn at random, and answer the actions of the module: health checks get results, attempts end
-with every outcome, timers fire.
+The events are random, and respond to the actions of the module: health checks get results, attempts end with
+every outcome, timers fire.
 """
 
 from dataclasses import replace
@@ -18,9 +18,9 @@
 FIRST_SERVERS = SERVER_NAMES[:8]
 UNLISTED_SERVER = "never_listed"
 ZONES = ("north", "south")
-FIRST_CONNECTIONS = 300  # exploration is rare, and needs many connections to happen
+FIRST_CONNECTIONS = 300  # many, since exploration migrates few of them
 MEAN_STEP_US = 40_000
-MEAN_BURST_STEP_US = 2_000  # while a reconnect burst lasts
+MEAN_BURST_STEP_US = 2_000  # during a reconnect burst
 REPORTS: tuple[api.LoadReport, ...] = (
     {"load": 0.3},
     {"load": 0.65},
@@ -48,7 +48,7 @@
 
 
 class ReplayEnvironment:
-    """Draws the events of one instance. The order of the draws is fixed, since the digest depends on it."""
+    """Draws the events of one instance. The digest depends on the order of the draws."""
 
     def __init__(self, settings: api.Settings, seed: int, shutdown_at_step: int) -> None:
         self._settings = settings
@@ -61,7 +61,7 @@
         self._servers_are_full = False
         self._is_mostly_failing = False
         self._mean_step_us = MEAN_STEP_US
-        # Events that may happen in a step, and how often they do.
+        # The events that are possible in a step, with their weights.
         self._weighted_events = {
             self._request: 30,
             self._answer_check: 45,
@@ -76,7 +76,7 @@
         }
 
     def run(self, steps: int) -> list[str]:
-        """Return one line of text for each action of the module in this number of steps."""
+        """Run this number of steps. Return one line of text for each action of the module."""
         self._state.record(self._now_us, self._balancer.start(self._now_us))
         listed = [self._draw_endpoint(name) for name in FIRST_SERVERS]
         self._dispatch(api.EndpointUpdate(api.EndpointUpdateKind.CACHED, listed))
@@ -87,7 +87,7 @@
         return self._state.lines
 
     def _run_step(self, step: int) -> None:
-        """Let some time pass, then dispatch one random event."""
+        """Advance the time by a random interval, then dispatch one random event."""
         if step % 700 == 0:
             self._draw_conditions()
         if step % 997 == 500:
@@ -138,7 +138,7 @@
             key = self._state.migrated_keys.pop()
             is_reconnecting = True
         if self._state.sessions and self._random.random() < 0.01:
-            id = next(iter(self._state.sessions))  # the id of a known request
+            id = next(iter(self._state.sessions))  # repeats the id of a known request
         self._state.sessions.setdefault(id, Session(id, key))
         self._dispatch(
             api.Request(
--- a/tests/support/replay_state.py
+++ b/tests/support/replay_state.py
@@ -14,12 +14,12 @@
     id: str
     key: str
     attempt: int = 0
-    server: str = ""  # where the attempt is in flight or the connection open; empty: nowhere
+    server: str = ""  # server of the attempt in flight or of the open connection; empty: none
     established: bool = False
 
 
 class ReplayState:
-    """The actions of one instance as text, its open sessions, pending health checks and timers."""
+    """Stores the actions of one instance as text, its sessions, pending health checks and timers."""
 
     def __init__(self) -> None:
         self.lines: list[str] = []
@@ -29,7 +29,7 @@
         self._timers: list[PendingTimer] = []
 
     def record(self, now_us: int, actions: list[api.Action]) -> None:
-        """Write the actions down, and keep what has to be followed up."""
+        """Record the actions as text, and track the sessions, health checks and timers that they start."""
         for action in actions:
             self.lines.append(f"{now_us} {self._text(action)}")
             self._track(now_us, action)
--- a/wheatstile/decisions/balancer.py
+++ b/wheatstile/decisions/balancer.py
@@ -44,16 +44,16 @@
         self.selector = self._build_selector()
         self.exploration = self._build_exploration()
         self._rebalancer = Rebalancer(self.context, self.connections, self.fleet_load, self.health_checks)
-        self._watch = EndpointWatch(self.context)
+        self._endpoint_watch = EndpointWatch(self.context)
         self._final_answer = FinalAnswer(self.context, self.connections)
         self._attempt_starter = AttemptStarter(self.context, self._retry_policy, self._final_answer)
-        self._placement = self._build_request_placement()
-        self._requests = self._build_request_lifecycle()
+        self._request_placement = self._build_request_placement()
+        self._request_lifecycle = self._build_request_lifecycle()
         self._event_handlers = self._build_event_handlers()
         self._balancer_timer_handlers: Mapping[api.TimerKind, Callable[[], None]] = {
             api.TimerKind.EXPLORATION_SLOT: self.exploration.on_slot,
             api.TimerKind.LOAD_CHECK: self._rebalancer.on_load_check_due,
-            api.TimerKind.WATCH_ENDPOINTS: self._watch.watch,
+            api.TimerKind.WATCH_ENDPOINTS: self._endpoint_watch.watch,
         }
         self._connection_timer_handlers: Mapping[api.TimerKind, Callable[[Connection], None]] = {
             api.TimerKind.REPEATED_LOAD_CHECK: self._rebalancer.on_repeated_load_check_due,
@@ -101,7 +101,7 @@
             self.setup_limiter,
             EarlyRejection(self.context, self.fleet_load),
             self.exploration,
-            self._placement,
+            self._request_placement,
             self._attempt_starter,
             self._final_answer,
         )
@@ -109,16 +109,16 @@
     def _build_event_handlers(self) -> Mapping[type, Callable[[Any], None]]:
         return {
             api.EndpointUpdate: self._on_endpoint_update,
-            api.Request: self._requests.on_request,
+            api.Request: self._request_lifecycle.on_request,
             api.ExistingConnection: self._on_existing_connection,
-            api.Established: self._requests.on_established,
-            api.AttemptEnded: self._requests.on_attempt_ended,
-            api.ClientDisconnected: self._requests.on_client_disconnected,
+            api.Established: self._request_lifecycle.on_established,
+            api.AttemptEnded: self._request_lifecycle.on_attempt_ended,
+            api.ClientDisconnected: self._request_lifecycle.on_client_disconnected,
             api.HealthCheckResult: self._on_health_check,
             api.TimerFired: self._on_timer,
             api.MessageLatencyChanged: self._on_message_latency,
             api.ConnectionLoadChanged: self._on_connection_load,
-            api.ShutdownStarted: self._requests.on_shutdown,
+            api.ShutdownStarted: self._request_lifecycle.on_shutdown,
         }
 
     @property
@@ -141,7 +141,7 @@
         self.setup_limiter.start()
         self.exploration.start()
         self._rebalancer.start()
-        self._watch.start()
+        self._endpoint_watch.start()
         return self.context.actions
 
     def handle(self, now_us: int, event: api.Event) -> list[api.Action]:
@@ -156,10 +156,10 @@
 
     def _on_endpoint_update(self, event: api.EndpointUpdate) -> None:
         if event.kind == api.EndpointUpdateKind.FAILED:
-            self._watch.on_failure()
+            self._endpoint_watch.on_failure()
             return
         self._rebalancer.on_endpoints_changed()
-        self._watch.on_update(event.kind)
+        self._endpoint_watch.on_update(event.kind)
         if event.kind == api.EndpointUpdateKind.MOVED:
             return
         for server in self.endpoints.update(event):
@@ -167,7 +167,7 @@
 
     def _on_existing_connection(self, event: api.ExistingConnection) -> None:
         if server := self.endpoints.servers.get(event.server):
-            self._requests.on_existing(event, server)
+            self._request_lifecycle.on_existing(event, server)
 
     def _on_health_check(self, event: api.HealthCheckResult) -> None:
         server = self.health_checks.on_result(event)
@@ -191,6 +191,6 @@
 
     def _on_connection_timer(self, token: api.TimerToken, connection: Connection) -> None:
         if token.kind is api.TimerKind.CANDIDATE_TIMEOUT:
-            self._placement.on_timeout(connection, token.due_us)
+            self._request_placement.on_timeout(connection, token.due_us)
         elif connection.is_established:
             self._connection_timer_handlers[token.kind](connection)
--- a/wheatstile/decisions/rebalancing.py
+++ b/wheatstile/decisions/rebalancing.py
@@ -20,7 +20,7 @@
 REBALANCE_INTERVAL_US = 1_000_000  # time until load reports, which lag, show the effect
 # Spreads the health checks, since all balancers learn of a high latency at the same moment.
 MAX_REBALANCE_JITTER_US = REBALANCE_INTERVAL_US / 2
-UNREACHABLE_RECHECK_US = REBALANCE_INTERVAL_US // 2  # by then, a paused server may answer again
+UNREACHABLE_RECHECK_US = REBALANCE_INTERVAL_US // 2  # delay after which a paused server may answer again
 SETTLING_TIME_US = 2_000_000  # the setup of a connection counts as load for this time
 MIN_LOAD_CHECK_INTERVAL_US = 1_000_000  # used after an overload or a change of the endpoint list
 MAX_LOAD_CHECK_INTERVAL_US = 4_000_000  # reached while no server is overloaded
--- a/wheatstile/decisions/request_lifecycle.py
+++ b/wheatstile/decisions/request_lifecycle.py
@@ -31,7 +31,7 @@
         setup_limiter: SetupRateLimiter,
         early_rejection: EarlyRejection,
         exploration: Exploration,
-        placement: RequestPlacement,
+        request_placement: RequestPlacement,
         attempt_starter: AttemptStarter,
         final_answer: FinalAnswer,
     ) -> None:
@@ -42,7 +42,7 @@
         self._setup_limiter = setup_limiter
         self._early_rejection = early_rejection
         self._exploration = exploration
-        self._placement = placement
+        self._request_placement = request_placement
         self._attempt_starter = attempt_starter
         self._final_answer = final_answer
         self._is_shutting_down = False
@@ -57,7 +57,7 @@
         if self._is_shutting_down or self._early_rejection.should_reject():
             self._final_answer.send(connection)
         else:
-            self._placement.place(connection)
+            self._request_placement.place(connection)
 
     def on_existing(self, event: api.ExistingConnection, server: Server) -> None:
         """Add a connection that was open before this balancer started."""
@@ -162,7 +162,7 @@
         elif move and self._selector.is_available(move.origin, connection):
             self._attempt_starter.start(connection, move.origin)
         else:
-            self._placement.place(connection)
+            self._request_placement.place(connection)
 
 
 def _is_current_attempt(connection: Connection, event: api.AttemptEnded) -> bool:
--- a/wheatstile/interface/events.py
+++ b/wheatstile/interface/events.py
@@ -25,7 +25,7 @@
     expires_in_us: int  # time until the client stops waiting
     key: str = ""  # identifies the client across reconnections; empty: unknown
     tenant: str = ""
-    midflow: bool = False  # its packets belong to a connection that a server may still have open
+    midflow: bool = False  # the packets belong to a connection that a server may still have open
     reconnecting: bool = False  # the client reconnects after a broken connection or a migration
     client_retry: bool = False  # the client marks the request as a repeat
     load_hint: float = 0.0  # load that the client expects to cause
