--- a/tests/support/replay_environment.py
+++ b/tests/support/replay_environment.py
@@ -15,10 +15,10 @@
 START_US = 1_000 * SECOND_US
 OUTCOMES = tuple(api.AttemptOutcome)
 SERVER_NAMES = tuple(f"s{number}" for number in range(14))
-FIRST_SERVERS = SERVER_NAMES[:8]
+INITIAL_SERVERS = SERVER_NAMES[:8]
 UNLISTED_SERVER = "never_listed"
 ZONES = ("north", "south")
-FIRST_CONNECTIONS = 300  # many, since exploration migrates few of them
+INITIAL_CONNECTIONS = 300  # many, since exploration migrates few of them
 MEAN_STEP_US = 40_000
 MEAN_BURST_STEP_US = 2_000  # during a reconnect burst
 REPORTS: tuple[api.LoadReport, ...] = (
@@ -78,9 +78,9 @@
     def run(self, steps: int) -> list[str]:
         """Run this number of steps. Return one line of text for each action of the module."""
         self._state.record(self._now_us, self._balancer.start(self._now_us))
-        listed = [self._draw_endpoint(name) for name in FIRST_SERVERS]
+        listed = [self._draw_endpoint(name) for name in INITIAL_SERVERS]
         self._dispatch(api.EndpointUpdate(api.EndpointUpdateKind.CACHED, listed))
-        for _ in range(FIRST_CONNECTIONS):
+        for _ in range(INITIAL_CONNECTIONS):
             self._open_connection()
         for step in range(steps):
             self._run_step(step)
@@ -230,7 +230,7 @@
 
     def _open_connection(self) -> None:
         id = self._new_id("o")
-        server = self._random.choice([*FIRST_SERVERS, UNLISTED_SERVER])
+        server = self._random.choice([*INITIAL_SERVERS, UNLISTED_SERVER])
         if server != UNLISTED_SERVER:
             self._state.sessions[id] = Session(id, f"k-{id}", 0, server, established=True)
         service_class = self._random.choice([*self._settings.classes])
--- a/wheatstile/decisions/connection_table.py
+++ b/wheatstile/decisions/connection_table.py
@@ -29,7 +29,7 @@
         self._by_id[connection.id] = connection
 
     def establish(self, connection: Connection, now_us: int) -> None:
-        """Add a connection whose attempt has succeeded to the open ones."""
+        """Record that the attempt of a connection has succeeded, so that the connection is open."""
         connection.establish(now_us)
         self._established[connection] = None
 
--- a/wheatstile/decisions/placement_hash.py
+++ b/wheatstile/decisions/placement_hash.py
@@ -12,7 +12,8 @@
     """Return the seed of a request's first candidates, or RANDOM_PLACEMENT.
 
     All clients of an affinity group have the same candidates, since each server that has any of the group's
-    connections does the group's work once. A reconnecting client without a group gets random candidates.
+    connections does the group's work once. A reconnecting client without a group gets random candidates
+    instead of those of its key.
     """
     if request.affinity_group:
         return crc32(request.affinity_group.encode())
--- a/wheatstile/decisions/request_lifecycle.py
+++ b/wheatstile/decisions/request_lifecycle.py
@@ -132,7 +132,7 @@
         return classes.get(name) or next(iter(classes.values()))
 
     def _try_follow_exploration(self, connection: Connection) -> bool:
-        """Send a client that exploration has migrated to its destination. Return whether it was sent."""
+        """Send a client to the destination of its exploration move. Return whether it was sent."""
         if self._is_shutting_down or not connection.key:
             return False
         move = self._exploration.take_pending(connection.key)
@@ -167,5 +167,5 @@
 
 def _is_current_attempt(connection: Connection, event: api.AttemptEnded) -> bool:
     """Return whether an event is about the connection's latest attempt, in flight or established."""
-    is_last = connection.attempts == event.attempt + 1
-    return is_last and (connection.phase is _ATTEMPTING or connection.is_established)
+    is_latest = connection.attempts == event.attempt + 1
+    return is_latest and (connection.phase is _ATTEMPTING or connection.is_established)
