--- a/tests/decisions/test_determinism.py
+++ b/tests/decisions/test_determinism.py
@@ -1,4 +1,4 @@
-"""One seed and one sequence of events always give the same actions."""
+"""Tests that the same seed and the same events always result in the same actions."""
 
 import os
 import subprocess
@@ -24,8 +24,8 @@
 """
 
 
-def play(seed: int) -> list[api.Action]:
-    """Return the actions of 200 requests and ten seconds."""
+def run_scenario(seed: int) -> list[api.Action]:
+    """Return the actions for 200 requests and the following ten seconds."""
     harness = BalancerHarness("a", "b", "c", seed=seed)
     for index in range(200):
         harness.request(f"r{index}", key=f"k{index}")
@@ -34,11 +34,11 @@
 
 
 def test_same_seed_and_events_give_the_same_actions() -> None:
-    assert play(3) == play(3)
-    assert play(3) != play(4)
+    assert run_scenario(3) == run_scenario(3)
+    assert run_scenario(3) != run_scenario(4)
 
 
-def test_instances_share_nothing() -> None:
+def test_instances_share_no_state() -> None:
     first = BalancerHarness("a", "b")
     second = BalancerHarness("a", "b")
     first.update_endpoints(*endpoints("a"), kind=api.EndpointUpdateKind.FULL)
--- a/tests/decisions/test_event_order.py
+++ b/tests/decisions/test_event_order.py
@@ -1,4 +1,4 @@
-"""The rules hold for any order of events, also late, repeated and unknown ones (rules 1 and 2)."""
+"""Tests rules 1 and 2 for any order of events, including late, repeated and unknown ones."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True)
 class Step:
-    """One drawn event; `index` selects its request and its server, `flag` one of two variants."""
+    """A random event: `index` selects its request and its server, `flag` one of two variants."""
 
     index: int
     outcome: api.AttemptOutcome
@@ -27,7 +27,7 @@
 
 
 class RuleChecker:
-    """Plays drawn events against one balancer and checks each action against the rules."""
+    """Dispatches random events to one balancer and checks each action against the rules."""
 
     def __init__(self, seed: int, idempotency: api.Idempotency) -> None:
         zone = api.DeduplicationScope.ZONE
@@ -35,7 +35,7 @@
             "web", 500_000, idempotency, zone, 5 * SECOND_US, message_latency_objective_us=50_000
         )
         self.harness = BalancerHarness(*SERVERS, seed=seed, classes={"web": service_class})
-        self.attempts_in_flight: dict[str, int] = {}  # the attempt's number by request
+        self.attempts_in_flight: dict[str, int] = {}  # number of the attempt, keyed by request
         self.attempt_counts: dict[str, int] = {}
         self.ended: set[str] = set()
         self._checked_actions = 0
@@ -81,7 +81,7 @@
         return sorted(self.attempts_in_flight)[step.index % len(self.attempts_in_flight)]
 
     def check_new_actions(self) -> None:
-        """Check the new actions: one attempt at a time, one final answer, nothing after it."""
+        """Check the new actions: one attempt at a time, one final answer, and no action after it."""
         for action in self.harness.log[self._checked_actions :]:
             if isinstance(action, api.StartAttempt):
                 assert action.id not in self.ended, "an attempt after the end"
@@ -95,14 +95,14 @@
         self._checked_actions = len(self.harness.log)
 
 
-EventPlayer = Callable[[RuleChecker, Step], None]
-ALWAYS_POSSIBLE: tuple[EventPlayer, ...] = (
+EventAction = Callable[[RuleChecker, Step], None]
+ALWAYS_POSSIBLE: tuple[EventAction, ...] = (
     RuleChecker.request,
     RuleChecker.pass_time,
     RuleChecker.update_list,
     RuleChecker.answer_check,
 )
-WITH_AN_ATTEMPT: tuple[EventPlayer, ...] = (
+WITH_AN_ATTEMPT: tuple[EventAction, ...] = (
     RuleChecker.end_attempt,
     RuleChecker.establish,
     RuleChecker.report_latency,
@@ -117,16 +117,16 @@
     st.integers(0, 5),
     st.sampled_from(list(api.Idempotency)),
 )
-def test_any_order_of_events_keeps_the_rules(
-    script: list[tuple[EventPlayer, Step]], seed: int, idempotency: api.Idempotency
+def test_actions_obey_the_rules_for_any_order_of_events(
+    script: list[tuple[EventAction, Step]], seed: int, idempotency: api.Idempotency
 ) -> None:
     checker = RuleChecker(seed, idempotency)
-    for play, step in script:
-        if play in WITH_AN_ATTEMPT:
+    for apply_event, step in script:
+        if apply_event in WITH_AN_ATTEMPT:
             if not checker.attempts_in_flight:
                 continue
-            play(checker, step)
+            apply_event(checker, step)
             checker.harness.answer_checks()
         else:
-            play(checker, step)
+            apply_event(checker, step)
         checker.check_new_actions()
--- a/tests/decisions/test_health_checks.py
+++ b/tests/decisions/test_health_checks.py
@@ -1,4 +1,4 @@
-"""What the results of health checks show, and outlier ejection."""
+"""Tests of the results of health checks, and of the ejections that they cause."""
 
 import pytest
 from support.balancer_harness import SECOND_US, BalancerHarness, of_type
@@ -6,8 +6,8 @@
 from wheatstile import interface as api
 
 
-def test_first_rejected_check_is_no_failure() -> None:
-    """Many balancers that check a healthy server at once may overload it briefly; its clients stay."""
+def test_first_rejected_check_is_not_a_failure() -> None:
+    """Many balancers that check a healthy server at once may overload it briefly; its clients must stay."""
     harness = BalancerHarness("a", "b", "c", loads={"a": 0.6, "b": 0.4, "c": 0.4})
     harness.connect("c0", "a")
     harness.server("a").load.record_report({"load": 0.6}, harness.now_us)
@@ -20,7 +20,7 @@
         assert harness.pending_checks.pop() == "a"
         moves.append(of_type(harness.answer_check("a", api.AttemptOutcome.OVERLOADED), api.Migrate))
         harness.run(SECOND_US)
-    # The second rejection in a row counts as no answer.
+    # A second rejection in a row counts as an unanswered check.
     assert moves == [[], [api.Migrate("c0")]]
 
 
@@ -35,7 +35,7 @@
     assert moves == [api.Migrate("c0")]
 
 
-def test_no_check_where_checks_are_disabled() -> None:
+def test_no_health_check_is_sent_while_checks_are_disabled() -> None:
     harness = BalancerHarness("a", "b", "c", health_checks_enabled=False)
     harness.connect("c0", "a")
     harness.report_latency("c0", "a", 400.0)
@@ -52,10 +52,10 @@
     harness.connect("c0", failed)
     harness.report_latency("c0", failed, 400.0)
     harness.run(SECOND_US // 2)
-    mark = len(harness.attempts)
+    previous_count = len(harness.attempts)
     for index in range(30):
         harness.request(f"x{index}")
-    servers = {attempt.server for attempt in harness.attempts[mark:] if attempt.id != "r"}
+    servers = {attempt.server for attempt in harness.attempts[previous_count:] if attempt.id != "r"}
     assert failed not in servers
     assert len(servers) == 2
 
@@ -64,7 +64,9 @@
     ("outcome", "is_ejected"),
     [(api.AttemptOutcome.NOT_SENT, False), (api.AttemptOutcome.CONNECT_FAILED, True)],
 )
-def test_check_that_was_not_sent_does_not_eject(outcome: api.AttemptOutcome, is_ejected: bool) -> None:
+def test_check_that_was_not_sent_does_not_eject_the_server(
+    outcome: api.AttemptOutcome, is_ejected: bool
+) -> None:
     harness = BalancerHarness("a", "b")
     harness.dispatch(api.Request("r", "web", 2 * SECOND_US))
     harness.answer_check(harness.pending_checks.pop(), outcome)
@@ -72,7 +74,7 @@
     assert any(server.ejection.is_active(harness.now_us) for server in servers) == is_ejected
 
 
-def test_server_that_answers_checks_with_errors_keeps_its_clients_and_gets_no_more() -> None:
+def test_server_that_answers_checks_with_errors_keeps_its_clients_and_gets_no_new_ones() -> None:
     harness = BalancerHarness("a", "b", "c", reports_message_latency=False)
     harness.connect_many(40, "a")
     for _ in range(3):
--- a/tests/support/replay_environment.py
+++ b/tests/support/replay_environment.py
@@ -1,7 +1,7 @@
-"""Clients, servers and discovery of one decision module, drawn from a seed.
+"""The environment of one decision module in a replay: clients, servers and discovery, drawn from a seed.
 
-The events are drawn at random, and answer the actions of the module: health checks get results, attempts end
-with every outcome, timers fire.
+The events are random, and respond to the actions of the module: health checks get results, attempts end with
+every outcome, timers fire.
 """
 
 from dataclasses import replace
@@ -15,12 +15,12 @@
 START_US = 1_000 * SECOND_US
 OUTCOMES = tuple(api.AttemptOutcome)
 SERVER_NAMES = tuple(f"s{number}" for number in range(14))
-FIRST_SERVERS = SERVER_NAMES[:8]
+INITIAL_SERVERS = SERVER_NAMES[:8]
 UNLISTED_SERVER = "never_listed"
 ZONES = ("north", "south")
-FIRST_CONNECTIONS = 300  # exploration is rare, and needs many connections to happen
+INITIAL_CONNECTIONS = 300  # many, since exploration migrates few of them
 MEAN_STEP_US = 40_000
-MEAN_BURST_STEP_US = 2_000  # while a reconnect burst lasts
+MEAN_BURST_STEP_US = 2_000  # during a reconnect burst
 REPORTS: tuple[api.LoadReport, ...] = (
     {"load": 0.3},
     {"load": 0.65},
@@ -36,7 +36,7 @@
 )
 HIGH_LOAD_REPORTS = REPORTS[2:5]
 UNKNOWN_ID = "nobody"
-EVENTS_ABOUT_NOBODY: tuple[api.Event, ...] = (
+EVENTS_WITH_UNKNOWN_IDS: tuple[api.Event, ...] = (
     api.ClientDisconnected(UNKNOWN_ID),
     api.Established(UNKNOWN_ID, 0, "s0", 1),
     api.AttemptEnded(UNKNOWN_ID, 0, "s0", api.AttemptOutcome.RESET),
@@ -48,7 +48,7 @@
 
 
 class ReplayEnvironment:
-    """Draws the events of one instance. The order of the draws is fixed, since the digest depends on it."""
+    """Draws the events of one instance. The digest depends on the order of the draws."""
 
     def __init__(self, settings: api.Settings, seed: int, shutdown_at_step: int) -> None:
         self._settings = settings
@@ -61,7 +61,7 @@
         self._servers_are_full = False
         self._is_mostly_failing = False
         self._mean_step_us = MEAN_STEP_US
-        # Events that may happen in a step, and how often they do.
+        # The events that are possible in a step, with their weights.
         self._weighted_events = {
             self._request: 30,
             self._answer_check: 45,
@@ -72,22 +72,22 @@
             self._report_latency: 6,
             self._report_load: 3,
             self._open_connection: 2,
-            self._dispatch_events_about_nobody: 1,
+            self._dispatch_events_with_unknown_ids: 1,
         }
 
-    def play(self, steps: int) -> list[str]:
-        """Return one line of text for each action of the module in this number of steps."""
+    def run(self, steps: int) -> list[str]:
+        """Run this number of steps. Return one line of text for each action of the module."""
         self._state.record(self._now_us, self._balancer.start(self._now_us))
-        listed = [self._draw_endpoint(name) for name in FIRST_SERVERS]
+        listed = [self._draw_endpoint(name) for name in INITIAL_SERVERS]
         self._dispatch(api.EndpointUpdate(api.EndpointUpdateKind.CACHED, listed))
-        for _ in range(FIRST_CONNECTIONS):
+        for _ in range(INITIAL_CONNECTIONS):
             self._open_connection()
         for step in range(steps):
-            self._play_step(step)
+            self._run_step(step)
         return self._state.lines
 
-    def _play_step(self, step: int) -> None:
-        """Let some time pass, then dispatch one random event."""
+    def _run_step(self, step: int) -> None:
+        """Advance the time by a random interval, then dispatch one random event."""
         if step % 700 == 0:
             self._draw_conditions()
         if step % 997 == 500:
@@ -95,7 +95,7 @@
         if step == self._shutdown_at_step:
             self._dispatch(api.ShutdownStarted())
         self._now_us += int(self._random.expovariate(1 / self._mean_step_us))
-        for timer in self._state.take_due_timers(self._now_us):
+        for timer in self._state.pop_due_timers(self._now_us):
             self._dispatch(api.TimerFired(timer.token))
         events = list(self._weighted_events)
         weights = list(self._weighted_events.values())
@@ -138,7 +138,7 @@
             key = self._state.migrated_keys.pop()
             is_reconnecting = True
         if self._state.sessions and self._random.random() < 0.01:
-            id = next(iter(self._state.sessions))  # the id of a known request
+            id = next(iter(self._state.sessions))  # repeats the id of a known request
         self._state.sessions.setdefault(id, Session(id, key))
         self._dispatch(
             api.Request(
@@ -230,12 +230,12 @@
 
     def _open_connection(self) -> None:
         id = self._new_id("o")
-        server = self._random.choice([*FIRST_SERVERS, UNLISTED_SERVER])
+        server = self._random.choice([*INITIAL_SERVERS, UNLISTED_SERVER])
         if server != UNLISTED_SERVER:
             self._state.sessions[id] = Session(id, f"k-{id}", 0, server, established=True)
         service_class = self._random.choice([*self._settings.classes])
         self._dispatch(api.ExistingConnection(id, service_class, server, f"k-{id}"))
 
-    def _dispatch_events_about_nobody(self) -> None:
-        for event in EVENTS_ABOUT_NOBODY:
+    def _dispatch_events_with_unknown_ids(self) -> None:
+        for event in EVENTS_WITH_UNKNOWN_IDS:
             self._dispatch(event)
--- a/tests/support/replay_state.py
+++ b/tests/support/replay_state.py
@@ -14,12 +14,12 @@
     id: str
     key: str
     attempt: int = 0
-    server: str = ""  # where the attempt is in flight or the connection open; empty: nowhere
+    server: str = ""  # server of the attempt in flight or of the open connection; empty: none
     established: bool = False
 
 
 class ReplayState:
-    """The actions of one instance as text, its open sessions, pending health checks and timers."""
+    """Stores the actions of one instance as text, its sessions, pending health checks and timers."""
 
     def __init__(self) -> None:
         self.lines: list[str] = []
@@ -29,12 +29,12 @@
         self._timers: list[PendingTimer] = []
 
     def record(self, now_us: int, actions: list[api.Action]) -> None:
-        """Write the actions down, and keep what has to be followed up."""
+        """Record the actions as text, and track the sessions, health checks and timers that they start."""
         for action in actions:
             self.lines.append(f"{now_us} {self._text(action)}")
-            self._remember(now_us, action)
+            self._track(now_us, action)
 
-    def take_due_timers(self, now_us: int) -> list[PendingTimer]:
+    def pop_due_timers(self, now_us: int) -> list[PendingTimer]:
         """Remove and return the timers that are due, in the order of their due times."""
         due = sorted(timer for timer in self._timers if timer.due_us <= now_us)
         self._timers = [timer for timer in self._timers if timer.due_us > now_us]
@@ -48,7 +48,7 @@
         """Return the open sessions."""
         return [session for session in self.sessions.values() if session.established]
 
-    def _remember(self, now_us: int, action: api.Action) -> None:
+    def _track(self, now_us: int, action: api.Action) -> None:
         match action:
             case api.StartAttempt():
                 self.sessions[action.id].server = action.server
--- a/wheatstile/decisions/attempt_starter.py
+++ b/wheatstile/decisions/attempt_starter.py
@@ -1,4 +1,4 @@
-"""The start of an attempt, with its time-out and the end of its idempotency window."""
+"""Starts attempts, each with its timeout and the end of its deduplication window."""
 
 from wheatstile import interface as api
 from wheatstile.decisions.connection import Connection
@@ -17,13 +17,15 @@
         self._final_answer = final_answer
 
     def start(self, connection: Connection, server: Server) -> None:
-        """Start an attempt at a server, or answer if the deadline has passed."""
+        """Start an attempt at a server, or send the final answer if the deadline has passed."""
         remaining_us = connection.deadline_us - self._context.now_us
         if remaining_us <= 0:
-            self._final_answer.give(connection)
+            self._final_answer.send(connection)
             return
         connection.begin_attempt(server)
         server.slow_start.charge(self._context.now_us)
         timeout_us = self._retry_policy.attempt_timeout_us(connection, remaining_us)
         send_before_us = self._retry_policy.repeat_window_end_us(connection)
-        self._context.act(api.StartAttempt(connection.id, server.endpoint.name, timeout_us, send_before_us))
+        self._context.add_action(
+            api.StartAttempt(connection.id, server.endpoint.name, timeout_us, send_before_us)
+        )
--- a/wheatstile/decisions/endpoint_table.py
+++ b/wheatstile/decisions/endpoint_table.py
@@ -1,4 +1,4 @@
-"""The servers of one balancer, as discovery lists them."""
+"""The servers of one balancer, as listed by discovery."""
 
 from zlib import crc32
 
@@ -9,16 +9,16 @@
 
 
 class EndpointTable:
-    """All servers that discovery has listed, those that are ready, and the lookup table of the ready ones."""
+    """Stores all servers that discovery has listed, the ready ones, and a lookup table of the ready ones."""
 
     def __init__(self) -> None:
         self.servers: dict[str, Server] = {}  # keyed by name
         self.ready: list[Server] = []  # sorted by name
         self.ready_loads: list[ServerLoad] = []  # loads of the ready servers
-        self.lookup: WeightedLookupTable[Server] = WeightedLookupTable([], [])
+        self.lookup_table: WeightedLookupTable[Server] = WeightedLookupTable([], [])
 
     def update(self, event: api.EndpointUpdate) -> list[Server]:
-        """Apply a list of endpoints or its changes. Return the servers that are new or have restarted."""
+        """Apply an endpoint list, or changes to it. Return the servers that are new or have restarted."""
         started_servers = []
         for endpoint in event.endpoints:
             server, has_started = self._apply(endpoint)
@@ -28,7 +28,7 @@
             self._mark_absent_as_gone(event.endpoints)
         self.ready = [server for _, server in sorted(self.servers.items()) if server.endpoint.is_ready]
         self.ready_loads = [server.load for server in self.ready]
-        self.lookup = WeightedLookupTable(self.ready, [server.endpoint.weight for server in self.ready])
+        self.lookup_table = WeightedLookupTable(self.ready, [server.endpoint.weight for server in self.ready])
         return started_servers
 
     def _apply(self, endpoint: api.Endpoint) -> tuple[Server, bool]:
