--- a/tests/resolvers/test_approval.py
+++ b/tests/resolvers/test_approval.py
@@ -1,4 +1,4 @@
-"""The approval file: which digest counts as accepted, and which files are ignored."""
+"""Tests for the approval file: accepted digests and unusable files."""
 
 from pathlib import Path
 
--- a/tests/resolvers/test_atomic_write.py
+++ b/tests/resolvers/test_atomic_write.py
@@ -1,4 +1,4 @@
-"""Atomic replacement of files, also by a writer that is killed or whose disk is full."""
+"""Tests for the atomic replacement of files, including writers that are killed or run out of disk space."""
 
 import os
 import signal
--- a/tests/resolvers/test_canonical_json.py
+++ b/tests/resolvers/test_canonical_json.py
@@ -1,4 +1,4 @@
-"""Canonical JSON: the output is that of the reference library, with either encoder."""
+"""Tests that canonical JSON is equal to the output of the reference library, with either encoder."""
 
 from typing import Any
 
--- a/tests/resolvers/test_endpoint_file.py
+++ b/tests/resolvers/test_endpoint_file.py
@@ -1,4 +1,4 @@
-"""Parsing of endpoint files: which are accepted, and which are rejected with a line and a reason."""
+"""Tests for the parser of endpoint files: valid files, and rejections with a line and a reason."""
 
 import contextlib
 import json
@@ -16,7 +16,7 @@
 
 
 def rejection(document: JsonObject | bytes, rules: EndpointFileRules = RULES) -> list[str]:
-    """Return the lines of the error for which this document is rejected."""
+    """Return the lines of the error with which the document is rejected."""
     data = document if isinstance(document, bytes) else json.dumps(document, indent=1).encode()
     with pytest.raises(ConfigurationError) as error:
         parse_endpoint_file("f", data, rules)
@@ -24,16 +24,16 @@
 
 
 def two_servers(**changes: object) -> JsonObject:
-    """Return a document of two servers, with these changes to the first one."""
+    """Return a document with two servers and these changes to the first one."""
     first = endpoint_rows("x")[0] | changes
     return {"servers": [first, *endpoint_rows("y", address="127.0.0.1:1")]}
 
 
 REJECTED_DOCUMENTS: list[tuple[JsonObject | bytes, str]] = [
-    ({"servers": endpoint_rows("x", "x")}, '/servers/1/id: "x" is the id of /servers/0 too'),
+    ({"servers": endpoint_rows("x", "x")}, '/servers/1/id: "x" is already the id of /servers/0'),
     (
         {"servers": endpoint_rows("x", "y", address="127.0.0.1:1")},
-        "/servers/1/address: 127.0.0.1:1 is the address of /servers/0",
+        "/servers/1/address: 127.0.0.1:1 is already the address of /servers/0",
     ),
     (two_servers(address="localhost:9000"), "f:5: /servers/0/address: "),
     (two_servers(address="127.0.0.1"), "HOST:PORT"),
@@ -41,13 +41,13 @@
     (two_servers(address="127.0.0.1:70000"), "port from 1"),
     (two_servers(address="[::1]:9000"), "IPv6"),
     (two_servers(address="10.0.0.10:9000"), "outside servers.networks"),
-    (two_servers(weight=0), "0.0 is no finite number over 0"),
+    (two_servers(weight=0), "0.0 is not a finite number over 0"),
     (two_servers(weight=-1), "over 0"),
-    (two_servers(weight=float("nan")), "nan is no finite"),
-    (two_servers(weight=float("inf")), "inf is no finite"),
+    (two_servers(weight=float("nan")), "nan is not a finite"),
+    (two_servers(weight=float("inf")), "inf is not a finite"),
     (two_servers(weight="1"), "/servers/0/weight: Expected `float`, got `str`"),
-    (two_servers(weight=1001), "/servers/0/weight: 1001 is over 1000 times the least, 1"),
-    (two_servers(weight=1e301), "/servers/0/weight: 1e+301 is over 1000 times the least, 1"),
+    (two_servers(weight=1001), "/servers/0/weight: 1001 is over 1000 times the smallest weight, 1"),
+    (two_servers(weight=1e301), "/servers/0/weight: 1e+301 is over 1000 times the smallest weight, 1"),
     (
         {"servers": endpoint_rows("x", weight=10**20)},
         "f:7: /servers/0/weight: 100000000000000000000 is over 9007199254740991",
@@ -63,7 +63,7 @@
     ({"servers": endpoint_rows(*map(str, range(51)))}, "51 servers; 50 at most"),
     ({"servers": endpoint_rows("x"), "generation": -1}, "/generation: "),
     ({"servers": endpoint_rows("x"), "seal": "md5:1"}, "/seal: "),
-    ({"servers": endpoint_rows("x"), "seal": digest_of({})}, "/seal: does not fit"),
+    ({"servers": endpoint_rows("x"), "seal": digest_of({})}, "/seal: does not match"),
     (
         {"servers": endpoint_rows("x"), "sites": ["a", "b"]},
         'f:11: /sites/1: site "b" would keep 0 ready servers',
@@ -73,7 +73,7 @@
         'site "a" would keep 0',
     ),
     ({}, "/servers: is missing"),
-    (b"[]", "is no object"),
+    (b"[]", "is not an object"),
     (b" " * 5001, "5001 bytes; 5000 at most"),
     (b'{"servers": 1, "servers": 2}', "stands twice"),
 ]
@@ -91,7 +91,7 @@
     assert len(rejection({"servers": servers, "generation": "7"})) == 5
 
 
-def test_seal_can_be_required_and_site_exempted() -> None:
+def test_rules_can_require_a_seal_and_exempt_a_site() -> None:
     document: JsonObject = {"servers": endpoint_rows("x"), "sites": ["a", "b"]}
     strict = EndpointFileRules.from_settings(Servers(require_seal=True, may_be_empty=["b"]))
 
@@ -101,7 +101,7 @@
     assert parsed.digest == digest_of(document)
 
 
-def test_file_cut_off_at_any_byte_is_rejected() -> None:
+def test_file_truncated_at_any_byte_is_rejected() -> None:
     document = {"servers": endpoint_rows("x", "y", weight=2.5), "sites": ["a"], "generation": 7}
     for data in (json.dumps(document, indent=1).encode(), sealed_document(document)):
         for length in range(len(data)):
@@ -127,7 +127,7 @@
 
 
 @given(VALID_DOCUMENTS, st.data())
-def test_damaged_bytes_are_parsed_or_raise_configuration_error(
+def test_corrupt_file_is_parsed_or_raises_configuration_error(
     document: JsonObject, data: st.DataObject
 ) -> None:
     damaged = bytearray(sealed_document(document))
@@ -144,7 +144,7 @@
         assert parsed.servers
 
 
-def test_digest_does_not_depend_on_how_the_file_is_written() -> None:
+def test_digest_does_not_depend_on_key_order_and_whitespace() -> None:
     document: JsonObject = {"generation": 3, "servers": endpoint_rows("x")}
 
     reordered = {key: document[key] for key in reversed(document)}
--- a/tests/resolvers/test_endpoint_file_reader.py
+++ b/tests/resolvers/test_endpoint_file_reader.py
@@ -1,4 +1,4 @@
-"""The reader of the endpoint file: it does not block, and accepts no part of a file or mixture of two."""
+"""Tests that the reader of the endpoint file neither blocks nor accepts incomplete or mixed content."""
 
 import json
 import os
@@ -18,7 +18,7 @@
 
 
 class ManualClock:
-    """A clock in seconds, which the test advances."""
+    """A clock in seconds that the test advances."""
 
     now_s = 0.0
 
@@ -33,7 +33,7 @@
 
 @pytest.fixture
 def make_reader(clock: ManualClock) -> Iterator[MakeReader]:
-    """Create readers of endpoint files; their descriptors are closed at the end of the test."""
+    """Return a factory of readers, which are closed at the end of the test."""
     with ExitStack() as readers:
 
         def make(path: Path) -> EndpointFileReader:
@@ -51,17 +51,17 @@
 
 
 def unsealed_text(*names: str) -> str:
-    """Return an endpoint file of these servers without a seal."""
+    """Return the text of an unsealed endpoint file with these servers."""
     return json.dumps({"servers": endpoint_rows(*names)})
 
 
 def server_names(result: ReadResult) -> set[str]:
-    """Return the servers of a result, which must be COMPLETE."""
+    """Return the names of the servers in a result, which must be COMPLETE."""
     assert result.endpoint_file
     return set(result.endpoint_file.servers)
 
 
-def test_unsealed_file_is_accepted_once_it_has_stayed_unchanged(
+def test_unsealed_file_is_accepted_once_unchanged_for_the_settle_time(
     reader: EndpointFileReader, clock: ManualClock
 ) -> None:
     reader.path.write_text(unsealed_text("x"))
@@ -91,7 +91,7 @@
     assert accepted == sorted(accepted, key=lambda name: int(name[1:]))
 
 
-def test_sealed_file_is_accepted_at_once_and_a_broken_one_rejected_once_settled(
+def test_sealed_file_is_accepted_at_once_and_an_invalid_one_rejected_once_settled(
     reader: EndpointFileReader, clock: ManualClock
 ) -> None:
     data = sealed_document({"servers": endpoint_rows("x")})
@@ -104,7 +104,7 @@
     assert reader.poll().outcome is ReadOutcome.COMPLETE
 
 
-def test_file_that_grows_while_it_is_read_is_not_accepted(
+def test_file_that_grows_during_the_read_is_not_accepted(
     reader: EndpointFileReader, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     reader.path.write_text(unsealed_text("x"))
@@ -144,7 +144,7 @@
         assert "denied" in reader.poll().reasons[0]
 
 
-def test_folder_that_is_replaced_by_its_link_is_followed(tmp_path: Path, make_reader: MakeReader) -> None:
+def test_directory_link_that_is_replaced_is_followed(tmp_path: Path, make_reader: MakeReader) -> None:
     for name in ("one", "two"):
         (tmp_path / name).mkdir()
         (tmp_path / name / "s.json").write_bytes(sealed_document({"servers": endpoint_rows(name)}))
--- a/tests/resolvers/test_endpoint_merger.py
+++ b/tests/resolvers/test_endpoint_merger.py
@@ -1,4 +1,4 @@
-"""Lists that are merged in the background, with updates of discovery during the merge."""
+"""Tests for merges in the background, with updates from discovery during the merge."""
 
 import asyncio
 from pathlib import Path
@@ -18,18 +18,18 @@
 
 
 def member(name: str, phase: str = "ready", port: int = 1) -> dict[str, Any]:
-    """Return a server in discovery's JSON."""
+    """Return a server in the JSON form that discovery sends."""
     return {"id": name, "host_port": f"127.0.0.1:{port}", "phase": phase}
 
 
 def snapshot(revision: int, complete: bool, *members: dict[str, Any]) -> EndpointSnapshot:
-    """Return a complete list of these servers, or a change of them."""
+    """Return an update from discovery: a complete list of these servers, or a delta."""
     return EndpointSnapshot.read({"revision": revision, "complete": complete, "members": members})
 
 
 @pytest.fixture
-def endpoint_folder(tmp_path: Path) -> Path:
-    """Return a folder with an endpoint file that lists the server s1."""
+def endpoint_directory(tmp_path: Path) -> Path:
+    """Return a directory with an endpoint file that lists the server s1."""
     (tmp_path / "s.json").write_bytes(sealed_document({"servers": endpoint_rows("s1")}))
     return tmp_path
 
@@ -42,7 +42,7 @@
 
 @pytest.fixture
 def set_addresses_one_by_one(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Give way to the event loop after each address of a merge in the background."""
+    """Return control to the event loop after each address that a background merge sets."""
     monkeypatch.setattr(endpoint_publisher, "ADDRESS_BATCH_SIZE", 1)
 
 
@@ -60,26 +60,28 @@
         self._real_dispatch(event)
 
     def ready_since(self, start: int, name: str) -> list[api.Endpoint]:
-        """Return the records from this index on that list the server as ready."""
+        """Return the recorded endpoints from this index on that show the server as ready."""
         recorded = self.endpoints[start:]
         return [endpoint for endpoint in recorded if endpoint.name == name and endpoint.is_ready]
 
 
 @pytest.mark.usefixtures("merge_in_background")
-def test_server_drained_during_a_background_merge_gets_nothing_new(
-    endpoint_folder: Path, monkeypatch: pytest.MonkeyPatch
+def test_server_drained_during_a_background_merge_does_not_become_ready_again(
+    endpoint_directory: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The merge begins before the drain is reported, and must not make the server ready again."""
+    """A merge that begins before the drain is reported must not publish the server as ready."""
     names = [f"s{number}" for number in range(50)]
     remaining = [name for name in names if name != DRAINED]
 
     async def check() -> None:
-        async with running_servers_section(endpoint_folder) as harness:
+        async with running_servers_section(endpoint_directory) as harness:
             recorder = EndpointRecorder(harness, monkeypatch)
             observer = harness.discovery_watcher.observer
             for revision in range(20):
                 observer.on_update(snapshot(revision, True, *map(member, names)), FULL)
-                await asyncio.sleep(0.0005 * (revision % 4))  # ends at different points of the merge
+                await asyncio.sleep(
+                    0.0005 * (revision % 4)
+                )  # the drain is reported at different points of the merge
                 observer.on_update(snapshot(revision, False, member(DRAINED, "draining")), DELTA)
                 drained_at = len(recorder.endpoints)
                 assert DRAINED not in harness.ready()
@@ -92,12 +94,12 @@
 
 @pytest.mark.usefixtures("merge_in_background", "set_addresses_one_by_one")
 def test_change_at_the_end_of_a_background_merge_is_merged(
-    endpoint_folder: Path, monkeypatch: pytest.MonkeyPatch
+    endpoint_directory: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The change comes in the turn of the event loop right after the merge has been published."""
+    """The change arrives in the iteration of the event loop after the merge has been published."""
 
     async def check() -> None:
-        async with running_servers_section(endpoint_folder) as harness:
+        async with running_servers_section(endpoint_directory) as harness:
             observer = harness.discovery_watcher.observer
             late = snapshot(1, False, member("late"))
             real_dispatch = harness.decisions.dispatch
@@ -115,17 +117,19 @@
 
 
 @pytest.mark.usefixtures("merge_in_background", "set_addresses_one_by_one")
-def test_addresses_of_a_superseded_merge_are_corrected(endpoint_folder: Path) -> None:
-    """One server is removed, and one returns to its old address, while the addresses are being set."""
+def test_addresses_of_a_superseded_merge_are_corrected(endpoint_directory: Path) -> None:
+    """While addresses are being set, one new server is removed, and one gets its old address back."""
 
     async def check() -> None:
-        async with running_servers_section(endpoint_folder) as harness:
+        async with running_servers_section(endpoint_directory) as harness:
             observer = harness.discovery_watcher.observer
             await harness.wait_until_ready("s1")
             observer.on_update(snapshot(1, True, member("s1"), member("moving"), member("stays")), FULL)
             await harness.wait_until_ready("s1", "moving", "stays")
             observer.on_update(snapshot(2, False, member("moving", port=2), member("new")), DELTA)
-            while "new" not in harness.upstreams.by_name:  # the address is set, the merge not published
+            while (
+                "new" not in harness.upstreams.by_name
+            ):  # until the address is set; the merge is not published yet
                 await asyncio.sleep(0)
             assert "new" not in harness.ready()
 
--- a/tests/resolvers/test_last_known_good.py
+++ b/tests/resolvers/test_last_known_good.py
@@ -1,4 +1,4 @@
-"""The stored copy: files that an older version wrote can be read, and the format is unchanged."""
+"""Tests that copies stored by an older version can be read, and that the stored format is unchanged."""
 
 from pathlib import Path
 
@@ -43,7 +43,7 @@
     assert restored.endpoint_file == SAVED
 
 
-def test_saved_file_is_byte_for_byte_a_file_of_format_1(tmp_path: Path) -> None:
+def test_saved_file_is_byte_for_byte_equal_to_the_file_of_format_1(tmp_path: Path) -> None:
     last_known_good.save(tmp_path, SAVED, SAVED_AT_MS)
 
     written = (tmp_path / "servers-last-good.json").read_bytes()
--- a/tests/resolvers/test_merge.py
+++ b/tests/resolvers/test_merge.py
@@ -1,4 +1,4 @@
-"""The merged list: what each source decides, and invariants over random sequences of events."""
+"""Tests for the merged list: the values from each source, and invariants for random sequences of events."""
 
 from dataclasses import dataclass
 
@@ -77,7 +77,7 @@
 
 
 class DecisionModuleView:
-    """The list of servers that the decision module has, built only from the changes that it receives."""
+    """The decision module's list of servers, built only from the changes that it receives."""
 
     def __init__(self, merged: dict[str, MergedEndpoint]) -> None:
         self.endpoints = {name: endpoint.resolved for name, endpoint in merged.items()}
@@ -96,7 +96,7 @@
 
 
 def perform(scenario: MergeScenario, view: DecisionModuleView, step: Step) -> list[ResolvedEndpoint]:
-    """Perform the step. Return the changes of merges within it, which the view has not received yet."""
+    """Perform the step. Return the changes of merges during it, which the view has not received yet."""
     before = dict(scenario.merged)
     match step:
         case DiscoveryUpdates(kind, states):
@@ -114,21 +114,21 @@
 
 
 def check_unavailable_servers_are_not_ready(scenario: MergeScenario, view: DecisionModuleView) -> None:
-    """Check that no server is ready that discovery last reported draining or gone."""
+    """Check that no server is ready that discovery last reported as draining or gone."""
     assert not view.ready() & scenario.unavailable
 
 
 def check_merged_list(scenario: MergeScenario, view: DecisionModuleView) -> None:
     """Check the merged list after its changes have been sent."""
     assert not set(scenario.ready()) & scenario.unavailable
-    # The changes that the decision module received add up to the merged list.
+    # The changes that the decision module has received result in the merged list.
     merged = {name: endpoint.resolved for name, endpoint in scenario.merged.items()}
     assert view.present() == merged
     assert all(endpoint.reason for endpoint in scenario.merged.values())
 
 
 def check_selection(scenario: MergeScenario, mode: MergeMode) -> None:
-    """Check the source in force in the modes in which it does not depend on discovery."""
+    """Check the active source in the override and merge modes, where it does not depend on discovery."""
     assert scenario.selection
     assert scenario.selection.reason
     if scenario.file_endpoints and mode is not MergeMode.FALLBACK:
@@ -149,5 +149,5 @@
         view.apply(scenario.merge())
         check_merged_list(scenario, view)
         check_selection(scenario, mode)
-        # A change of the source removes no server: only discovery does.
+        # A change of the source removes no server. Only discovery removes servers.
         assert all(name in scenario.merged or name in scenario.discovery.gone for name in before)
--- a/tests/resolvers/test_problem_reporter.py
+++ b/tests/resolvers/test_problem_reporter.py
@@ -1,4 +1,4 @@
-"""Problems with the endpoint file: each one is counted, and one that persists is logged once a minute."""
+"""Tests that each problem is counted, and that a persistent problem is logged once a minute."""
 
 from collections import Counter
 
--- a/tests/resolvers/test_ready_endpoints.py
+++ b/tests/resolvers/test_ready_endpoints.py
@@ -1,4 +1,4 @@
-"""The ready servers of a list, and the sites that they serve."""
+"""Tests for the ready servers in a list, and the sites that they serve."""
 
 from wheatstile import interface as api
 from wheatstile.resolvers.ready_endpoints import ready_names, served_sites
@@ -11,7 +11,7 @@
 ]
 
 
-def test_only_ready_servers_are_named() -> None:
+def test_ready_names_contain_only_ready_servers() -> None:
     assert ready_names(ENDPOINTS) == {"a", "c", "d"}
 
 
--- a/tests/resolvers/test_regular_file.py
+++ b/tests/resolvers/test_regular_file.py
@@ -1,4 +1,4 @@
-"""Snapshots of regular files."""
+"""Tests for snapshots of regular files."""
 
 from pathlib import Path
 
@@ -30,6 +30,6 @@
         assert (after.data, after.torn) == (b"newer", False)
 
 
-def test_folder_is_rejected(tmp_path: Path) -> None:
+def test_directory_is_rejected(tmp_path: Path) -> None:
     with pytest.raises(ConfigurationError, match="is a directory"):
         read_all(tmp_path, 10)
--- a/tests/resolvers/test_section.py
+++ b/tests/resolvers/test_section.py
@@ -1,4 +1,4 @@
-"""The running program with an endpoint file: which files it applies, and how clients are served."""
+"""Tests for the running program with an endpoint file: the files it applies, and the service for clients."""
 
 import json
 import os
@@ -23,9 +23,9 @@
 
 
 def serving_balancer(make_balancer: MakeBalancer, *names: str, **section: Any) -> ServedBalancer:
-    """Start a balancer with an endpoint file of these servers, and wait until the file is accepted.
+    """Start a balancer with an endpoint file that lists these servers, and wait until the file is accepted.
 
-    The balancer ends with the test. The arguments `section` are those of `make_balancer`.
+    The balancer ends with the test. The arguments `section` are passed to `make_balancer`.
     """
     balancer = make_balancer(**section)
     balancer.endpoint_file.write_bytes(balancer.document(*names))
@@ -35,9 +35,9 @@
 
 
 def rewrite_in_place(path: Path, documents: list[bytes], times: int) -> None:
-    """Overwrite the file with one document after another, in pieces of random sizes with some short pauses.
+    """Overwrite the file with one document after another, in pieces of random size with some short pauses.
 
-    A document that is shorter than the last one leaves the rest of it in the file half of the time.
+    In half of the cases, the file is not truncated: the end of a longer previous document stays in it.
     """
     generator = random.Random(7)
     with open(path, "r+b", buffering=0) as file:
@@ -56,7 +56,7 @@
 
 
 def answers_while_rewriting(balancer: ServedBalancer, documents: list[bytes]) -> set[str]:
-    """Return the answers to new clients while a thread rewrites the file in place. Waits for the thread."""
+    """Return the answers to new clients while a thread rewrites the file in place. Wait for the thread."""
     writer = threading.Thread(target=rewrite_in_place, args=(balancer.endpoint_file, documents, REWRITES))
     writer.start()
     answers = set()
@@ -86,7 +86,7 @@
     ("seal", "settle_s"),
     [
         pytest.param(True, 0.05, id="sealed"),
-        # Longer than any pause of the writer: otherwise a mixture of two documents could be accepted.
+        # Longer than any pause of the writer. Otherwise a mixture of two documents could be accepted.
         pytest.param(False, 1.0, id="unsealed"),
     ],
 )
@@ -113,7 +113,7 @@
     assert generations == sorted(set(generations))
 
 
-def test_unusable_file_is_reported_and_the_last_one_stays_in_force(make_balancer: MakeBalancer) -> None:
+def test_unusable_file_is_reported_and_the_previous_file_stays_active(make_balancer: MakeBalancer) -> None:
     balancer = serving_balancer(make_balancer, "s1", "s2", "s3")
     removing_two = balancer.document("s1", generation=2)
     at_other_site = balancer.document("s1", "s2", "s3", generation=2, site="there")
@@ -147,7 +147,7 @@
     assert balancer.served_by() == {"s2"}
 
 
-def test_server_drained_by_discovery_gets_nothing_new_though_ready_in_the_file(
+def test_server_drained_by_discovery_gets_no_new_sessions_though_ready_in_the_file(
     make_balancer: MakeBalancer,
 ) -> None:
     balancer = serving_balancer(make_balancer, "s1", "s2", "s3")
@@ -180,7 +180,7 @@
         assert balancer.served_by(20) == set(names)
 
 
-def test_invalid_section_is_not_applied_and_a_removed_one_leaves_discovery_in_force(
+def test_invalid_section_is_not_applied_and_a_removed_one_leaves_discovery_alone(
     make_balancer: MakeBalancer,
 ) -> None:
     balancer = serving_balancer(make_balancer, "s1", "s3")
@@ -196,7 +196,7 @@
     assert balancer.served_by(20) == {"s1", "s2"}
 
 
-def test_source_follows_discovery_that_is_lost_twice_while_the_file_changes(
+def test_active_source_changes_with_discovery_that_is_lost_twice_while_the_file_changes(
     make_balancer: MakeBalancer,
 ) -> None:
     balancer = make_balancer(mode="fallback", after_s=1.0, hold_down_s=0.0, most_removed=1.0)
@@ -222,16 +222,16 @@
         assert balancer.served_by() == {name}
 
 
-def wait_until_it_exists(path: Path) -> None:
-    """Wait until there is a file at this path, at most TIMEOUT_S."""
+def wait_until_exists(path: Path) -> None:
+    """Wait up to TIMEOUT_S until the path exists."""
     deadline_s = time.monotonic() + TIMEOUT_S
     while not path.exists():
         assert time.monotonic() < deadline_s
         time.sleep(0.01)
 
 
-def move_a_day_ahead(stored_copy: Path) -> None:
-    """Change the stored copy as if the clock had gone back by a day since it was written."""
+def move_timestamp_a_day_ahead(stored_copy: Path) -> None:
+    """Change the stored copy as if the clock had been set back by a day since it was written."""
     value = json.loads(stored_copy.read_text())
     value["taken_at_ms"] = int((time.time() + SECONDS_PER_DAY) * 1000)
     del value["seal"]
@@ -239,16 +239,16 @@
     stored_copy.write_text(json.dumps(value))
 
 
-def test_restart_with_a_broken_file_serves_from_the_stored_copy_unless_that_is_broken_too(
+def test_restart_with_an_invalid_file_uses_the_stored_copy_unless_that_is_invalid_too(
     make_balancer: MakeBalancer,
 ) -> None:
     balancer = serving_balancer(make_balancer, "s1", "s3", known=(), state_dir="state")
     stored_copy = balancer.state_folder / "servers-last-good.json"
-    wait_until_it_exists(stored_copy)
+    wait_until_exists(stored_copy)
     balancer.stop()
 
     balancer.endpoint_file.write_bytes(b'{"servers": [{"id"')
-    move_a_day_ahead(stored_copy)
+    move_timestamp_a_day_ahead(stored_copy)
     balancer.start_with_known_servers()
     entry = balancer.wait_accepted()
     assert (entry["origin"], entry["clock_went_back"]) == ("last_known_good", True)
@@ -264,7 +264,7 @@
     assert balancer.served_by() == {"s2"}
 
 
-def test_full_disk_prevents_the_stored_copy_and_nothing_else(make_balancer: MakeBalancer) -> None:
+def test_full_disk_fails_only_the_write_of_the_stored_copy(make_balancer: MakeBalancer) -> None:
     balancer = make_balancer(known=(), state_dir="state")
     balancer.endpoint_file.write_bytes(balancer.document("s1", "s2"))
     balancer.max_file_bytes = 100
--- a/tests/resolvers/test_source.py
+++ b/tests/resolvers/test_source.py
@@ -1,4 +1,4 @@
-"""The source of the endpoint file: polling, and its replacement at a reload."""
+"""Tests for the source of the endpoint file: polling, and replacement at a reload."""
 
 import asyncio
 from pathlib import Path
@@ -12,7 +12,7 @@
 
 @pytest.fixture
 def without_notifications(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Replace the watcher by one that never reports a change."""
+    """Replace the watcher with one that never reports a change."""
 
     async def run_without_notifications(_: FileWatcher) -> None:
         await asyncio.Event().wait()
@@ -20,14 +20,14 @@
     monkeypatch.setattr(FileWatcher, "run", run_without_notifications)
 
 
-def write_file(folder: Path, name: str, generation: int) -> None:
-    """Write a sealed endpoint file of one server."""
+def write_file(directory: Path, name: str, generation: int) -> None:
+    """Write a sealed endpoint file with one server."""
     document = {"servers": endpoint_rows(name), "generation": generation}
-    (folder / "s.json").write_bytes(sealed_document(document))
+    (directory / "s.json").write_bytes(sealed_document(document))
 
 
 @pytest.mark.usefixtures("without_notifications")
-def test_change_without_notification_is_found_by_polling(tmp_path: Path) -> None:
+def test_change_without_notification_is_detected_by_polling(tmp_path: Path) -> None:
     async def check() -> None:
         async with running_servers_section(tmp_path) as harness:
             for generation, name in enumerate("abc", 1):
@@ -37,8 +37,8 @@
     asyncio.run(check())
 
 
-def test_file_in_force_stays_the_reference_after_a_reload(tmp_path: Path) -> None:
-    """A file of an older generation is rejected by the source that replaces the first one."""
+def test_new_file_is_compared_with_the_active_file_after_a_reload(tmp_path: Path) -> None:
+    """The source that is created by the reload rejects a file with an older generation."""
 
     async def check() -> None:
         async with running_servers_section(tmp_path) as harness:
--- a/tests/resolvers/test_source_selection.py
+++ b/tests/resolvers/test_source_selection.py
@@ -1,4 +1,4 @@
-"""The source in force when discovery is silent, answers and flaps."""
+"""Tests for the active source while discovery is silent, answers or flaps."""
 
 from support.merge_scenario import MergeScenario, merge_policy, resolved_endpoint
 
@@ -6,7 +6,7 @@
 from wheatstile.resolvers.source_selection import MAX_RECOVERY_FACTOR, EndpointSource
 
 
-def test_file_takes_over_from_silent_discovery_until_discovery_answers() -> None:
+def test_file_is_active_while_discovery_is_silent() -> None:
     scenario = MergeScenario(merge_policy(), cached="ab")
     scenario.file_endpoints = {"c": resolved_endpoint("c")}
 
@@ -15,14 +15,14 @@
 
     assert scenario.advance(2, discovery_reports=False) == EndpointSource.FILE
     assert scenario.ready() == "c"
-    # Discovery's servers keep their connections.
+    # The servers from discovery keep their connections.
     assert scenario.merged["a"].resolved.endpoint.state == api.EndpointState.DRAINING
 
     assert scenario.advance(1) == EndpointSource.DISCOVERY
     assert scenario.ready() == "ab"
 
 
-def test_file_is_in_force_at_once_if_discovery_has_reported_nothing() -> None:
+def test_file_is_active_at_once_if_discovery_has_reported_nothing() -> None:
     scenario = MergeScenario(merge_policy())
     scenario.file_endpoints = {"c": resolved_endpoint("c")}
 
--- a/tests/resolvers/test_update_guard.py
+++ b/tests/resolvers/test_update_guard.py
@@ -1,4 +1,4 @@
-"""Whether a valid endpoint file replaces the active endpoints."""
+"""Tests for the decision whether a valid endpoint file replaces the active endpoints."""
 
 import json
 
@@ -16,7 +16,7 @@
 
 
 def endpoint_file(names: str, generation: int | None = None, site: str = "a") -> EndpointFile:
-    """Return a file with one server for each letter."""
+    """Return an endpoint file with one server for each letter."""
     value: dict[str, object] = {"servers": endpoint_rows(*names, site=site)}
     if generation is not None:
         value["generation"] = generation
@@ -24,7 +24,7 @@
 
 
 def active_endpoints(active_file: EndpointFile | None, *sites: str) -> ActiveEndpoints:
-    """Return the endpoints of this file, as serving these sites."""
+    """Return the endpoints of this file with these sites."""
     ready = active_file.ready_names() if active_file else frozenset()
     return ActiveEndpoints(active_file, sites, ready)
 
@@ -35,8 +35,8 @@
         (endpoint_file("abcd", 2), endpoint_file("abcd", 1), ACCEPTED, ""),
         (endpoint_file("abcd"), endpoint_file("abc"), ACCEPTED, ""),
         (endpoint_file("abcd", 1), endpoint_file("abcd", 1), UNCHANGED, ""),
-        (endpoint_file("abcd", 1), endpoint_file("abc", 2), REJECTED, "goes back behind 2"),
-        (endpoint_file("abcd", 1), endpoint_file("abc", 1), REJECTED, "another content"),
+        (endpoint_file("abcd", 1), endpoint_file("abc", 2), REJECTED, "older than the active generation 2"),
+        (endpoint_file("abcd", 1), endpoint_file("abc", 1), REJECTED, "active with different content"),
         (endpoint_file("abcd"), endpoint_file("abc", 1), REJECTED, "has no generation"),
         (endpoint_file("ab", 2), endpoint_file("abcd", 1), ACCEPTED, ""),
         (endpoint_file("a", 2), endpoint_file("abcd", 1), AWAITING_APPROVAL, "3 of 4 ready"),
@@ -55,7 +55,7 @@
 
 
 @pytest.mark.parametrize(("served_sites", "outcome"), [(("a",), ACCEPTED), (("a", "b"), REJECTED)])
-def test_first_file_must_keep_the_served_sites(
+def test_first_file_must_keep_ready_servers_in_the_served_sites(
     served_sites: tuple[str, ...], outcome: EvaluationOutcome
 ) -> None:
     active = active_endpoints(None, *served_sites)
--- a/tests/resolvers/test_worker_thread.py
+++ b/tests/resolvers/test_worker_thread.py
@@ -1,4 +1,4 @@
-"""The thread for calls that may block."""
+"""Tests for the thread for calls that may block."""
 
 import asyncio
 import threading
@@ -35,7 +35,7 @@
     asyncio.run(check())
 
 
-def test_last_call_runs_after_the_block_and_no_call_is_possible_then() -> None:
+def test_last_call_runs_after_the_block_and_later_calls_are_rejected() -> None:
     worker = WorkerThread("reader")
     last_call_done = threading.Event()
 
--- a/wheatstile/resolvers/__init__.py
+++ b/wheatstile/resolvers/__init__.py
@@ -1,4 +1,4 @@
-"""Endpoint files: read, compared with the active endpoints, and merged with discovery.
+"""Reads and watches endpoint files, and merges them with the endpoint list from discovery.
 
-The package is imported only if the operator's file names an endpoint file.
+The package is imported only if the operator's file configures an endpoint file.
 """
--- a/wheatstile/resolvers/approval.py
+++ b/wheatstile/resolvers/approval.py
@@ -1,6 +1,6 @@
-"""Reads the approval file, in which an operator names the digest of an accepted endpoint file.
+"""Reads the approval file, which contains the digest of an endpoint file that an operator has accepted.
 
-`wheatstile servers accept` writes it.
+`wheatstile servers accept` writes the approval file.
 """
 
 from pathlib import Path
@@ -8,16 +8,16 @@
 from wheatstile.config.violations import ConfigurationError, load
 from wheatstile.resolvers.regular_file import read_all
 
-MAX_BYTES = 4096  # size of an approval file
+MAX_APPROVAL_FILE_BYTES = 4096
 
 
 def approval_path(endpoint_file_path: Path) -> Path:
-    """Return the path of the approval file, which is in the folder of the endpoint file."""
+    """Return the path of the approval file, which is in the same directory as the endpoint file."""
     return endpoint_file_path.with_name(f"{endpoint_file_path.name}.accept")
 
 
 def read_accepted_digests(endpoint_file_path: Path) -> frozenset[str]:
-    """Return the digests that an operator has accepted: none if the approval file is missing or unusable.
+    """Return the digests that an operator has accepted. Empty if the approval file is missing or invalid.
 
     May block: call it in a thread.
     """
@@ -25,7 +25,7 @@
     if not path.exists():
         return frozenset()
     try:
-        _, value = load(str(path), read_all(path, MAX_BYTES), MAX_BYTES)
+        _, value = load(str(path), read_all(path, MAX_APPROVAL_FILE_BYTES), MAX_APPROVAL_FILE_BYTES)
     except ConfigurationError:
         return frozenset()
     digest = value.get("digest") if isinstance(value, dict) else None
--- a/wheatstile/resolvers/atomic_write.py
+++ b/wheatstile/resolvers/atomic_write.py
@@ -13,13 +13,13 @@
 
 
 def write_atomic(path: Path, data: bytes) -> None:
-    """Replace a file atomically, and return once the new bytes are on disk.
+    """Replace a file atomically, and return once the new content is on disk.
 
-    After a crash at any point the file has the old bytes or the new ones. A temporary file may be left in the
-    folder, and the next call removes it. Two writers at once do not mix their bytes.
+    After a crash at any point the file has either the old or the new content. A temporary file may remain in
+    the directory; the next call removes it. The contents of two concurrent writers are never mixed.
 
     Raises:
-        OSError: the file could not be replaced; it has the old bytes.
+        OSError: the file could not be replaced, and still has the old content.
 
     """
     prefix = f".{path.name}."
@@ -28,7 +28,7 @@
     descriptor, temporary_name = tempfile.mkstemp(TEMPORARY_SUFFIX, prefix, path.parent)
     try:
         with _closing(descriptor):
-            # The lock ends with the writer's process. It keeps other writers from removing the file.
+            # Keeps other writers from removing the file. The kernel releases the lock if the process ends.
             fcntl.flock(descriptor, fcntl.LOCK_EX)
             os.fchmod(descriptor, FILE_MODE)
             _write_all(descriptor, data)
@@ -38,8 +38,8 @@
         with contextlib.suppress(OSError):
             os.unlink(temporary_name)
         raise
-    with _closing(os.open(path.parent, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)) as folder:
-        os.fsync(folder)
+    with _closing(os.open(path.parent, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)) as directory:
+        os.fsync(directory)
 
 
 @contextlib.contextmanager
@@ -59,7 +59,7 @@
 
 
 def _remove_if_abandoned(path: Path) -> None:
-    """Remove a temporary file, unless its writer still locks it."""
+    """Remove a temporary file, unless its writer still holds the lock."""
     with contextlib.suppress(OSError):
         descriptor = os.open(path, os.O_RDONLY | os.O_NONBLOCK | os.O_CLOEXEC)
         with _closing(descriptor):
--- a/wheatstile/resolvers/discovery_state.py
+++ b/wheatstile/resolvers/discovery_state.py
@@ -1,4 +1,4 @@
-"""The servers that discovery has reported. Pure: the time is an argument, in microseconds."""
+"""Keeps the servers that discovery has reported. Pure: the time is an argument, in microseconds."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field, replace
@@ -6,36 +6,36 @@
 from wheatstile import interface as api
 from wheatstile.config.endpoints import ResolvedEndpoint
 
-MAX_REMEMBERED_GONE = 50_000  # servers reported gone; the oldest are forgotten first
+MAX_REMEMBERED_GONE = 50_000  # maximum length of DiscoveryState.gone; the oldest are removed
 
 
 @dataclass(slots=True)
 class DiscoveryState:
     """The servers that discovery has reported, and the times of its reports."""
 
-    listening_since_us: int  # start of this balancer's first call to discovery
+    watch_started_at_us: int  # start of the first watch of discovery
     endpoints: dict[str, ResolvedEndpoint] = field(default_factory=dict)  # ready or draining, by name
-    gone: dict[str, None] = field(default_factory=dict)  # an ordered set of names, the oldest first
-    last_report_at_us: int | None = None  # the last update or keepalive
-    steady_since_us: int | None = None  # first report since the last failed call
+    gone: dict[str, None] = field(default_factory=dict)  # used as an ordered set, the oldest first
+    last_report_at_us: int | None = None  # last update or keepalive
+    reporting_since_us: int | None = None  # first report since the last failed watch
 
     def copy(self) -> "DiscoveryState":
-        """Copy the servers for a merge in another thread, without the times of the reports."""
-        return DiscoveryState(self.listening_since_us, dict(self.endpoints), dict(self.gone))
+        """Return a copy for a merge in another thread, without the times of the reports."""
+        return DiscoveryState(self.watch_started_at_us, dict(self.endpoints), dict(self.gone))
 
     def adopt(self, known: Mapping[str, ResolvedEndpoint]) -> None:
-        """Add servers that discovery reported before this object existed. It does not count as a report."""
+        """Add servers that discovery reported before this object existed. This does not count as a report."""
         self.endpoints |= known
 
     def apply_update(
         self, now_us: int, update: Mapping[str, ResolvedEndpoint], kind: api.EndpointUpdateKind
     ) -> list[ResolvedEndpoint]:
-        """Record a complete list of servers, or the changes to one.
+        """Apply a complete list of servers or a delta.
 
-        A cached list does not count as a report, because it comes from the platform's file.
+        A cached list does not count as a report, because it is read from the platform's file.
 
         Returns:
-            The servers that must not get new connections: those draining and those gone.
+            The draining and gone servers, which must not receive new connections.
 
         """
         unavailable = []
@@ -55,17 +55,17 @@
         return unavailable
 
     def record_report(self, now_us: int) -> None:
-        """Record the time of a report, which may be a keepalive."""
+        """Record the time of a report: an update or a keepalive."""
         self.last_report_at_us = now_us
-        if self.steady_since_us is None:
-            self.steady_since_us = now_us
+        if self.reporting_since_us is None:
+            self.reporting_since_us = now_us
 
     def record_failure(self) -> None:
-        """Record that a call to discovery has failed or ended."""
-        self.steady_since_us = None
+        """Record that a watch of discovery has failed or ended."""
+        self.reporting_since_us = None
 
     def _remove(self, name: str, resolved: ResolvedEndpoint) -> ResolvedEndpoint:
-        """Remember the server as gone, and return it as gone."""
+        """Move the server to the gone servers, and return it with the state GONE."""
         self.endpoints.pop(name, None)
         self.gone[name] = None
         while len(self.gone) > MAX_REMEMBERED_GONE:
--- a/wheatstile/resolvers/endpoint_file.py
+++ b/wheatstile/resolvers/endpoint_file.py
@@ -1,4 +1,4 @@
-"""Parses an endpoint file from bytes, or reports every violation in it. Pure: no input or output."""
+"""Parses an endpoint file from bytes, or reports every violation in it. Pure: performs no I/O."""
 
 from collections.abc import Iterable, Iterator, Mapping
 from dataclasses import dataclass
@@ -17,15 +17,16 @@
 from wheatstile.resolvers.endpoint_rows import ParsedRows, parse_rows
 from wheatstile.resolvers.ready_endpoints import ready_names
 
-# Violations whose lines are looked up, which takes time. One mistake may cause a violation for every server.
+# Maximum number of violations with a line number. The lookup of lines is slow, and a single mistake may cause
+# a violation for every server.
 MAX_LOCATED_VIOLATIONS = 100
-MAX_SHOWN_SEAL = 40  # characters of a malformed seal in an error text
+MAX_SHOWN_SEAL_LENGTH = 40  # characters of a malformed seal that an error message quotes
 
 
 class FileHeader(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """The file without the contents of its servers, which are checked one by one.
+    """The top-level keys of the file. The servers are validated separately, one by one.
 
-    The fields are the keys of the file.
+    The field names are the keys in the file.
     """
 
     servers: list[Any]
@@ -38,13 +39,13 @@
 class EndpointFileRules:
     """The operator's limits for an endpoint file."""
 
-    networks: Networks  # allowed addresses
+    networks: Networks  # networks in which servers may have their addresses
     max_servers: int
     max_bytes: int
     require_seal: bool
     min_ready_per_site: int
-    sites_may_be_empty: frozenset[str]  # exempt from min_ready_per_site
-    max_removed_share: float  # share of the ready servers that one file may remove without approval; 0 to 1
+    sites_may_be_empty: frozenset[str]  # sites that are exempt from min_ready_per_site
+    max_removed_share: float  # share of the ready servers that a file may remove without approval, 0 to 1
 
     @classmethod
     def from_settings(cls, servers: Servers) -> "EndpointFileRules":
@@ -62,20 +63,20 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointFile:
-    """A complete endpoint file that keeps to the rules."""
+    """A parsed endpoint file without violations."""
 
     servers: Mapping[str, ResolvedEndpoint]  # keyed by name
-    sites: tuple[str, ...] | None  # sites that must keep ready servers; None: the file names none
+    sites: tuple[str, ...] | None  # sites that must have ready servers; None: the file has no such list
     generation: int | None
-    digest: str  # digest that a seal of this file states
+    digest: str  # digest of the content, which the seal must match
     sealed: bool
 
     def endpoints(self) -> Iterator[api.Endpoint]:
-        """Yield the servers without their addresses."""
+        """Return the servers without their addresses."""
         return (resolved.endpoint for resolved in self.servers.values())
 
     def ready_names(self) -> frozenset[str]:
-        """Return the names of the servers that may get new connections."""
+        """Return the names of the servers that may receive new connections."""
         return ready_names(self.endpoints())
 
 
@@ -89,10 +90,10 @@
 
     @property
     def reason(self) -> str:
-        """The text of an error."""
+        """The error message."""
         return (
-            f'site "{self.site}" would keep {self.ready_count} ready servers; {self.min_ready} at least '
-            "(servers.least_per_site; servers.may_be_empty names exceptions)"
+            f'site "{self.site}" would keep {self.ready_count} ready servers; the minimum is {self.min_ready}'
+            " (servers.least_per_site; servers.may_be_empty lists exempt sites)"
         )
 
 
@@ -115,21 +116,21 @@
     """Parse the bytes of an endpoint file.
 
     Args:
-        file: the file's name in error texts.
+        file: the file's name in error messages.
         data: the file's bytes.
         rules: the operator's limits.
-        check_seal: False if the file is about to be sealed again, or is part of a sealed document.
+        check_seal: False if the caller will write a new seal, or if the data is part of a sealed document.
 
     Raises:
-        ConfigurationError: the file breaks a rule; it has every violation and its line.
+        ConfigurationError: the file breaks a rule. The error lists all violations with their lines.
 
     """
     text, value = load(file, data, rules.max_bytes)
     if not isinstance(value, dict):
-        raise ConfigurationError(file, [Violation("", "is no object", 1)])
+        raise ConfigurationError(file, [Violation("", "is not an object", 1)])
     rows = _parse_servers(value.get("servers"), rules)
     _raise_if_any(file, text, [*shape.find_violations(value, FileHeader), *rows.violations])
-    endpoint_file = _build(value, rows)
+    endpoint_file = _build_endpoint_file(value, rows)
     if check_seal:
         _raise_if_any(file, text, list(_seal_violations(value.get(SEAL_KEY), endpoint_file.digest, rules)))
     _raise_if_any(file, text, _site_violations(endpoint_file, rules))
@@ -138,7 +139,7 @@
 
 def _parse_servers(servers: JsonValue, rules: EndpointFileRules) -> ParsedRows:
     if not isinstance(servers, list):
-        return ParsedRows({}, [])  # reported when the header is checked
+        return ParsedRows({}, [])  # reported by the check of FileHeader
     if len(servers) > rules.max_servers:
         reason = f"{len(servers)} servers; {rules.max_servers} at most (servers.most)"
         return ParsedRows({}, [Violation("/servers", reason)])
@@ -147,8 +148,8 @@
     return parse_rows(servers, rules.networks)
 
 
-def _build(value: dict[str, JsonValue], rows: ParsedRows) -> EndpointFile:
-    """Build the file from a value without violations."""
+def _build_endpoint_file(value: dict[str, JsonValue], rows: ParsedRows) -> EndpointFile:
+    """Build an EndpointFile from a value without violations."""
     header = msgspec.convert(value, FileHeader)
     return EndpointFile(
         servers=rows.endpoints,
@@ -165,13 +166,13 @@
             reason = "is missing; servers.require_seal requires a seal (`wheatstile servers seal` writes one)"
             yield Violation("/seal", reason)
     elif not seal.startswith(DIGEST_PREFIX):
-        yield Violation("/seal", f'"{seal[:MAX_SHOWN_SEAL]}" does not start with {DIGEST_PREFIX}')
+        yield Violation("/seal", f'"{seal[:MAX_SHOWN_SEAL_LENGTH]}" does not start with {DIGEST_PREFIX}')
     elif seal != digest:
-        yield Violation("/seal", f"does not fit the content of the file, whose digest is {digest}")
+        yield Violation("/seal", f"does not match the content of the file, whose digest is {digest}")
 
 
 def _site_violations(endpoint_file: EndpointFile, rules: EndpointFileRules) -> list[Violation]:
-    """Return a violation for each site that the file names but leaves with too few ready servers."""
+    """Return a violation for each site that the file lists but leaves with too few ready servers."""
     sites = endpoint_file.sites or ()
     return [
         Violation(pointer("sites", sites.index(shortage.site)), shortage.reason)
@@ -180,7 +181,7 @@
 
 
 def _raise_if_any(file: str, text: str, violations: list[Violation]) -> None:
-    """Raise ConfigurationError with the lines of the violations, if there are any."""
+    """Raise ConfigurationError if there are violations. Line numbers are added to the first ones."""
     if violations:
         located = locate(text, violations[:MAX_LOCATED_VIOLATIONS])
         raise ConfigurationError(file, located + violations[MAX_LOCATED_VIOLATIONS:])
--- a/wheatstile/resolvers/endpoint_file_activator.py
+++ b/wheatstile/resolvers/endpoint_file_activator.py
@@ -1,4 +1,4 @@
-"""Puts valid endpoint files in force, and stores the last one that was accepted."""
+"""Activates valid endpoint files, and stores a copy of the last one that was accepted."""
 
 import time
 from enum import StrEnum
@@ -31,21 +31,21 @@
 
 
 class FileOrigin(StrEnum):
-    """Where an accepted endpoint file was read. The values are logged and counted."""
+    """The origin of an accepted endpoint file. The values appear in logs and counters."""
 
     FILE = "file"
     LAST_KNOWN_GOOD = "last_known_good"
 
 
 class EndpointFileActivator:
-    """Owns the endpoint file in force, the file that awaits approval, and the stored copy.
+    """Owns the active endpoint file, the file that awaits approval, and the stored copy.
 
     Args:
         path: the endpoint file.
-        operator: the operator's file, for its `servers` section.
+        operator: the operator's file, whose `servers` section is used.
         rules: the limits in that section.
-        merger: receives each file that is put in force.
-        worker: runs the calls that may block. It must be running when a coroutine of this class is called.
+        merger: receives each file that is activated.
+        worker: runs the calls that may block. It must be running when a coroutine method is called.
 
     """
 
@@ -61,31 +61,31 @@
         self.active_file: EndpointFile | None = None
         self._path = path
         self._mode = MergeMode(settings.mode)
-        self._state_folder = operator.near(settings.state_dir) if settings.state_dir else None
+        self._state_directory = operator.near(settings.state_dir) if settings.state_dir else None
         self._rules = rules
         self._merger = merger
         self._worker = worker
         self._problems = ProblemReporter(merger.decisions.counters)
-        self._pending: PendingApproval | None = None  # last file that awaited approval, until one is accepted
-        self._pending_file: EndpointFile | None = None  # present content of the file, if it awaits approval
+        self._pending: PendingApproval | None = None  # last file that needed approval
+        self._pending_file: EndpointFile | None = None  # current content of the file, if it awaits approval
 
     async def restore(self) -> None:
-        """Put the stored copy in force, if there is a usable one."""
-        if self._state_folder is None:
+        """Activate the stored copy, if there is a valid one."""
+        if self._state_directory is None:
             return
         try:
-            stored = await self._worker.call(last_known_good.restore, self._state_folder, self._rules)
+            stored = await self._worker.call(last_known_good.restore, self._state_directory, self._rules)
         except ConfigurationError as error:
             log.warning("last_known_good_rejected", reasons=error.lines()[:MAX_LOGGED_REASONS])
             return
-        except Exception as error:  # a damaged copy must not stop the balancer
+        except Exception as error:  # a corrupt copy must not stop the balancer
             log.warning("last_known_good_rejected", reasons=[repr(error)])
             return
         if stored:
             self._activate_stored(stored)
 
     async def evaluate(self, candidate: EndpointFile) -> None:
-        """Compare a valid file with the active endpoints, and put it in force or report why not."""
+        """Compare a valid file with the active endpoints, then activate it or report the reasons."""
         active = self._active_endpoints()
         accepted_digests: frozenset[str] = frozenset()
         if self._pending:
@@ -109,12 +109,12 @@
                 self._problems.report_rejected(reasons, candidate.digest)
 
     async def evaluate_pending(self) -> None:
-        """Evaluate the file that awaits approval again, if there is one: it may have been approved."""
+        """Evaluate the file that awaits approval again, because it may have been approved since."""
         if self._pending_file:
             await self.evaluate(self._pending_file)
 
     def report_invalid(self, reasons: tuple[str, ...]) -> None:
-        """Report that the file's content cannot be used."""
+        """Report that the file's content is invalid."""
         self._pending_file = None
         self._problems.report_rejected(reasons)
 
@@ -133,14 +133,14 @@
         if self.active_file:
             return ActiveEndpoints.from_file(self.active_file)
         endpoints = merge.listed_endpoints(self._merger.endpoints)
-        # Only in override mode does the first file remove servers. In the other modes discovery's stay.
+        # The first file removes servers only in override mode. In other modes, discovery's servers remain.
         replaced = ready_names(endpoints) if self._mode is MergeMode.OVERRIDE else frozenset()
         return ActiveEndpoints(None, served_sites(endpoints), replaced)
 
     def _activate(
         self, endpoint_file: EndpointFile, origin: FileOrigin, **details: tuple[str, ...] | float
     ) -> None:
-        """Put the file in force, and log it with the details that are neither empty, zero nor False."""
+        """Activate the file, and log it with those details that are not empty, zero or False."""
         self.active_file = endpoint_file
         self._problems.reset()
         self._merger.decisions.counters[f"endpoint_file_accepted_{origin}"] += 1
@@ -165,16 +165,18 @@
         )
 
     async def _store(self, endpoint_file: EndpointFile) -> None:
-        """Replace the stored copy. A failure is logged and counted, and changes nothing else."""
-        if self._state_folder is None:
+        """Replace the stored copy. A failure is logged and counted; the file stays active."""
+        if self._state_directory is None:
             return
         accepted_at_ms = int(time.time() * MILLISECONDS_PER_SECOND)
         try:
-            await self._worker.call(last_known_good.save, self._state_folder, endpoint_file, accepted_at_ms)
+            await self._worker.call(
+                last_known_good.save, self._state_directory, endpoint_file, accepted_at_ms
+            )
         except OSError as error:
             self._merger.decisions.counters["last_known_good_write_failed"] += 1
             log.error(
                 "last_known_good_write_failed",
-                folder=str(self._state_folder),
+                folder=str(self._state_directory),
                 reason=error.strerror or str(error),
             )
--- a/wheatstile/resolvers/endpoint_file_reader.py
+++ b/wheatstile/resolvers/endpoint_file_reader.py
@@ -1,9 +1,9 @@
-"""Reads the endpoint file completely or not at all. May block: call it in a thread.
+"""Reads the endpoint file, and detects incomplete writes. May block: call it in a thread.
 
-- A sealed file is accepted only with the content that its writer sealed, however it is written.
+- A sealed file is accepted only if its content matches its seal, whether or not it is written atomically.
 - An unsealed file is accepted once its bytes and its metadata have not changed for the settle time. If a
-  writer changes it in place and pauses for longer than that, a mixture of old and new content is accepted if
-  it is valid.
+  writer changes the file in place and pauses for longer than the settle time, a mixture of old and new
+  content is accepted if it is valid.
 """
 
 import os
@@ -15,47 +15,50 @@
 
 from wheatstile.config.violations import ConfigurationError
 from wheatstile.resolvers.endpoint_file import EndpointFile, EndpointFileRules, parse_endpoint_file
-from wheatstile.resolvers.regular_file import FileVersion, Snapshot, open_regular, snapshot
+from wheatstile.resolvers.regular_file import FileVersion, Snapshot, open_regular_file, snapshot
 
-TORN_RETRIES_PER_SETTLE_TIME = 4  # polls within the settle time if the file changes while it is read
+TORN_RETRIES_PER_SETTLE_TIME = 4  # polls in each settle time while reads of the file are torn
 
 
 class ReadOutcome(Enum):
-    """The outcome of one poll of the file."""
+    """The outcome of polling the file once."""
 
-    UNSETTLED = auto()  # a writer may not have finished yet
-    UNCHANGED = auto()  # the content was reported by an earlier poll
+    UNSETTLED = auto()  # the writer may not have finished yet
+    UNCHANGED = auto()  # an earlier poll has reported this content
     COMPLETE = auto()  # the file is a valid endpoint file
-    INVALID = auto()  # the content cannot be used
+    INVALID = auto()  # the file is not a valid endpoint file
     UNREADABLE = auto()  # the file is missing, is not a regular file, or cannot be read
 
 
 @dataclass(frozen=True, slots=True)
 class ReadResult:
-    """The outcome of one poll of the file, with its details."""
+    """The outcome of polling the file once, with its details."""
 
     outcome: ReadOutcome
-    reasons: tuple[str, ...] = ()  # given for INVALID and UNREADABLE
-    endpoint_file: EndpointFile | None = None  # given for COMPLETE
-    retry_after_s: float = 0.0  # time until the next poll is due, given for UNSETTLED
+    reasons: tuple[str, ...] = ()  # set for INVALID and UNREADABLE
+    endpoint_file: EndpointFile | None = None  # set for COMPLETE
+    retry_after_s: float = 0.0  # time until the next poll, set for UNSETTLED
 
 
 @dataclass(frozen=True, slots=True)
 class _Candidate:
-    """A file that must settle. It stays open, so that it can settle even if another file replaces it."""
+    """A file that must stay unchanged for the settle time.
+
+    It is kept open, so that it can settle even if another file replaces it at the path.
+    """
 
     descriptor: int
     snapshot: Snapshot
-    first_seen_s: float  # time of the reader's clock
+    first_seen_s: float  # monotonic time
     parsed: EndpointFile | ConfigurationError
 
 
 class EndpointFileReader:
-    """Polls one endpoint file. Owns the descriptor of the candidate, the file that must settle.
+    """Polls one endpoint file. Owns the descriptor of the candidate, a file that has not settled yet.
 
     Args:
-        path: the file's path.
-        rules: the limits that the file must keep to.
+        path: the path of the endpoint file.
+        rules: the limits for the file.
         settle_time_s: time for which an unsealed file must not change.
         clock: returns monotonic seconds.
 
@@ -73,10 +76,10 @@
         self.settle_time_s = settle_time_s
         self._clock = clock
         self._candidate: _Candidate | None = None
-        self._reported: FileVersion | None = None  # version of the last COMPLETE or INVALID result
+        self._reported: FileVersion | None = None  # file version of the last COMPLETE or INVALID result
 
     def poll(self) -> ReadResult:
-        """Read the file once. Raises nothing: an error is part of the result."""
+        """Read the file once. Does not raise: an error is part of the result."""
         try:
             return self._poll_candidate() or self._poll_path()
         except OSError as error:
@@ -85,13 +88,13 @@
             return ReadResult(ReadOutcome.UNREADABLE, (f"{self.path}: {error.strerror or error}",))
 
     def close(self) -> None:
-        """Close the candidate, if there is one."""
+        """Close the candidate's descriptor, if there is a candidate."""
         if self._candidate:
             os.close(self._candidate.descriptor)
             self._candidate = None
 
     def _poll_candidate(self) -> ReadResult | None:
-        """Read the candidate again. Return None if there is none, or if it was changed in place."""
+        """Read the candidate again. Return None if there is no candidate, or if it was changed in place."""
         candidate = self._candidate
         if candidate is None:
             return None
@@ -107,7 +110,7 @@
 
     def _poll_path(self) -> ReadResult:
         """Read the file at the path. It becomes the candidate if it must settle."""
-        descriptor = open_regular(self.path)
+        descriptor = open_regular_file(self.path)
         try:
             return self._read_opened(descriptor)
         finally:
--- a/wheatstile/resolvers/endpoint_merger.py
+++ b/wheatstile/resolvers/endpoint_merger.py
@@ -1,4 +1,4 @@
-"""Merges discovery with the endpoint file at each change, and publishes the result."""
+"""Merges the lists of discovery and the endpoint file at each change, and publishes the result."""
 
 import asyncio
 from collections.abc import Callable, Mapping
@@ -25,17 +25,17 @@
 
 log = structlog.get_logger()
 
-# A longer list is merged in a thread, because the merge would block the event loop for too long.
+# Longer lists are merged in a thread, because merging them would block the event loop for too long.
 MAX_ENDPOINTS_MERGED_ON_LOOP = 2000
-MAX_THREAD_MERGES = 3  # merges in a row that changes may supersede, before one runs on the event loop
+MAX_THREAD_MERGES = 3  # superseded merges in a row, after which the merge runs on the event loop
 MIN_TIMER_DELAY_S = 0.001
 
 
 class EndpointMerger:
-    """Discovery's observer while an endpoint file is configured. Owns the merged list of servers.
+    """Observes discovery while an endpoint file is configured. Owns the merged list of servers.
 
-    Short lists are merged at once, long ones in a thread. In both cases the decision module gets each change
-    of the list as one update, and never a part of it.
+    Short lists are merged immediately, long lists in a thread. In both cases the decision module receives
+    each change of the list as a single update, never in parts.
     """
 
     def __init__(self, decisions: DecisionLoop, upstreams: UpstreamPool, policy: MergePolicy) -> None:
@@ -47,12 +47,12 @@
         self.file_endpoints: Mapping[str, ResolvedEndpoint] = {}
         self.endpoints: dict[str, MergedEndpoint] = {}
         self.selection: SourceSelection | None = None
-        self._revision = 0  # number of changes of discovery, file and policy
+        self._revision = 0  # number of changes to discovery, file and policy
         self._background_merge: asyncio.Task[None] | None = None
         self._recheck_timer: asyncio.TimerHandle | None = None
 
     def adopt_known_endpoints(self) -> None:
-        """Start with the servers that the decision module has from discovery."""
+        """Add the servers that the decision module already has from discovery."""
         servers = self.decisions.balancer.servers
         known = {
             name: ResolvedEndpoint(servers[name].endpoint, upstream.address)
@@ -64,7 +64,7 @@
             self.endpoints[name] = MergedEndpoint(resolved, merge.FROM_DISCOVERY)
 
     def set_policy(self, policy: MergePolicy) -> None:
-        """Replace the policy, and merge again if it differs."""
+        """Replace the policy, and merge again if it has changed."""
         if policy != self.policy:
             self.policy = policy
             self.selection = None
@@ -79,33 +79,33 @@
         """Handle an update from discovery."""
         update = {resolved.endpoint.name: resolved for resolved in snapshot.members}
         unavailable = self.discovery.apply_update(self.decisions.now(), update, kind)
-        # A merge may take long. Servers that discovery reports unavailable must not wait for it.
+        # Draining and gone servers are withdrawn at once, because a merge may take long.
         withdrawn = merge.withdrawn_endpoints(self.endpoints, unavailable)
         if withdrawn:
             self._withdraw(withdrawn)
         self._on_change()
 
     def on_keepalive(self) -> None:
-        """Record that discovery has reported no change, which may put it in force again."""
+        """Record a keepalive from discovery, after which discovery may become active again."""
         self.discovery.record_report(self.decisions.now())
         if self.selection and self.selection.source is EndpointSource.FILE:
             self._recheck_source()
 
     def on_failure(self) -> None:
-        """Record that a call to discovery has ended."""
+        """Record that a watch of discovery has failed or ended."""
         self.discovery.record_failure()
 
     def close(self) -> None:
-        """Stop the timer and the background merge."""
+        """Cancel the timer and the background merge."""
         self._cancel_recheck()
         if self._background_merge:
             self._background_merge.cancel()
 
     def revert_to_discovery(self) -> None:
-        """Put discovery alone in force, retire the servers that only the file lists, and close."""
+        """Use discovery alone, retire the servers that only the file lists, and close."""
         self.file_endpoints = {}
         self.close()
-        selection = SourceSelection(EndpointSource.DISCOVERY, "the endpoint file is switched off")
+        selection = SourceSelection(EndpointSource.DISCOVERY, "no endpoint file is configured any more")
         self._merge_now(selection)
 
     def _withdraw(self, withdrawn: list[ResolvedEndpoint]) -> None:
@@ -123,7 +123,7 @@
         return select_source(self.decisions.now(), self.policy, self.discovery, has_file, self.selection)
 
     def _recheck_source(self) -> None:
-        """Merge again if another source is in force now. Otherwise schedule the next check."""
+        """Merge again if the active source has changed. Otherwise schedule the next check."""
         selection = self._select_source()
         if self.selection is None or selection.source is not self.selection.source:
             self._on_change()
@@ -145,10 +145,10 @@
             self._recheck_timer = None
 
     def _on_change(self) -> None:
-        """Merge again: on the event loop, or in a thread if the lists are long."""
+        """Merge again, on the event loop or, if the lists are long, in a thread."""
         self._revision += 1
         if self._background_merge:
-            return  # the background merge checks the revision before it ends
+            return  # it checks the revision before it ends
         if len(self.discovery.endpoints) + len(self.file_endpoints) <= MAX_ENDPOINTS_MERGED_ON_LOOP:
             self._merge_now(self._select_source())
         else:
@@ -165,7 +165,7 @@
         self._apply(result, self._publisher.publish)
 
     async def _merge_in_background(self) -> None:
-        """Merge until the published list is that of the latest revision."""
+        """Merge until the published list is based on the latest revision."""
         try:
             merged_revision = -1
             while merged_revision != self._revision:
@@ -178,7 +178,7 @@
         except Exception:
             log.exception("endpoint_merge_failed")
         finally:
-            # Not in a callback of the task: a change before the callback would then not be merged.
+            # Not in a done callback of the task: a change before that callback would not be merged.
             self._background_merge = None
 
     async def _merge_in_thread(self) -> MergeResult | None:
@@ -194,7 +194,7 @@
         return None
 
     def _apply(self, result: MergeResult, publish: Callable[[list[ResolvedEndpoint]], None]) -> None:
-        """Put the result in force, and publish its changes."""
+        """Replace the merged list, and publish the changes."""
         previous = self.selection
         self.selection = result.selection
         self.endpoints = result.endpoints
@@ -206,7 +206,7 @@
         self._schedule_recheck(result.selection)
 
     def _report_source(self, result: MergeResult) -> None:
-        """Count and log the selection of another source."""
+        """Count and log a change of the active source."""
         self.decisions.counters[f"endpoint_source_{result.selection.source}_selected"] += 1
         log.info(
             "endpoint_source_selected",
--- a/wheatstile/resolvers/endpoint_rows.py
+++ b/wheatstile/resolvers/endpoint_rows.py
@@ -1,4 +1,4 @@
-"""Parses the servers of an endpoint file, or reports every violation in them. Pure: no input or output."""
+"""Parses the servers of an endpoint file, or reports every violation in them. Pure: performs no I/O."""
 
 import re
 import sys
@@ -17,9 +17,9 @@
 from wheatstile.config.violations import Violation, pointer
 from wheatstile.resolvers.canonical_json import MAX_EXACT_INTEGER, JsonValue
 
-MAX_WEIGHT_RATIO = 1000.0  # largest weight in a file, as a multiple of the smallest
+MAX_WEIGHT_RATIO = 1000.0  # maximum ratio of the largest to the smallest weight in a file
 MICROSECONDS_PER_MILLISECOND = 1000
-# The values of `state` in the file.
+# Maps the values of `state` in the file to endpoint states.
 ENDPOINT_STATES = {"ready": api.EndpointState.READY, "draining": api.EndpointState.DRAINING}
 
 _OCTET = "(25[0-5]|2[0-4][0-9]|1[0-9]{2}|[1-9]?[0-9])"  # no leading zeros: some programs read them as octal
@@ -29,11 +29,11 @@
 
 
 class InvalidAddressError(ValueError):
-    """An address that a server must not have. The text is the reason."""
+    """An address that a server must not have. The message is the reason."""
 
 
 class EndpointRow(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """One server of the file. The fields are the keys of the file."""
+    """One server in the file. The field names are the keys in the file."""
 
     id: Annotated[str, Meta(min_length=1, max_length=255)]
     address: str
@@ -43,7 +43,7 @@
     started: Annotated[int, Meta(ge=0, le=1 << 53)] | None = None  # Unix time in milliseconds
 
     def resolve(self, address: Address) -> ResolvedEndpoint:
-        """Return the endpoint of this row, at its parsed address."""
+        """Return the endpoint of this row with its parsed address."""
         endpoint = api.Endpoint(
             name=self.id,
             state=ENDPOINT_STATES[self.state],
@@ -56,14 +56,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ParsedRows:
-    """All rows of a file. The endpoints are complete only if there are no violations."""
+    """The result for all rows of a file. The endpoints are complete only if there are no violations."""
 
     endpoints: dict[str, ResolvedEndpoint]  # keyed by name
     violations: list[Violation]
 
 
 def parse_rows(rows: list[JsonValue], networks: Networks) -> ParsedRows:
-    """Check each row by itself and against the others. Raises nothing."""
+    """Parse each row, and check it against the others. Does not raise: violations are part of the result."""
     parser = _RowParser(networks)
     for index, row in enumerate(rows):
         parser.add(index, row)
@@ -71,12 +71,12 @@
 
 
 def parse_address(text: str, networks: Networks) -> Address:
-    """Parse HOST:PORT with an IPv4 literal in one of these networks. Raises InvalidAddressError."""
+    """Parse HOST:PORT with an IPv4 address in one of the networks. Raises InvalidAddressError."""
     match = _match_address(text)
     if match is None:
         if text.startswith("["):
             raise InvalidAddressError(f'"{text}" is an IPv6 address; only IPv4 is supported')
-        raise InvalidAddressError(f'"{text}" is not HOST:PORT with an IPv4 literal as host')
+        raise InvalidAddressError(f'"{text}" is not HOST:PORT with an IPv4 address as host')
     host, *octets, port_text = match.groups()
     port = int(port_text)
     if not 0 < port <= MAX_PORT:
@@ -87,7 +87,7 @@
 
 
 class _RowParser:
-    """Parses the rows one by one, and compares each with those before it."""
+    """Parses the rows one by one, and compares each row with the rows before it."""
 
     def __init__(self, networks: Networks) -> None:
         self.endpoints: dict[str, ResolvedEndpoint] = {}
@@ -98,7 +98,7 @@
         self._weight_by_index: dict[int, float] = {}
 
     def add(self, index: int, value: JsonValue) -> None:
-        """Parse the next row: keep its endpoint, or its violations."""
+        """Parse the next row. Add its endpoint or its violations to the result."""
         try:
             row = msgspec.convert(value, EndpointRow)
         except msgspec.ValidationError:
@@ -112,15 +112,15 @@
             self.endpoints[row.id] = row.resolve(address)
 
     def weight_ratio_violations(self) -> Iterator[Violation]:
-        """Yield a violation for each weight that is too large compared with the smallest one."""
+        """Yield a violation for each weight that is too large relative to the smallest weight."""
         smallest = min(self._weight_by_index.values(), default=1.0)
         for index, weight in self._weight_by_index.items():
             if weight > MAX_WEIGHT_RATIO * smallest > 0:
-                reason = f"{weight:g} is over {MAX_WEIGHT_RATIO:g} times the least, {smallest:g}"
+                reason = f"{weight:g} is over {MAX_WEIGHT_RATIO:g} times the smallest weight, {smallest:g}"
                 yield Violation(pointer("servers", index, "weight"), reason)
 
     def _add_malformed(self, index: int, value: JsonValue) -> None:
-        """Report the keys and types that are wrong, and check the values whose types are right."""
+        """Report the violations of the schema, and check the values that have the right type."""
         self.violations += shape.find_violations(value, EndpointRow, ("servers", index))
         if not isinstance(value, dict):
             return
@@ -140,23 +140,23 @@
     def _check_id(self, index: int, name: str) -> None:
         first_index = self._index_by_id.setdefault(name, index)
         if first_index != index:
-            self._report(index, "id", f'"{name}" is the id of /servers/{first_index} too')
+            self._report(index, "id", f'"{name}" is already the id of /servers/{first_index}')
 
     def _check_weight(self, index: int, weight: float) -> None:
         if not 0 < weight < inf:
-            self._report(index, "weight", f"{weight} is no finite number over 0")
-        elif weight <= sys.float_info.max:  # a larger integer is reported as a wrong type
+            self._report(index, "weight", f"{weight} is not a finite number over 0")
+        elif weight <= sys.float_info.max:  # a larger integer is reported as a type error
             self._weight_by_index[index] = float(weight)
 
     def _check_integers(self, index: int, row: JsonValue) -> None:
-        """Report integers that have no canonical form, because such a file could not be sealed."""
+        """Report integers that have no canonical form: a file that contains one cannot be sealed."""
         members = row.items() if isinstance(row, dict) else ()
         for key, value in members:
             if isinstance(value, int) and abs(value) > MAX_EXACT_INTEGER:
                 self._report(index, key, f"{value} is over {MAX_EXACT_INTEGER}, the largest exact integer")
 
     def _check_address(self, index: int, text: str) -> Address | None:
-        """Return the parsed address; None if it is reported as invalid."""
+        """Return the parsed address. Report an invalid address, and return None."""
         try:
             address = parse_address(text, self._networks)
         except InvalidAddressError as error:
@@ -164,5 +164,5 @@
             return None
         first_index = self._index_by_address.setdefault(address, index)
         if first_index != index:
-            self._report(index, "address", f"{text} is the address of /servers/{first_index} too")
+            self._report(index, "address", f"{text} is already the address of /servers/{first_index}")
         return address
--- a/wheatstile/resolvers/file_watcher.py
+++ b/wheatstile/resolvers/file_watcher.py
@@ -1,4 +1,4 @@
-"""Watches a path for changes: by the file system's notifications, or by polling if there are none."""
+"""Watches a path for changes with file system notifications, or by polling if these are not available."""
 
 import asyncio
 import os
@@ -12,48 +12,48 @@
 
 log = structlog.get_logger()
 
-QUIET_TIME_MS = 5  # changes are reported once none has come for this time
-MAX_DEBOUNCE_MS = 25  # changes are reported after this time even if more are coming
+QUIET_TIME_MS = 5  # changes are reported after this time without another change
+MAX_DEBOUNCE_MS = 25  # changes are reported after this time even if others follow
 MIN_NOTIFICATION_TIMEOUT_MS = 100
-MAX_SYMBOLIC_LINKS = 40  # links followed for one path; the limit of the Linux kernel
+MAX_SYMBOLIC_LINKS = 40  # symbolic links that are resolved for one path; the limit of the Linux kernel
 
 
 @dataclass(frozen=True, slots=True)
 class WatchedPaths:
-    """The folders and names in which a change may make a path lead to another file."""
+    """The directories and file names to watch, because a change there may change the file at a path."""
 
-    folders: frozenset[str]  # absolute, without symbolic links, existing
-    names: frozenset[str]  # relevant entries of these folders
+    directories: frozenset[str]  # existing directories, as absolute paths without symbolic links
+    names: frozenset[str]  # names of the relevant entries in these directories
 
-    def concerns(self, _change: Change, path: str) -> bool:
-        """Return whether a change of this path is relevant. A filter for `watchfiles.awatch`."""
+    def is_relevant(self, _change: Change, path: str) -> bool:
+        """Return whether a change of this path is relevant. The filter for `watchfiles.awatch`."""
         return os.path.basename(path) in self.names
 
 
 def watched_paths(path: Path) -> WatchedPaths:
-    """Return the folders and names to watch for a path, which may lead through symbolic links. May block."""
-    folders: set[str] = set()
+    """Return the directories and names to watch for a path, including its symbolic links. May block."""
+    directories: set[str] = set()
     names: set[str] = set()
     current: Path | None = Path(os.path.abspath(path))
     remaining_links = MAX_SYMBOLIC_LINKS
     while current and remaining_links:
         remaining_links -= 1
-        link = _first_link(current)
+        link = _last_link(current)
         for entry in (current, link):
             if entry:
-                folders.add(os.path.realpath(entry.parent))
+                directories.add(os.path.realpath(entry.parent))
                 names.add(entry.name)
-        current = _follow(link, current) if link else None
-    return WatchedPaths(frozenset(filter(os.path.isdir, folders)), frozenset(names))
+        current = _resolve_link(link, current) if link else None
+    return WatchedPaths(frozenset(filter(os.path.isdir, directories)), frozenset(names))
 
 
-def _first_link(path: Path) -> Path | None:
-    """Return the symbolic link nearest to the end of the path: the path itself or a parent."""
+def _last_link(path: Path) -> Path | None:
+    """Return the last symbolic link in the path: the path itself or its nearest parent that is a link."""
     return next((part for part in (path, *path.parents) if part.is_symlink()), None)
 
 
-def _follow(link: Path, path: Path) -> Path:
-    """Return the path with this link replaced by its target. The link is the path itself or a parent."""
+def _resolve_link(link: Path, path: Path) -> Path:
+    """Return the path with the link replaced by its target. The link is the path itself or a parent."""
     target = link.parent / os.readlink(link)
     return target if link == path else target / path.relative_to(link)
 
@@ -69,7 +69,7 @@
 
     @asynccontextmanager
     async def running(self) -> AsyncIterator[None]:
-        """Watch in a background task until the end of the block."""
+        """Watch in a background task until the block ends."""
         task = asyncio.create_task(self.run())
         try:
             yield
@@ -78,10 +78,10 @@
             await asyncio.wait([task])
 
     async def run(self) -> None:
-        """Watch until cancelled. Without notifications, `changed` is set every `poll_interval_s` seconds."""
+        """Watch until cancelled. If notifications fail, set `changed` every `poll_interval_s` seconds."""
         while True:
             watched = await asyncio.to_thread(watched_paths, self.path)
-            self.changed.set()  # there may have been a change before the watch began
+            self.changed.set()  # the file may have changed before the watch started
             try:
                 if not await self._watch(watched):
                     return
@@ -90,10 +90,10 @@
                 await asyncio.sleep(self.poll_interval_s)
 
     async def _watch(self, watched: WatchedPaths) -> bool:
-        """Set `changed` at each change. Return True once other paths must be watched, False at the end."""
+        """Set `changed` at each change. Return True if other paths must be watched, False at the end."""
         changes = awatch(
-            *watched.folders,
-            watch_filter=watched.concerns,
+            *watched.directories,
+            watch_filter=watched.is_relevant,
             step=QUIET_TIME_MS,
             debounce=MAX_DEBOUNCE_MS,
             rust_timeout=max(MIN_NOTIFICATION_TIMEOUT_MS, int(self.poll_interval_s * 1000)),
@@ -107,7 +107,7 @@
         return False
 
     def _report_failure(self, error: Exception) -> None:
-        """Log the first failure."""
+        """Log a failure of the notifications, but only the first one."""
         if not self._failure_reported:
             log.warning("file_watch_failed", reason=str(error), poll_interval_s=self.poll_interval_s)
         self._failure_reported = True
--- a/wheatstile/resolvers/gc_pause.py
+++ b/wheatstile/resolvers/gc_pause.py
@@ -7,16 +7,16 @@
 
 @contextmanager
 def gc_paused() -> Iterator[None]:
-    """Run the block without garbage collection, then move the objects that it made to the oldest generation.
+    """Run the block without garbage collection, then move all objects to the oldest generation.
 
-    Lists of servers have no reference cycles and are freed by reference counting. Traversing them would only
+    Lists of servers have no reference cycles, and reference counting frees them. Traversing them would only
     block the event loop.
     """
     gc.disable()
     try:
         yield
     finally:
-        # Together these move all objects to the oldest generation without traversing them.
+        # Together, these two calls move all objects to the oldest generation without traversing them.
         gc.freeze()
         gc.unfreeze()
         gc.enable()
--- a/wheatstile/resolvers/last_known_good.py
+++ b/wheatstile/resolvers/last_known_good.py
@@ -1,7 +1,8 @@
-"""Stores the last accepted endpoint file, and restores it at a restart.
+"""Stores a copy of the last accepted endpoint file, and restores it at a restart.
 
-A balancer that restarts while the endpoint file is broken starts with these servers. Later versions must be
-able to read the stored format: the fields of the structs are its keys. May block: call it in a thread.
+If the endpoint file is invalid at a restart, the balancer starts with the servers of the copy. Later versions
+must be able to read the stored format: the field names of the structs are its keys. May block: call it in a
+thread.
 """
 
 from dataclasses import dataclass, replace
@@ -19,22 +20,22 @@
 
 FILE_NAME = "servers-last-good.json"
 FORMAT_VERSION = 1
-MAX_ENVELOPE_BYTES = 4096  # size of the stored copy without its servers
-# A stored server has all its keys, so it may be longer than in the endpoint file.
+MAX_ENVELOPE_BYTES = 4096  # maximum size of the stored copy without its servers
+# A server is stored with all its keys, so it may take more bytes than in the endpoint file.
 MAX_SERVER_GROWTH_FACTOR = 2
 
-STATE_VALUES = {state: word for word, state in ENDPOINT_STATES.items()}
+STATE_VALUES = {state: value for value, state in ENDPOINT_STATES.items()}
 
 
 class StoredServer(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """One server, with all the keys that an endpoint file may have for it."""
+    """One server, with all keys that it may have in an endpoint file."""
 
     id: str
     address: str  # HOST:PORT
     site: str
     weight: float
     state: str
-    started: int  # Unix time in milliseconds; 0: long ago
+    started: int  # Unix time in milliseconds; 0: long ago or unknown
 
     @classmethod
     def from_endpoint(cls, resolved: ResolvedEndpoint) -> "StoredServer":
@@ -53,7 +54,7 @@
 
 
 class StoredFile(msgspec.Struct, forbid_unknown_fields=True, omit_defaults=True, frozen=True):
-    """The endpoint file without its seal. A key that the file did not have is not stored."""
+    """The endpoint file without its seal. A key that the file does not have is omitted."""
 
     servers: list[StoredServer]
     sites: list[str] | None = None
@@ -65,20 +66,20 @@
 
     form: int  # FORMAT_VERSION
     taken_at_ms: int  # Unix time
-    digest: str  # digest of the endpoint file when it was accepted
+    digest: str  # digest of the accepted endpoint file
     document: StoredFile
 
 
 @dataclass(frozen=True, slots=True)
 class LastKnownGood:
-    """A stored endpoint file and when it was accepted."""
+    """A stored endpoint file, and the time at which it was accepted."""
 
     endpoint_file: EndpointFile
     accepted_at_ms: int  # Unix time
 
 
-def save(folder: Path, endpoint_file: EndpointFile, accepted_at_ms: int) -> None:
-    """Store the file, sealed. Raises OSError; the copy that was stored before then stays."""
+def save(directory: Path, endpoint_file: EndpointFile, accepted_at_ms: int) -> None:
+    """Store the file with a seal. Raises OSError; the previous copy is then kept."""
     document = StoredFile(
         servers=[StoredServer.from_endpoint(resolved) for resolved in endpoint_file.servers.values()],
         sites=None if endpoint_file.sites is None else list(endpoint_file.sites),
@@ -86,23 +87,23 @@
     )
     stored = msgspec.to_builtins(StoredCopy(FORMAT_VERSION, accepted_at_ms, endpoint_file.digest, document))
     stored[SEAL_KEY] = digest_of(stored)
-    write_atomic(folder / FILE_NAME, msgspec.json.encode(stored))
+    write_atomic(directory / FILE_NAME, msgspec.json.encode(stored))
 
 
-def restore(folder: Path, rules: EndpointFileRules) -> LastKnownGood | None:
-    """Return the stored file, checked by the present rules; None if none is stored.
+def restore(directory: Path, rules: EndpointFileRules) -> LastKnownGood | None:
+    """Return the stored file, checked against the current rules, or None if no copy is stored.
 
     Raises:
-        ConfigurationError: the copy is damaged, or breaks a rule.
+        ConfigurationError: the copy is corrupt, or breaks a rule.
 
     """
-    path = folder / FILE_NAME
+    path = directory / FILE_NAME
     if not path.exists():
         return None
     max_bytes = MAX_SERVER_GROWTH_FACTOR * rules.max_bytes + MAX_ENVELOPE_BYTES
     _, value = load(str(path), read_all(path, max_bytes), max_bytes)
     if not _is_intact(value):
-        reason = "does not fit the content of the file, or the format is unknown"
+        reason = "does not match the content of the file, or the format is unknown"
         raise ConfigurationError(str(path), [Violation("/seal", reason)])
     stored = msgspec.convert(value, StoredCopy)
     document = msgspec.json.encode(stored.document)
@@ -111,7 +112,7 @@
 
 
 def _is_intact(value: JsonValue) -> bool:
-    """Return whether this is a stored copy of the known format, with the right seal."""
+    """Return whether the value is a stored copy of the known format with a valid seal."""
     if not isinstance(value, dict):
         return False
     return value.get("form") == FORMAT_VERSION and value.get(SEAL_KEY) == digest_of(value)
--- a/wheatstile/resolvers/merge.py
+++ b/wheatstile/resolvers/merge.py
@@ -1,8 +1,8 @@
-"""Merges discovery and the endpoint file into the list of servers in force, with a reason for each server.
+"""Merges discovery and the endpoint file into one list of servers, with a reason for each server.
 
-Pure: the time is an argument, in microseconds. Two rules apply with every source: a server that discovery
-reports draining or gone gets no new connections; and a server that is no longer listed because the source
-changed keeps its connections.
+Pure: the time is an argument, in microseconds. Two rules apply to every source. A server that discovery
+reports as draining or gone receives no new connections. A server that is no longer listed because the source
+has changed keeps its connections.
 """
 
 from collections.abc import Iterable, Mapping
@@ -13,7 +13,7 @@
 from wheatstile.resolvers.discovery_state import DiscoveryState
 from wheatstile.resolvers.source_selection import MICROSECONDS_PER_SECOND, EndpointSource, SourceSelection
 
-# How long a server that no source lists any more stays reachable for its connections.
+# Time for which a server that no source lists any more is kept for its connections.
 RETIREMENT_US = 3600 * MICROSECONDS_PER_SECOND
 
 FROM_DISCOVERY = "discovery"
@@ -24,11 +24,11 @@
 
 @dataclass(frozen=True, slots=True)
 class MergedEndpoint:
-    """One server in force, and the reason why it is listed."""
+    """One server of the merged list, and the reason why it is listed."""
 
     resolved: ResolvedEndpoint
     reason: str  # printed by `wheatstile servers explain`
-    retired_until_us: int = 0  # when a retired server is removed; 0: a source lists the server
+    retired_until_us: int = 0  # time at which a retired server is removed; 0: not retired
 
     @property
     def endpoint(self) -> api.Endpoint:
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MergeResult:
-    """A merged list, and its differences from the previous one."""
+    """A merged list, and its changes from the previous list."""
 
     selection: SourceSelection
     endpoints: dict[str, MergedEndpoint]  # keyed by name
@@ -47,16 +47,16 @@
 
 @dataclass(frozen=True, slots=True)
 class MergeInput:
-    """Everything that a merge depends on."""
+    """The input of a merge."""
 
     now_us: int
     selection: SourceSelection
     discovery: DiscoveryState
-    file_endpoints: Mapping[str, ResolvedEndpoint]  # never changed in place
+    file_endpoints: Mapping[str, ResolvedEndpoint]  # never modified in place
     previous: dict[str, MergedEndpoint]
 
     def copy(self) -> "MergeInput":
-        """Copy what may change while the merge runs in another thread."""
+        """Copy the fields that may be modified while the merge runs in another thread."""
         return replace(self, discovery=self.discovery.copy(), previous=dict(self.previous))
 
     def run(self) -> MergeResult:
@@ -74,10 +74,10 @@
     file_endpoints: Mapping[str, ResolvedEndpoint],
     previous: Mapping[str, MergedEndpoint],
 ) -> dict[str, MergedEndpoint]:
-    """Return the servers in force, by name.
+    """Return the merged list, keyed by server name.
 
-    A server of the previous result that no source lists any more is retired: it is listed as draining for
-    RETIREMENT_US, unless discovery has reported it gone.
+    A server of the previous list that no source lists any more is retired: it is listed as draining for
+    RETIREMENT_US, unless discovery has reported it as gone.
     """
     merged: dict[str, MergedEndpoint] = {}
     if selection.source is not EndpointSource.FILE:
@@ -99,35 +99,35 @@
 def _merge_file_endpoint(
     from_file: ResolvedEndpoint, from_discovery: ResolvedEndpoint | None
 ) -> MergedEndpoint:
-    """Combine the file's entry of a server with discovery's.
+    """Combine the entries for one server in the file and in discovery.
 
     The file sets the weight and the address. Either source can drain the server. The later start time is
-    used, so that slow start applies if one source has not reported the restart yet.
+    used, so that slow start applies even if one source has not reported the restart yet.
     """
     if from_discovery is None:
         return MergedEndpoint(from_file, FROM_FILE)
-    filed = from_file.endpoint
-    reported = from_discovery.endpoint
-    is_drained = filed.is_ready and not reported.is_ready
+    file_endpoint = from_file.endpoint
+    discovery_endpoint = from_discovery.endpoint
+    is_drained = file_endpoint.is_ready and not discovery_endpoint.is_ready
     endpoint = replace(
-        filed,
-        state=reported.state if is_drained else filed.state,
-        started_at_us=max(filed.started_at_us, reported.started_at_us),
-        zone=filed.zone or reported.zone,
-        cell=reported.cell,
+        file_endpoint,
+        state=discovery_endpoint.state if is_drained else file_endpoint.state,
+        started_at_us=max(file_endpoint.started_at_us, discovery_endpoint.started_at_us),
+        zone=file_endpoint.zone or discovery_endpoint.zone,
+        cell=discovery_endpoint.cell,
     )
     resolved = ResolvedEndpoint(endpoint, from_file.address)
     return MergedEndpoint(resolved, FROM_FILE_DRAINED if is_drained else FROM_FILE)
 
 
 def _retire(now_us: int, server: MergedEndpoint, source: EndpointSource) -> MergedEndpoint:
-    """Return the server as retired. One that is already retired is returned as it is."""
+    """Return the server as retired. A server that is already retired is returned unchanged."""
     if server.retired_until_us:
         return server
     draining = replace(server.endpoint, state=api.EndpointState.DRAINING)
     return MergedEndpoint(
         ResolvedEndpoint(draining, server.resolved.address),
-        f"no longer listed; the source in force is {source}",
+        f"no longer listed; the active source is {source}",
         now_us + RETIREMENT_US,
     )
 
@@ -135,7 +135,7 @@
 def changed_endpoints(
     before: Mapping[str, MergedEndpoint], after: Mapping[str, MergedEndpoint]
 ) -> list[ResolvedEndpoint]:
-    """Return the new, changed and gone servers: the delta from one merged list to the next."""
+    """Return the delta from one merged list to the next: the new, changed and gone servers."""
     changes = [
         server.resolved
         for name, server in after.items()
@@ -150,7 +150,7 @@
 def withdrawn_endpoints(
     merged: Mapping[str, MergedEndpoint], unavailable: Iterable[ResolvedEndpoint]
 ) -> list[ResolvedEndpoint]:
-    """Return the changes to the servers in force that discovery reports draining or gone."""
+    """Return the changes to the listed servers that discovery reports as draining or gone."""
     withdrawn = []
     for reported in unavailable:
         server = merged.get(reported.endpoint.name)
@@ -164,5 +164,5 @@
 
 
 def listed_endpoints(merged: Mapping[str, MergedEndpoint]) -> list[api.Endpoint]:
-    """Return the servers in force without their addresses."""
+    """Return the servers of a merged list without their addresses."""
     return [server.endpoint for server in merged.values()]
--- a/wheatstile/resolvers/problem_reporter.py
+++ b/wheatstile/resolvers/problem_reporter.py
@@ -1,4 +1,4 @@
-"""Logs problems with the endpoint file: a new one at once, and one that persists once a minute."""
+"""Logs problems with the endpoint file: a new problem immediately, a persistent one once a minute."""
 
 import time
 from collections import Counter
@@ -13,10 +13,10 @@
 
 
 class ProblemReporter:
-    """Counts every problem, and logs those that are new or due again.
+    """Counts every problem, and rate-limits the log lines of a problem that persists.
 
     Args:
-        counters: the process's counters; the names of the log events are the keys.
+        counters: the counters of the process. The keys are the names of the log events.
         clock: returns monotonic seconds.
 
     """
@@ -28,33 +28,33 @@
         self._last_logged_at_s = 0.0
 
     def reset(self) -> None:
-        """Forget the last problem, because the file has been accepted. The next problem is logged at once."""
+        """Forget the last problem after a file was accepted. The next problem is logged immediately."""
         self._last_problem = ()
 
     def report_rejected(self, reasons: Sequence[str], digest: str | None = None) -> None:
-        """Report that the file cannot be used. The digest is known if the file itself is valid."""
-        if self._is_due("endpoint_file_rejected", reasons):
+        """Report that the file is rejected. The digest is known only if the file itself is valid."""
+        if self._count_and_check_due("endpoint_file_rejected", reasons):
             known_digest = {"digest": digest} if digest else {}
             log.warning(
-                "endpoint_file_rejected", reasons=_shown(reasons), violations=len(reasons), **known_digest
+                "endpoint_file_rejected", reasons=_truncated(reasons), violations=len(reasons), **known_digest
             )
 
     def report_unreadable(self, reasons: Sequence[str]) -> None:
         """Report that the file is missing, is not a regular file, or cannot be read."""
-        if self._is_due("endpoint_file_unreadable", reasons):
-            log.warning("endpoint_file_unreadable", reasons=_shown(reasons), violations=len(reasons))
+        if self._count_and_check_due("endpoint_file_unreadable", reasons):
+            log.warning("endpoint_file_unreadable", reasons=_truncated(reasons), violations=len(reasons))
 
     def report_approval_required(self, reasons: Sequence[str], digest: str) -> None:
-        """Report that the file removes too many servers to be accepted without approval."""
-        if self._is_due("endpoint_file_approval_required", reasons):
+        """Report that the file removes so many servers that it needs approval."""
+        if self._count_and_check_due("endpoint_file_approval_required", reasons):
             log.warning(
                 "endpoint_file_approval_required",
-                reasons=_shown(reasons),
+                reasons=_truncated(reasons),
                 violations=len(reasons),
                 digest=digest,
             )
 
-    def _is_due(self, event: str, reasons: Sequence[str]) -> bool:
+    def _count_and_check_due(self, event: str, reasons: Sequence[str]) -> bool:
         """Count the problem, and return whether it must be logged now."""
         self._counters[event] += 1
         now_s = self._clock()
@@ -66,5 +66,5 @@
         return True
 
 
-def _shown(reasons: Sequence[str]) -> list[str]:
+def _truncated(reasons: Sequence[str]) -> list[str]:
     return list(reasons[:MAX_LOGGED_REASONS])
--- a/wheatstile/resolvers/regular_file.py
+++ b/wheatstile/resolvers/regular_file.py
@@ -1,4 +1,4 @@
-"""Reads regular files, and rejects FIFOs, devices and folders. May block: call it in a thread."""
+"""Reads regular files, and rejects FIFOs, devices and directories. May block: call it in a thread."""
 
 import os
 import stat
@@ -23,9 +23,9 @@
 
 @dataclass(frozen=True, slots=True)
 class FileSignature:
-    """The metadata of a file that change with its content.
+    """The metadata of a file that shows changes of its content.
 
-    The inode's change time is not included: it also changes when another file is renamed over this one.
+    The ctime of the inode is not included: it also changes if another file is renamed over this one.
     """
 
     device: int
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FileVersion:
-    """Identifies one content of one file: two equal versions have the same metadata and the same bytes."""
+    """Identifies the content of a file at one time. Equal versions have the same metadata and bytes."""
 
     signature: FileSignature
     fingerprint: bytes  # a hash of the bytes
@@ -50,12 +50,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """The bytes of a file as they were read."""
+    """The content of a file as it was read."""
 
     data: bytes
-    signature: FileSignature  # taken after the bytes were read
+    signature: FileSignature  # taken after the read
     fingerprint: bytes  # a hash of the bytes
-    torn: bool  # the file changed while it was read
+    torn: bool  # the file changed during the read
 
     @property
     def version(self) -> FileVersion:
@@ -63,17 +63,17 @@
         return FileVersion(self.signature, self.fingerprint)
 
 
-def open_regular(path: Path) -> int:
-    """Open a regular file for reading. Does not block if the path is something else.
+def open_regular_file(path: Path) -> int:
+    """Open a regular file for reading. Does not block on other types of files.
 
     Returns:
-        A descriptor, which the caller closes.
+        A file descriptor, which the caller must close.
 
     Raises:
         OSError: the file cannot be opened, or is not a regular file.
 
     """
-    # Without O_NONBLOCK the call would block on a FIFO until another process opens it for writing.
+    # Without O_NONBLOCK, opening a FIFO would block until another process opens it for writing.
     descriptor = os.open(path, os.O_RDONLY | os.O_NONBLOCK | os.O_CLOEXEC | os.O_NOCTTY)
     file_type = stat.S_IFMT(os.fstat(descriptor).st_mode)
     if file_type != stat.S_IFREG:
@@ -85,7 +85,7 @@
 @contextmanager
 def opened_regular(path: Path) -> Iterator[int]:
     """Open a regular file, and close it at the end of the block. Raises OSError."""
-    descriptor = open_regular(path)
+    descriptor = open_regular_file(path)
     try:
         yield descriptor
     finally:
--- a/wheatstile/resolvers/section.py
+++ b/wheatstile/resolvers/section.py
@@ -1,4 +1,4 @@
-"""Applies the `servers` section of the operator's file, at the start and at each reload."""
+"""Applies the `servers` section of the operator's file at the start and at each reload."""
 
 import asyncio
 import sys
@@ -15,16 +15,16 @@
 
 log = structlog.get_logger()
 
-# Time after which a computing thread gives way to the event loop, which may have to wait for it after each of
-# its system calls. Python's default is 0.005 s.
+# Time after which another thread releases the GIL if the event loop waits for it. The event loop may have to
+# wait after each of its system calls. Python's default is 0.005 s.
 THREAD_SWITCH_INTERVAL_S = 0.0005
-RESTART_DELAY_S = 1.0  # pause after an unexpected exception in the source
+RESTART_DELAY_S = 1.0  # delay after an unexpected exception in EndpointFileSource
 
 
 class ServersSection:
-    """Puts an EndpointMerger between discovery and the decision module while an endpoint file is configured.
+    """Inserts an EndpointMerger between discovery and the decision module if an endpoint file is configured.
 
-    Owns the merger, the file's source and the task that runs it.
+    Owns the merger, the source of the endpoint file and the task that runs the source.
     """
 
     def __init__(
@@ -39,14 +39,14 @@
         self._applied: OperatorFile | None = None
 
     def follow(self, operator: OperatorFile) -> None:
-        """Apply the section. Does nothing if the section is the same as before."""
+        """Apply the section. Does nothing if it has not changed."""
         if self._is_applied(operator):
             return
         self._applied = operator
         if operator.settings.servers.file:
-            self._switch_on(operator)
+            self._enable(operator)
         else:
-            self._switch_off()
+            self._disable()
 
     def close(self) -> None:
         """Stop reading and merging."""
@@ -55,14 +55,14 @@
             self._merger.close()
 
     def _is_applied(self, operator: OperatorFile) -> bool:
-        """Return whether the section and the folder of its relative paths are those applied last."""
+        """Return whether the section, and the file that its paths are relative to, are those applied last."""
         if self._applied is None:
             return False
         same_section = self._applied.settings.servers == operator.settings.servers
         return same_section and self._applied.path == operator.path
 
-    def _switch_on(self, operator: OperatorFile) -> None:
-        """Follow the endpoint file that the section names, by the section's settings."""
+    def _enable(self, operator: OperatorFile) -> None:
+        """Read and watch the endpoint file that the section configures, with the section's settings."""
         policy = MergePolicy.from_settings(operator.settings.servers)
         if self._merger is None:
             self._merger = self._install_merger(policy)
@@ -72,15 +72,15 @@
         self._task = asyncio.create_task(self._run(self._source))
 
     def _install_merger(self, policy: MergePolicy) -> EndpointMerger:
-        """Make a merger the observer of discovery."""
+        """Create a merger, and make it the observer of discovery."""
         sys.setswitchinterval(THREAD_SWITCH_INTERVAL_S)
         merger = EndpointMerger(self.decisions, self.upstreams, policy)
         merger.adopt_known_endpoints()
         self.discovery_watcher.observer = merger
         return merger
 
-    def _switch_off(self) -> None:
-        """Put discovery alone in force."""
+    def _disable(self) -> None:
+        """Use discovery alone."""
         self._cancel_task()
         self._source = None
         if self._merger:
@@ -89,7 +89,7 @@
             self._merger = None
 
     async def _run(self, source: EndpointFileSource) -> None:
-        """Run the source, and restart it after an unexpected exception, until cancelled."""
+        """Run the source until cancelled. Restart it after an unexpected exception."""
         while True:
             try:
                 await source.run()
--- a/wheatstile/resolvers/source.py
+++ b/wheatstile/resolvers/source.py
@@ -1,4 +1,4 @@
-"""Polls the endpoint file in a thread, and passes what it finds to the activator."""
+"""Polls the endpoint file in a thread, and passes the results to the activator."""
 
 import asyncio
 import time
@@ -13,18 +13,18 @@
 from wheatstile.resolvers.gc_pause import gc_paused
 from wheatstile.resolvers.worker_thread import WorkerThread
 
-# Pause after a poll, as a multiple of the poll's duration. Reading then takes at most a quarter of the time,
+# Pause after a poll, as a multiple of the poll's duration. Polling then takes at most a quarter of the time,
 # even if the file changes continuously.
-REST_FACTOR = 3
+POLL_PAUSE_FACTOR = 3
 
 
 class EndpointFileSource:
-    """Follows one endpoint file. Owns its reader, its watcher, its thread and its activator.
+    """Reads and watches one endpoint file. Owns the reader, the watcher, the thread and the activator.
 
     Args:
-        operator: the operator's file; its `servers` section must name an endpoint file.
-        merger: receives each file that is put in force.
-        previous: the source that this one replaces. If it follows the same path, its file stays in force.
+        operator: the operator's file; its `servers` section must configure an endpoint file.
+        merger: receives each file that is activated.
+        previous: the source that this one replaces. If it has the same path, its file stays active.
 
     """
 
@@ -45,7 +45,7 @@
             self.activator.active_file = previous.activator.active_file
 
     async def run(self) -> None:
-        """Follow the file until cancelled. Then the thread ends, and the reader's descriptor is closed."""
+        """Read and watch the file until cancelled. Then stop the thread and close the reader's descriptor."""
         reader = EndpointFileReader(self.path, self._rules, self._settings.settle_s)
         watcher = FileWatcher(self.path, self._settings.recheck_s)
         with self._worker.running(last_call=reader.close):
@@ -60,19 +60,19 @@
         watcher.changed.clear()
         started_s = time.monotonic()
         result = await self._worker.call(_poll_without_gc, reader)
-        rest_s = REST_FACTOR * (time.monotonic() - started_s)
+        pause_s = POLL_PAUSE_FACTOR * (time.monotonic() - started_s)
         wait_s = await self._handle(result)
-        if result.outcome is ReadOutcome.UNSETTLED:  # an earlier poll could not find the file settled
-            await asyncio.sleep(max(wait_s, rest_s))
+        if result.outcome is ReadOutcome.UNSETTLED:  # the file cannot settle before wait_s
+            await asyncio.sleep(max(wait_s, pause_s))
             return
         if result.outcome is not ReadOutcome.UNCHANGED:
-            await asyncio.sleep(rest_s)
+            await asyncio.sleep(pause_s)
         with suppress(TimeoutError):
             async with asyncio.timeout(wait_s):
                 await watcher.changed.wait()
 
     async def _handle(self, result: ReadResult) -> float:
-        """Pass the result on. Return the seconds until the next poll, unless a change is noticed before."""
+        """Pass the result to the activator. Return the maximum time until the next poll."""
         if result.outcome is ReadOutcome.UNSETTLED:
             return result.retry_after_s
         if result.endpoint_file:
--- a/wheatstile/resolvers/source_selection.py
+++ b/wheatstile/resolvers/source_selection.py
@@ -1,7 +1,7 @@
-"""Selects the source of servers that is in force: discovery, the endpoint file, or both.
+"""Selects the active source of servers: discovery, the endpoint file, or both.
 
-Pure: the time is an argument, in microseconds. A discovery that is lost and found repeatedly is flapping; it
-has to answer for longer after each loss before it is in force again.
+Pure: the time is an argument, in microseconds. Discovery is flapping if it is lost and recovers repeatedly.
+After each loss it must then answer for a longer time before it becomes active again.
 """
 
 from dataclasses import dataclass
@@ -11,14 +11,14 @@
 from wheatstile.resolvers.discovery_state import DiscoveryState
 
 MICROSECONDS_PER_SECOND = 1_000_000
-MAX_RECOVERY_FACTOR = 8  # upper bound of the required recovery time, as a multiple of the recovery delay
-FLAP_WINDOW_FACTOR = 32  # age at which a loss is forgotten, as a multiple of the recovery delay
+MAX_RECOVERY_FACTOR = 8  # maximum of the required recovery time, as a multiple of the recovery delay
+FLAP_WINDOW_FACTOR = 32  # age at which a loss no longer counts, as a multiple of the recovery delay
 MAX_REMEMBERED_LOSSES = 16
-MIN_SILENCE_US = MICROSECONDS_PER_SECOND  # a shorter silence does not interrupt discovery's recovery
+MIN_SILENCE_US = MICROSECONDS_PER_SECOND  # a shorter silence does not interrupt the recovery of discovery
 
 
 class EndpointSource(StrEnum):
-    """The source of the servers in force. The values are logged and printed."""
+    """The active source of servers. The values are logged and printed."""
 
     DISCOVERY = "discovery"
     FILE = "file"
@@ -26,11 +26,11 @@
 
 
 class MergeMode(StrEnum):
-    """When the endpoint file is in force. The values are those of `servers.mode` in the operator's file."""
+    """The mode in which the endpoint file is used: the value of `servers.mode` in the operator's file."""
 
-    FALLBACK = "fallback"  # while discovery is silent
-    OVERRIDE = "override"  # always
-    MERGE = "merge"  # together with discovery
+    FALLBACK = "fallback"  # the file is active while discovery is silent
+    OVERRIDE = "override"  # the file is always active
+    MERGE = "merge"  # the file is merged with discovery
 
 
 @dataclass(frozen=True, slots=True)
@@ -38,8 +38,8 @@
     """The operator's settings for merging discovery and the endpoint file."""
 
     mode: MergeMode
-    discovery_timeout_us: int  # silence of discovery after which the file is in force (servers.after_s)
-    recovery_delay_us: int  # time for which a flapping discovery must answer (servers.hold_down_s)
+    discovery_timeout_us: int  # silence of discovery until the file is active (servers.after_s)
+    recovery_delay_us: int  # recovery time after the second loss (servers.hold_down_s)
 
     @classmethod
     def from_settings(cls, servers: Servers) -> "MergePolicy":
@@ -53,16 +53,19 @@
 
 @dataclass(frozen=True, slots=True)
 class SourceSelection:
-    """The source in force, and the reason for it."""
+    """The active source, and the reason for its selection."""
 
     source: EndpointSource
     reason: str  # logged, and printed by `wheatstile servers explain`
-    recheck_at_us: int | None = None  # when time alone may change the selection; None: never
+    recheck_at_us: int | None = None  # when the selection may change without an event; None: never
     discovery_lost_at_us: tuple[int, ...] = ()  # recent times at which the file replaced discovery
 
 
 def required_recovery_us(losses: int, policy: MergePolicy) -> int:
-    """Return how long discovery must answer before it is in force again: 0 after one loss, then doubling."""
+    """Return how long discovery must answer before it becomes active again.
+
+    The time is 0 after one loss and the recovery delay after two. It then doubles up to a maximum.
+    """
     if losses <= 1:
         return 0
     doublings = losses - 2
@@ -76,14 +79,14 @@
     has_file: bool,
     previous: SourceSelection | None,
 ) -> SourceSelection:
-    """Select the source that is in force from now on.
+    """Select the active source.
 
     Args:
-        now_us: the time.
+        now_us: the current time.
         policy: the operator's settings.
-        discovery: the reports of discovery so far.
-        has_file: an endpoint file has been accepted.
-        previous: the selection until now; None if this is the first.
+        discovery: the servers and the times of the reports of discovery.
+        has_file: whether an endpoint file has been accepted.
+        previous: the previous selection; None if this is the first.
 
     """
     losses = _recent_losses(now_us, policy, previous)
@@ -100,7 +103,7 @@
 
 
 def _recent_losses(now_us: int, policy: MergePolicy, previous: SourceSelection | None) -> tuple[int, ...]:
-    """Return the times of the losses that count as flapping."""
+    """Return the times of the losses that still count as flapping."""
     if previous is None:
         return ()
     window_us = FLAP_WINDOW_FACTOR * policy.recovery_delay_us
@@ -112,15 +115,15 @@
 def _fallback_from_discovery(
     now_us: int, policy: MergePolicy, discovery: DiscoveryState, losses: tuple[int, ...]
 ) -> SourceSelection:
-    """Select in fallback mode while discovery is in force."""
+    """Select the source in fallback mode while discovery is active."""
     last_report_at_us = discovery.last_report_at_us
     if last_report_at_us is None and not discovery.endpoints:
         reason = "discovery has never reported anything"
         return SourceSelection(EndpointSource.FILE, reason, discovery_lost_at_us=losses)
-    silent_since_us = discovery.listening_since_us if last_report_at_us is None else last_report_at_us
-    silence_us = now_us - silent_since_us
+    silence_started_at_us = discovery.watch_started_at_us if last_report_at_us is None else last_report_at_us
+    silence_us = now_us - silence_started_at_us
     if silence_us < policy.discovery_timeout_us:
-        timeout_at_us = silent_since_us + policy.discovery_timeout_us
+        timeout_at_us = silence_started_at_us + policy.discovery_timeout_us
         return SourceSelection(EndpointSource.DISCOVERY, "discovery answers", timeout_at_us, losses)
     reason = f"discovery has told nothing for {silence_us / MICROSECONDS_PER_SECOND:.1f} s"
     losses = (*losses, now_us)[-MAX_REMEMBERED_LOSSES:]
@@ -130,15 +133,15 @@
 def _fallback_from_file(
     now_us: int, policy: MergePolicy, discovery: DiscoveryState, reason: str, losses: tuple[int, ...]
 ) -> SourceSelection:
-    """Select in fallback mode while the file is in force for this reason."""
-    steady_since_us = discovery.steady_since_us
+    """Select the source in fallback mode while the file is active for the given reason."""
+    reporting_since_us = discovery.reporting_since_us
     last_report_at_us = discovery.last_report_at_us
-    if steady_since_us is None or last_report_at_us is None:
+    if reporting_since_us is None or last_report_at_us is None:
         return SourceSelection(EndpointSource.FILE, reason, discovery_lost_at_us=losses)
     if now_us - last_report_at_us > max(policy.discovery_timeout_us, MIN_SILENCE_US):
         return SourceSelection(EndpointSource.FILE, reason, discovery_lost_at_us=losses)
     recovery_us = required_recovery_us(len(losses), policy)
-    recovered_at_us = steady_since_us + recovery_us
+    recovered_at_us = reporting_since_us + recovery_us
     if now_us >= recovered_at_us:
         timeout_at_us = last_report_at_us + policy.discovery_timeout_us
         return SourceSelection(EndpointSource.DISCOVERY, "discovery answers again", timeout_at_us, losses)
--- a/wheatstile/resolvers/update_guard.py
+++ b/wheatstile/resolvers/update_guard.py
@@ -1,6 +1,7 @@
-"""Decides whether a new endpoint file replaces the active endpoints. Pure: no input or output, no clock.
+"""Decides whether a new endpoint file replaces the active endpoints. Pure: performs no I/O, reads no clock.
 
-`parse_endpoint_file` checks a file by itself; this module compares it with what it would replace.
+`parse_endpoint_file` checks a file on its own. This module compares it with the endpoints that it would
+replace.
 """
 
 from dataclasses import dataclass
@@ -14,20 +15,23 @@
 class ActiveEndpoints:
     """The endpoints that a new endpoint file would replace."""
 
-    endpoint_file: EndpointFile | None  # the file in force; it may have been accepted before a restart
+    endpoint_file: EndpointFile | None  # the active file; it may have been accepted before a restart
     sites: tuple[str, ...]  # sites that must keep ready servers
     ready: frozenset[str]  # names of the ready servers that the new file may remove
 
     @classmethod
     def from_file(cls, endpoint_file: EndpointFile) -> "ActiveEndpoints":
-        """Return the endpoints of a file in force. Its sites are those it names, else those it serves."""
+        """Return the endpoints of an active file. The sites are those that it lists or, if none, serves."""
         sites = endpoint_file.sites or served_sites(endpoint_file.endpoints())
         return cls(endpoint_file, sites, endpoint_file.ready_names())
 
 
 @dataclass(frozen=True, slots=True)
 class PendingApproval:
-    """A file that removes too many servers: a newer generation must repeat it, or an operator accept it."""
+    """A file that removes too many servers.
+
+    The removal is approved if a newer generation repeats it, or if an operator accepts the file.
+    """
 
     digest: str
     generation: int | None
@@ -38,7 +42,7 @@
     """The result of comparing a new endpoint file with the active endpoints."""
 
     ACCEPTED = "accepted"
-    UNCHANGED = "unchanged"  # the file is already in force
+    UNCHANGED = "unchanged"  # the file is already active
     AWAITING_APPROVAL = "awaiting approval"
     REJECTED = "rejected"
 
@@ -49,7 +53,7 @@
 
     outcome: EvaluationOutcome
     reasons: tuple[str, ...] = ()
-    pending: PendingApproval | None = None  # what awaits approval after this evaluation
+    pending: PendingApproval | None = None  # the file that awaits approval after this evaluation
 
     @property
     def is_blocked(self) -> bool:
@@ -70,13 +74,13 @@
         candidate: the new file.
         active: the endpoints that it would replace.
         pending: the file that has awaited approval so far, if any.
-        accepted_digests: files that an operator has accepted. Acceptance approves the removal of servers; it
-            does not lift any other rule.
+        accepted_digests: digests of the files that an operator has accepted. Acceptance approves the removal
+            of servers; all other rules still apply.
         rules: the operator's limits.
 
     """
     if active.endpoint_file and active.endpoint_file.digest == candidate.digest:
-        reasons = ("the file in force has the same content",)
+        reasons = ("the active file has the same content",)
         return Evaluation(EvaluationOutcome.UNCHANGED, reasons, pending)
     violations = _violations(candidate, active, rules)
     if violations:
@@ -96,11 +100,11 @@
     accepted_digests: frozenset[str],
     rules: EndpointFileRules,
 ) -> Evaluation:
-    """Accept the removal if it is approved; otherwise it awaits approval."""
+    """Accept the file if the removal is approved. Otherwise it awaits approval."""
     if removal.digest in accepted_digests:
-        return Evaluation(EvaluationOutcome.ACCEPTED, (f"{change}, as accepted",))
+        return Evaluation(EvaluationOutcome.ACCEPTED, (f"{change}; accepted by an operator",))
     if pending and _confirms(removal, pending):
-        reason = f"{change}, as generation {pending.generation} did before it"
+        reason = f"{change}; repeats the removal of generation {pending.generation}"
         return Evaluation(EvaluationOutcome.ACCEPTED, (reason,))
     if pending and pending.digest == removal.digest:
         reason = f"{change}; still awaiting approval"
@@ -114,7 +118,7 @@
 
 def _violations(candidate: EndpointFile, active: ActiveEndpoints, rules: EndpointFileRules) -> list[str]:
     violations = _generation_violations(candidate, active.endpoint_file)
-    if candidate.sites is None:  # sites that the file names were checked when it was parsed
+    if candidate.sites is None:  # sites that the file lists were checked when it was parsed
         violations += [shortage.reason for shortage in site_shortages(candidate, active.sites, rules)]
     return violations
 
@@ -123,16 +127,18 @@
     if active is None or active.generation is None:
         return []
     if candidate.generation is None:
-        return [f"has no generation, and the file in force has generation {active.generation}"]
+        return [f"has no generation, but the active file has generation {active.generation}"]
     if candidate.generation < active.generation:
-        return [f"generation {candidate.generation} goes back behind {active.generation}"]
+        return [f"generation {candidate.generation} is older than the active generation {active.generation}"]
     if candidate.generation == active.generation:
-        return [f"generation {candidate.generation} is in force with another content: raise the generation"]
+        return [
+            f"generation {candidate.generation} is active with different content: increase the generation"
+        ]
     return []
 
 
 def _confirms(removal: PendingApproval, pending: PendingApproval) -> bool:
-    """Return whether a newer generation removes no servers but those that the pending one removes."""
+    """Return whether a newer generation removes only servers that the pending one removes."""
     if removal.generation is None or pending.generation is None:
         return False
     return removal.generation > pending.generation and removal.removed <= pending.removed
--- a/wheatstile/resolvers/worker_thread.py
+++ b/wheatstile/resolvers/worker_thread.py
@@ -1,4 +1,4 @@
-"""One thread for calls that may block."""
+"""Provides a thread for calls that may block."""
 
 import asyncio
 import functools
@@ -12,7 +12,7 @@
 
 
 class WorkerThread:
-    """Runs one call after another in a thread, so that they do not block the event loop."""
+    """Runs calls one after another in a thread, so that they do not block the event loop."""
 
     def __init__(self, name: str) -> None:
         self._name = name
@@ -20,9 +20,10 @@
 
     @contextmanager
     def running(self, last_call: Callable[[], None]) -> Iterator[None]:
-        """Run the thread until the end of the block.
+        """Run the thread until the block ends.
 
-        Then `last_call` runs in the thread, after the call that may be under way. Neither is waited for.
+        Then `last_call` runs in the thread, after the current call if there is one. The end of the block does
+        not wait for either call.
         """
         executor = ThreadPoolExecutor(1, self._name)
         self._executor = executor
@@ -36,7 +37,7 @@
     async def call(
         self, function: Callable[Parameters, Result], *args: Parameters.args, **kwargs: Parameters.kwargs
     ) -> Result:
-        """Call the function in the thread, and return its result. Raises what the function raises."""
+        """Call the function in the thread, and return its result. Exceptions of the function are raised."""
         if self._executor is None:
             raise RuntimeError(f'the thread "{self._name}" is not running')
         call = functools.partial(function, *args, **kwargs)
