--- a/tests/resolvers/test_endpoint_merger.py
+++ b/tests/resolvers/test_endpoint_merger.py
@@ -79,9 +79,7 @@
             observer = harness.discovery_watcher.observer
             for revision in range(20):
                 observer.on_update(snapshot(revision, True, *map(member, names)), FULL)
-                await asyncio.sleep(
-                    0.0005 * (revision % 4)
-                )  # the drain is reported at different points of the merge
+                await asyncio.sleep(0.0005 * (revision % 4))  # drains at different points of the merge
                 observer.on_update(snapshot(revision, False, member(DRAINED, "draining")), DELTA)
                 drained_at = len(recorder.endpoints)
                 assert DRAINED not in harness.ready()
@@ -127,9 +125,7 @@
             observer.on_update(snapshot(1, True, member("s1"), member("moving"), member("stays")), FULL)
             await harness.wait_until_ready("s1", "moving", "stays")
             observer.on_update(snapshot(2, False, member("moving", port=2), member("new")), DELTA)
-            while (
-                "new" not in harness.upstreams.by_name
-            ):  # until the address is set; the merge is not published yet
+            while "new" not in harness.upstreams.by_name:  # the address is set before the merge is published
                 await asyncio.sleep(0)
             assert "new" not in harness.ready()
 
--- a/tests/resolvers/test_section.py
+++ b/tests/resolvers/test_section.py
@@ -1,4 +1,4 @@
-"""Tests for the running program with an endpoint file: the files it applies, and the service for clients."""
+"""Tests for the running program with an endpoint file: the files it applies, and its service to clients."""
 
 import json
 import os
@@ -180,7 +180,7 @@
         assert balancer.served_by(20) == set(names)
 
 
-def test_invalid_section_is_not_applied_and_a_removed_one_leaves_discovery_alone(
+def test_invalid_section_is_not_applied_and_a_removed_one_makes_discovery_the_only_source(
     make_balancer: MakeBalancer,
 ) -> None:
     balancer = serving_balancer(make_balancer, "s1", "s3")
--- a/wheatstile/resolvers/approval.py
+++ b/wheatstile/resolvers/approval.py
@@ -17,7 +17,7 @@
 
 
 def read_accepted_digests(endpoint_file_path: Path) -> frozenset[str]:
-    """Return the digests that an operator has accepted. Empty if the approval file is missing or invalid.
+    """Return the digests that an operator has accepted, or none if the approval file is missing or invalid.
 
     May block: call it in a thread.
     """
--- a/wheatstile/resolvers/endpoint_file_activator.py
+++ b/wheatstile/resolvers/endpoint_file_activator.py
@@ -66,7 +66,9 @@
         self._merger = merger
         self._worker = worker
         self._problems = ProblemReporter(merger.decisions.counters)
-        self._pending: PendingApproval | None = None  # last file that needed approval
+        # The last file that needed approval. It is kept while later files are invalid or rejected, so that a
+        # newer generation can still repeat the removal.
+        self._pending: PendingApproval | None = None
         self._pending_file: EndpointFile | None = None  # current content of the file, if it awaits approval
 
     async def restore(self) -> None:
@@ -85,7 +87,7 @@
             self._activate_stored(stored)
 
     async def evaluate(self, candidate: EndpointFile) -> None:
-        """Compare a valid file with the active endpoints, then activate it or report the reasons."""
+        """Compare a valid file with the active endpoints. Activate it, or report why not."""
         active = self._active_endpoints()
         accepted_digests: frozenset[str] = frozenset()
         if self._pending:
--- a/wheatstile/resolvers/endpoint_file_reader.py
+++ b/wheatstile/resolvers/endpoint_file_reader.py
@@ -112,12 +112,12 @@
         """Read the file at the path. It becomes the candidate if it must settle."""
         descriptor = open_regular_file(self.path)
         try:
-            return self._read_opened(descriptor)
+            return self._read_descriptor(descriptor)
         finally:
             if self._candidate is None:
                 os.close(descriptor)
 
-    def _read_opened(self, descriptor: int) -> ReadResult:
+    def _read_descriptor(self, descriptor: int) -> ReadResult:
         current = snapshot(descriptor, self.rules.max_bytes)
         if current.torn:
             retry_after_s = self.settle_time_s / TORN_RETRIES_PER_SETTLE_TIME
--- a/wheatstile/resolvers/endpoint_merger.py
+++ b/wheatstile/resolvers/endpoint_merger.py
@@ -102,7 +102,7 @@
             self._background_merge.cancel()
 
     def revert_to_discovery(self) -> None:
-        """Use discovery alone, retire the servers that only the file lists, and close."""
+        """Make discovery the only source, retire the servers that only the file lists, and close."""
         self.file_endpoints = {}
         self.close()
         selection = SourceSelection(EndpointSource.DISCOVERY, "no endpoint file is configured any more")
@@ -148,7 +148,7 @@
         """Merge again, on the event loop or, if the lists are long, in a thread."""
         self._revision += 1
         if self._background_merge:
-            return  # it checks the revision before it ends
+            return  # the running merge checks the revision before it ends
         if len(self.discovery.endpoints) + len(self.file_endpoints) <= MAX_ENDPOINTS_MERGED_ON_LOOP:
             self._merge_now(self._select_source())
         else:
@@ -206,7 +206,7 @@
         self._schedule_recheck(result.selection)
 
     def _report_source(self, result: MergeResult) -> None:
-        """Count and log a change of the active source."""
+        """Count and log the newly selected source."""
         self.decisions.counters[f"endpoint_source_{result.selection.source}_selected"] += 1
         log.info(
             "endpoint_source_selected",
--- a/wheatstile/resolvers/section.py
+++ b/wheatstile/resolvers/section.py
@@ -80,7 +80,7 @@
         return merger
 
     def _disable(self) -> None:
-        """Use discovery alone."""
+        """Make discovery the only source."""
         self._cancel_task()
         self._source = None
         if self._merger:
--- a/wheatstile/resolvers/source_selection.py
+++ b/wheatstile/resolvers/source_selection.py
@@ -145,8 +145,8 @@
     if now_us >= recovered_at_us:
         timeout_at_us = last_report_at_us + policy.discovery_timeout_us
         return SourceSelection(EndpointSource.DISCOVERY, "discovery answers again", timeout_at_us, losses)
-    flapping = (
+    flapping_reason = (
         f"discovery answers, but was lost {len(losses)} times recently: "
         f"it must answer for {recovery_us / MICROSECONDS_PER_SECOND:g} s first"
     )
-    return SourceSelection(EndpointSource.FILE, flapping, recovered_at_us, losses)
+    return SourceSelection(EndpointSource.FILE, flapping_reason, recovered_at_us, losses)
--- a/wheatstile/resolvers/update_guard.py
+++ b/wheatstile/resolvers/update_guard.py
@@ -88,29 +88,29 @@
     removed = active.ready - candidate.ready_names()
     if len(removed) <= rules.max_removed_share * len(active.ready):
         return Evaluation(EvaluationOutcome.ACCEPTED)
-    change = f"takes {len(removed)} of {len(active.ready)} ready servers away"
+    summary = f"takes {len(removed)} of {len(active.ready)} ready servers away"
     removal = PendingApproval(candidate.digest, candidate.generation, removed)
-    return _evaluate_large_removal(removal, change, pending, accepted_digests, rules)
+    return _evaluate_large_removal(removal, summary, pending, accepted_digests, rules)
 
 
 def _evaluate_large_removal(
     removal: PendingApproval,
-    change: str,
+    summary: str,
     pending: PendingApproval | None,
     accepted_digests: frozenset[str],
     rules: EndpointFileRules,
 ) -> Evaluation:
     """Accept the file if the removal is approved. Otherwise it awaits approval."""
     if removal.digest in accepted_digests:
-        return Evaluation(EvaluationOutcome.ACCEPTED, (f"{change}; accepted by an operator",))
-    if pending and _confirms(removal, pending):
-        reason = f"{change}; repeats the removal of generation {pending.generation}"
+        return Evaluation(EvaluationOutcome.ACCEPTED, (f"{summary}; accepted by an operator",))
+    if pending and _repeats_removal(removal, pending):
+        reason = f"{summary}; repeats the removal of generation {pending.generation}"
         return Evaluation(EvaluationOutcome.ACCEPTED, (reason,))
     if pending and pending.digest == removal.digest:
-        reason = f"{change}; still awaiting approval"
+        reason = f"{summary}; still awaiting approval"
         return Evaluation(EvaluationOutcome.AWAITING_APPROVAL, (reason,), pending)
     reason = (
-        f"{change}, more than servers.most_removed ({rules.max_removed_share:g}) allows: awaiting approval "
+        f"{summary}, more than servers.most_removed ({rules.max_removed_share:g}) allows: awaiting approval "
         f"until a newer generation repeats it or `wheatstile servers accept` names {removal.digest}"
     )
     return Evaluation(EvaluationOutcome.AWAITING_APPROVAL, (reason,), removal)
@@ -137,7 +137,7 @@
     return []
 
 
-def _confirms(removal: PendingApproval, pending: PendingApproval) -> bool:
+def _repeats_removal(removal: PendingApproval, pending: PendingApproval) -> bool:
     """Return whether a newer generation removes only servers that the pending one removes."""
     if removal.generation is None or pending.generation is None:
         return False
