--- a/tests/store/linearizability.py
+++ b/tests/store/linearizability.py
@@ -1,8 +1,9 @@
 """Checks whether the history of one register is linearizable.
 
-It is if there is an order of the operations that is correct for one register and agrees with the times of
-calls and returns. The search is that of Wing and Gong, "Testing and Verifying Concurrent Objects" (JPDC
-1993). It skips states that it has seen (Lowe, "Testing for Linearizability", 2017). An operation without a
+A history is linearizable if there is an order of its operations that is correct for one register and
+agrees with the times of their calls and returns. The search algorithm is that of Wing and Gong, "Testing and
+Verifying Concurrent Objects" (JPDC 1993). It skips states that it has already visited (Lowe, "Testing for
+Linearizability", 2017). An operation without a
 reply may have been applied at any time after its call, or never.
 """
 
@@ -23,11 +24,10 @@
 
 @dataclass(frozen=True)
 class Operation:
-    """One operation. `called_at` and `returned_at` are times of one clock.
+    """One operation. `called_at` and `returned_at` are times on the same clock.
 
-    `returned_at` is infinite if there was no reply.
-    `value` is the value that was written or read. A swap writes it if the register has the value `expected`;
-    `succeeded` tells whether it did.
+    `returned_at` is infinite if there was no reply. `value` is the value that was written or read. A swap
+    writes `value` if the register has the value `expected`, and `succeeded` tells whether it was written.
     """
 
     kind: Kind
@@ -55,30 +55,30 @@
 
 
 def is_linearizable(history: list[Operation]) -> bool:
-    """Return whether there is a valid order of the operations. A read without a reply is ignored.
+    """Return whether there is a valid order of the operations. Reads without a reply are ignored.
 
-    `answered` and `applied` are sets of operations, represented by integers with one bit for each operation.
+    `answered` and `applied` are sets of operations, represented as integers with one bit per operation.
     """
     operations = sorted(
         (operation for operation in history if operation.kind is not Kind.GET or operation.is_answered),
         key=lambda operation: operation.called_at,
     )
     answered = sum(1 << position for position, operation in enumerate(operations) if operation.is_answered)
-    seen: set[tuple[int, str | None]] = set()
+    visited: set[tuple[int, str | None]] = set()
     stack: list[tuple[int, str | None]] = [(0, None)]
     while stack:
         applied, register = stack.pop()
         if applied & answered == answered:
             return True
         remaining = [position for position in range(len(operations)) if not applied >> position & 1]
-        # The next operation must have been called before the first return among the remaining ones.
+        # The next operation must have been called before any of the remaining operations returned.
         first_return = min(operations[position].returned_at for position in remaining)
         for position in remaining:
             if operations[position].called_at > first_return:
                 break
             fits, new_register = apply(register, operations[position])
             successor = (applied | 1 << position, new_register)
-            if fits and successor not in seen:
-                seen.add(successor)
+            if fits and successor not in visited:
+                visited.add(successor)
                 stack.append(successor)
     return False
--- a/tests/store/member_replacement.py
+++ b/tests/store/member_replacement.py
@@ -1,4 +1,4 @@
-"""Rounds in which one voter of a `ProcessCluster` is replaced while members fail."""
+"""Runs rounds in which one voter of a `ProcessCluster` is replaced while members fail."""
 
 from __future__ import annotations
 
@@ -15,20 +15,20 @@
 from wheatstile.store.errors import StoreError
 
 NO_VOTERS = "-"
-"""Initial voters for `ProcessCluster.start` that make a member join with the proxies of all peers."""
+"""Value of `voters` for `ProcessCluster.start` with which a member joins and connects to all peers."""
 MAX_LEADERLESS_S = 5.0
-"""Time to the next acknowledged write after the faults of a round; docs/store.md states it."""
+"""Maximum time to the next acknowledged write after the faults of a round; stated in docs/store.md."""
 MAX_FAULT_DELAY_S = 0.06
-"""A change of members takes some milliseconds, so that the fault comes before, during or after it."""
+"""A membership change takes some milliseconds, so the fault occurs before, during or after the change."""
 ISOLATION_S = 1.5
-"""Longer than any election time-out, so that an isolated leader loses its office."""
+"""Longer than any election timeout, so that an isolated leader steps down."""
 CHANGE_RETRY_S = 0.1
 CHANGE_TIMEOUT_S = 30.0
 
 
 @dataclass(frozen=True)
 class Round:
-    """One replacement: the voters before and after it, the fault, and how long no write was acknowledged."""
+    """One replacement: the voters before and after it, the fault, and the time to the next write."""
 
     number: int
     voters: str
@@ -38,19 +38,19 @@
 
 
 class MemberReplacement:
-    """Replaces one voter after another in a cluster whose other members stand by."""
+    """Replaces voters one after another with members of the cluster that are not voters."""
 
     def __init__(self, cluster: ProcessCluster, rng: random.Random) -> None:
         self._cluster = cluster
         self._rng = rng
 
     async def start(self, voters: str) -> None:
-        """Start the other members, and the voters again with the proxies of all peers."""
+        """Start all members with connections to all peers; this restarts the voters."""
         with closing(self._cluster.client(CHANGE_TIMEOUT_S)) as client:
             for name in self._cluster.names:
                 address = str(self._cluster.peer_ports[name]).encode()
                 await client.put(f"_members/{name}", address)
-            # A configuration in the log: until there is one, a member takes the voters from its options.
+            # Writes a configuration to the log. Until then, a member takes the voters from its options.
             await client.change_members(voters, set(self._cluster.names) - set(voters))
             for name in self._cluster.names:
                 if name in voters:
@@ -83,7 +83,7 @@
         return f"kill the leader {leader}"
 
     async def isolate_leader_and_kill_voter(self, leader: str, voters: list[str]) -> str:
-        """Let the leader lose its office with what only it has stored, while another voter is down."""
+        """Isolate the leader until it steps down with entries that only it has, and kill another voter."""
         self._cluster.inject(f"isolate {leader}")
         victim = self._rng.choice([name for name in voters if name != leader])
         self._cluster.kill(victim)
@@ -92,12 +92,12 @@
         return f"isolate the leader {leader}, kill {victim}"
 
     async def _time_to_next_write(self) -> float:
-        """Return the time until a write that begins now is acknowledged."""
+        """Return the time until a write that starts now is acknowledged."""
         running = {name: self._cluster.client_ports[name] for name in self._cluster.processes}
-        began_s = time.monotonic()
+        started_s = time.monotonic()
         with closing(StoreClient(running, CHANGE_TIMEOUT_S)) as client:
             await client.put("round", b"")
-        return time.monotonic() - began_s
+        return time.monotonic() - started_s
 
     def _end_faults(self) -> None:
         for name in self._cluster.names:
@@ -106,10 +106,10 @@
 
 
 async def change_until_complete(client: StoreClient, voters: list[str]) -> None:
-    """Request the change again until it is complete. Raises TimeoutError."""
+    """Request the change repeatedly until it is complete. Raises TimeoutError."""
     async with asyncio.timeout(CHANGE_TIMEOUT_S):
         while True:
-            with suppress(StoreError):  # the leader has changed, or the change is still under way
+            with suppress(StoreError):  # the leader has changed, or the change is still in progress
                 await client.change_members(voters)
                 return
             await asyncio.sleep(CHANGE_RETRY_S)
--- a/tests/store/process_cluster.py
+++ b/tests/store/process_cluster.py
@@ -1,4 +1,4 @@
-"""Members of the store as processes, with a fault proxy between them, and their collected output."""
+"""Runs members of the store as processes with a fault proxy between them, and collects their output."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 from wheatstile.store.client import StoreClient
 
 OutputByMember = dict[str, list[str]]
-"""The lines of standard output of each member, including those from before its restarts."""
+"""The lines of standard output of each member, including the output before restarts."""
 
 PORT_RANGE = range(12_000, 32_000)
-"""Below the kernel's ephemeral ports, so that a restarted process can use its port again."""
+"""Below the kernel's ephemeral ports, so that a restarted process can reuse its port."""
 PORT_ATTEMPTS = 2_000
 
 
-def free_ports(count: int) -> list[int]:
-    """Return ports on which nothing listens. Raises OSError if there are too few."""
+def find_free_ports(count: int) -> list[int]:
+    """Return ports on which no process listens. Raises OSError if there are too few."""
     found: list[int] = []
     rng = random.Random(os.getpid() ^ time.monotonic_ns())
     for port in rng.sample(PORT_RANGE, PORT_ATTEMPTS):
@@ -37,11 +37,11 @@
 
 
 class ProcessCluster:
-    """Members as processes. Every message between two of them passes the fault proxy.
+    """Members as processes, whose messages to each other pass through the fault proxy.
 
     The constructor starts the fault proxy, `start` starts members, and `close` ends all processes. The
-    directories of the members remain in `root`. With `direct`, the members are connected without the fault
-    proxy, and do not print the entries that they apply.
+    directories of the members remain in `root`. If `direct` is set, the members are connected without the
+    fault proxy, and do not print the entries that they apply.
     """
 
     def __init__(
@@ -58,7 +58,7 @@
         self.compact_every = compact_every
         self.direct = direct
         pairs = [(sender, recipient) for sender in names for recipient in names if sender != recipient]
-        ports = iter(free_ports(2 * len(names) + len(pairs)))
+        ports = iter(find_free_ports(2 * len(names) + len(pairs)))
         self.peer_ports = {name: next(ports) for name in names}
         self.client_ports = {name: next(ports) for name in names}
         self.proxy_ports = {pair: next(ports) for pair in pairs}
@@ -73,9 +73,10 @@
         self.output: OutputByMember = {name: [] for name in names}
 
     def start(self, *names: str, voters: str = "") -> None:
-        """Start members at once, and return when all are ready.
+        """Start members concurrently, and return when all are ready.
 
-        `voters` are the initial voters (default: all names). Another member waits until it is added.
+        `voters` are the initial voters (default: all names). A member that is not a voter waits until it is
+        added to the cluster.
         """
         for name in names:
             self.processes[name] = ProgramProcess("store", "serve", *self.arguments(name, voters))
@@ -108,7 +109,7 @@
         self.start(*(name for name in self.names if name not in self.processes))
 
     def kill(self, name: str) -> None:
-        """End a member by SIGKILL and collect its output."""
+        """End a member with SIGKILL, and collect its output."""
         process = self.processes.pop(name)
         self.paused.discard(name)
         process.signal(signal.SIGKILL)
@@ -116,22 +117,22 @@
         self.output[name] += process.all_output()
 
     def pause(self, name: str) -> None:
-        """Pause a member by SIGSTOP until `resume_all`."""
+        """Pause a member with SIGSTOP until `resume_all`."""
         self.processes[name].signal(signal.SIGSTOP)
         self.paused.add(name)
 
     def resume_all(self) -> None:
-        """Resume all paused members by SIGCONT."""
+        """Resume all paused members with SIGCONT."""
         for name in self.paused:
             self.processes[name].signal(signal.SIGCONT)
         self.paused.clear()
 
     def inject(self, command: str) -> None:
-        """Send the fault proxy a command, such as `cut a b` or `heal`, and wait until it is carried out."""
+        """Send a command, such as `cut a b` or `heal`, to the fault proxy, and wait for its execution."""
         self.fault_proxy.send_command(command)
 
     def member_options(self) -> list[str]:
-        """Return the options `--member` for the client commands of `wheatstile store`."""
+        """Return the `--member` options for the client commands of `wheatstile store`."""
         return [f"--member={name}={port}" for name, port in self.client_ports.items()]
 
     def client(self, timeout_s: float = 20.0) -> StoreClient:
@@ -160,7 +161,7 @@
 def run_scenario(
     cluster: ProcessCluster, scenario: Callable[[ProcessCluster], Awaitable[None]], voters: str = ""
 ) -> OutputByMember:
-    """Start all members or only `voters`, run the scenario, end all processes, return their output."""
+    """Start all members or only `voters`, run the scenario, end all processes, and return their output."""
 
     async def run() -> None:
         await scenario(cluster)
@@ -174,9 +175,10 @@
 
 
 def check_applied(output: OutputByMember) -> int:
-    """Check the members' histories and return the number of applied entries.
+    """Check the output of all members, and return the number of applied entries.
 
-    A term has one leader, an index has one entry, and a member applies entries in the order of their indices.
+    A term must have one leader, an index must have one entry, and a member must apply entries in the order of
+    their indices.
     """
     leader_by_term: dict[str, str] = {}
     entry_by_index: dict[int, list[str]] = {}
@@ -185,8 +187,8 @@
         for line in lines:
             match line.split():
                 case ["leader", term]:
-                    first = leader_by_term.setdefault(term, name)
-                    assert first == name, f"term {term} was led by {first} and {name}"
+                    first_leader = leader_by_term.setdefault(term, name)
+                    assert first_leader == name, f"term {term} was led by {first_leader} and {name}"
                 case ["ready", *_]:
                     last_index = 0
                 case ["snapshot", index_text]:
--- a/tests/store/process_faults.py
+++ b/tests/store/process_faults.py
@@ -1,4 +1,4 @@
-"""Random faults of a `ProcessCluster`. The seed of the generator that is passed in determines them."""
+"""Injects random faults into a `ProcessCluster`. The random number generator of the caller selects them."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from process_cluster import ProcessCluster
 
 MIN_RUNNING = 3
-"""Members that keep running when another one is killed or paused."""
+"""Minimum number of members that keep running when another one is killed or paused."""
 HEAL_PROBABILITY = 0.5
 MIN_PAUSE_S = 0.2
 MAX_PAUSE_S = 0.9
@@ -19,8 +19,8 @@
 async def inject_faults(cluster: ProcessCluster, rng: random.Random, count: int) -> list[str]:
     """Inject random faults with pauses between them, and return their descriptions.
 
-    At most two members are killed or paused at a time, but cut connections may prevent a quorum for a while.
-    Faults that are still in force at the end remain: the caller heals the connections and restarts members.
+    At most two members are killed or paused at a time, but cut connections may temporarily prevent a quorum.
+    Faults may still be active on return, so the caller must heal the connections and restart members.
     """
     injected: list[str] = []
     for _ in range(count):
@@ -32,7 +32,7 @@
 
 
 async def inject_fault(cluster: ProcessCluster, rng: random.Random) -> str:
-    """Inject one random fault, or end some faults, and return a description."""
+    """Inject one random fault, or end some faults, and return a description of it."""
     victim = rng.choice(running_members(cluster))
     fault = FAULTS[rng.randrange(len(FAULTS))]
     return await fault(cluster, rng, victim)
@@ -67,7 +67,7 @@
 
 
 async def restart_several(cluster: ProcessCluster, rng: random.Random, _victim: str) -> str:
-    """Kill all but `MIN_RUNNING` members and start all missing ones at once."""
+    """Kill all but `MIN_RUNNING` members, and start all missing members concurrently."""
     cluster.resume_all()
     killed_count = max(0, len(cluster.processes) - MIN_RUNNING)
     for name in rng.sample(sorted(cluster.processes), killed_count):
@@ -77,7 +77,7 @@
 
 
 async def cut_incoming(cluster: ProcessCluster, rng: random.Random, victim: str) -> str:
-    """Cut the connections to the leader, or to the victim."""
+    """Cut all connections to the victim or to the leader."""
     target = victim
     if rng.random() < 0.5:
         target = await asyncio.wait_for(cluster.leader(), FIND_LEADER_TIMEOUT_S)
@@ -86,28 +86,28 @@
 
 
 async def cut_outgoing(cluster: ProcessCluster, _rng: random.Random, victim: str) -> str:
-    """Cut and reset the connections from the victim."""
+    """Cut and reset all connections from the victim."""
     cluster.inject(f"cut {victim} *")
     cluster.inject(f"reset {victim} *")
     return f"cut {victim} to all, with resets"
 
 
 async def lose_and_repeat_frames(cluster: ProcessCluster, _rng: random.Random, _victim: str) -> str:
-    """Lose and repeat frames on all connections."""
+    """Drop and repeat frames on all connections."""
     cluster.inject("lose * * 0.2")
     cluster.inject("repeat * * 0.2")
     return "lose and repeat frames"
 
 
 async def delay_and_slow(cluster: ProcessCluster, _rng: random.Random, victim: str) -> str:
-    """Delay the bytes to the victim, and limit the rate of those from it."""
+    """Delay data to the victim, and limit the rate of data from the victim."""
     cluster.inject(f"delay * {victim} 0.1 0.2")
     cluster.inject(f"rate {victim} * 20000")
     return f"delay and slow {victim}"
 
 
 async def heal(cluster: ProcessCluster, _rng: random.Random, _victim: str) -> str:
-    """End all faults of the connections."""
+    """End all faults of connections."""
     cluster.inject("heal")
     return "heal"
 
--- a/tests/store/register_user.py
+++ b/tests/store/register_user.py
@@ -1,4 +1,4 @@
-"""A client that uses shared keys of the store, and records its operations for `linearizability`."""
+"""Client that reads and writes shared keys of the store, and records its operations for `linearizability`."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 MAX_PAUSE_S = 0.2
 
 Histories = dict[str, list[Operation]]
-"""The recorded operations by key."""
+"""The recorded operations of each key."""
 
 
 class RegisterUser:
-    """Reads, writes and swaps the keys of `histories` in random order. Each value is written at most once.
+    """Reads, writes and swaps (compare-and-swap) the keys of `histories` in random order.
 
-    It does not close the client.
+    Each value is written at most once. The caller closes `client`.
     """
 
     def __init__(self, client: StoreClient, number: int, seed: int, histories: Histories) -> None:
@@ -33,13 +33,13 @@
         self.histories = histories
 
     async def run(self, stopped: asyncio.Event) -> None:
-        """Use the keys, with pauses, until `stopped` is set."""
-        for turn in itertools.count():
+        """Execute random operations, with pauses between them, until `stopped` is set."""
+        for operation_number in itertools.count():
             if stopped.is_set():
                 return
             key = self.rng.choice(sorted(self.histories))
             kind = self.rng.choice(KINDS)
-            value = f"{self.number}.{turn}"
+            value = f"{self.number}.{operation_number}"
             match kind:
                 case Kind.GET:
                     await self.get(key)
@@ -83,7 +83,7 @@
         self.record(key, Kind.PUT, value, called_at, returned_at)
 
     async def swap(self, key: str, value: str) -> None:
-        """Read the key and replace the value that was read. Records nothing if the read gets no reply."""
+        """Read the key, and replace the value that was read. Record nothing if the read gets no reply."""
         called_at = time.monotonic()
         try:
             found = await self.client.get(key)
--- a/tests/store/test_applied_state.py
+++ b/tests/store/test_applied_state.py
@@ -1,4 +1,4 @@
-"""`AppliedState`: the applied state machine and the store's clock."""
+"""`AppliedState`: application of committed entries, and the store's clock."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
         applied.apply(entry)
 
 
-def test_the_clock_is_stopped_until_the_leaders_first_entry_is_applied() -> None:
+def test_the_leader_clock_starts_when_the_first_entry_of_the_leader_is_applied() -> None:
     node = make_node()
     applied = AppliedState(node, None, ignore_trace)
     elect(node, "bc")
@@ -35,11 +35,11 @@
     started_ms = applied.clock_ms()
     assert started_ms >= 1000
     while applied.clock_ms() == started_ms:
-        pass  # wait for the monotonic clock; no further entry is applied
+        pass  # wait until the monotonic clock advances; no further entry is applied
     assert applied.state_machine.clock_ms == 1000
 
 
-def test_an_expiration_is_due_by_the_running_clock() -> None:
+def test_an_expiration_is_due_by_the_leader_clock_before_the_committed_clock_advances() -> None:
     node = make_node()
     applied = AppliedState(node, None, ignore_trace)
     elect(node, "bc")
@@ -62,12 +62,12 @@
     assert lines == ["snapshot 7"]
 
 
-def test_an_application_wakes_the_waiting_tasks() -> None:
+def test_tasks_that_wait_for_the_next_apply_are_woken() -> None:
     async def scenario() -> None:
         applied = AppliedState(make_node(), None, ignore_trace)
-        event = applied.next_application
-        applied.announce_application()
+        event = applied.next_apply
+        applied.notify_applied()
         await event.wait()
-        assert not applied.next_application.is_set()
+        assert not applied.next_apply.is_set()
 
     asyncio.run(scenario())
--- a/tests/store/test_backup.py
+++ b/tests/store/test_backup.py
@@ -1,4 +1,4 @@
-"""Backups, restored clusters, full disks and old directories, with the commands of `wheatstile store`."""
+"""Backup and restore by commands, a member with a full disk, and a directory of an older version."""
 
 from __future__ import annotations
 
@@ -23,13 +23,13 @@
 
 KEY_COUNT = 60
 MAX_FILE_BYTES = 65_536
-STORAGE_FAILED = 3
+EXIT_STORAGE_FAILED = 3
 
 
-def use_member(
+def run_with_member(
     directory: Path, cluster: str, use: Callable[[StoreClient], Awaitable[None]], name: str = "a"
 ) -> None:
-    """Start one member on the directory, call `use` with a client, and end the member by SIGTERM."""
+    """Start one member in the directory, call `use` with a client, and end the member with SIGTERM."""
     process = ProgramProcess("store", "serve", "--name", name, "--cluster", cluster, "--dir", str(directory))
 
     async def run(port: int) -> None:
@@ -45,9 +45,9 @@
 
 
 def create_backup(root: Path) -> tuple[Path, int]:
-    """Return a backup file with the keys `k/0` to `k/59`, and the revision of the last one.
+    """Return a backup file with the keys `k/0` to `k/59`, and the revision of the last key.
 
-    Starts a cluster of three members for it, and ends it again.
+    The backup is taken from a cluster of three members, which has ended on return.
     """
     file = root / "backup"
     revision = 0
@@ -65,7 +65,7 @@
     return file, revision
 
 
-def test_a_backup_becomes_another_cluster(tmp_path: Path) -> None:
+def test_a_backup_is_restored_only_under_another_cluster_name_into_an_empty_directory(tmp_path: Path) -> None:
     file, revision = create_backup(tmp_path)
     directory = tmp_path / "new"
     options = ("--dir", directory, "--name", "a", "--cluster")
@@ -85,15 +85,15 @@
         assert (found.value, found.revision) == (b"59", revision)
         assert (await client.put("k/59", b"", found.revision)).revision > revision
 
-    use_member(directory, "new", use)
+    run_with_member(directory, "new", use)
     file.write_bytes(file.read_bytes()[:-1])
     rejected = run_store_command("restore", file, "--dir", tmp_path / "torn", "--cluster", "torn")
     assert rejected.returncode == 1
-    assert "1 whole records" in rejected.stderr
+    assert "1 complete records" in rejected.stderr
 
 
 def test_a_directory_of_format_1_is_read(tmp_path: Path) -> None:
-    """The first version with this format wrote the directory; later versions have to read it."""
+    """The directory was written by the first version with this format; later versions have to read it."""
     shutil.copytree(Path(__file__).parent / "format-1", tmp_path / "a")
 
     async def use(client: StoreClient) -> None:
@@ -105,11 +105,11 @@
             ("late", b"yes", 24),
         ]
 
-    use_member(tmp_path / "a", "fixture", use)
+    run_with_member(tmp_path / "a", "fixture", use)
 
 
 @pytest.fixture
-def member_with_small_files(tmp_path: Path) -> Iterator[subprocess.Popen[str]]:
+def member_with_file_size_limit(tmp_path: Path) -> Iterator[subprocess.Popen[str]]:
     """Start a member in `tmp_path / "a"` whose files cannot exceed `MAX_FILE_BYTES`; kill it at the end."""
     member = subprocess.Popen(
         [sys.executable, "-m", "wheatstile", "store", "serve", "--dir", str(tmp_path / "a")],
@@ -124,7 +124,7 @@
 
 
 async def fill_disk(client_port: int) -> list[str]:
-    """Write keys until the member does not reply, and return the acknowledged keys."""
+    """Write keys until the member no longer replies, and return the acknowledged keys."""
     acknowledged: list[str] = []
     with closing(StoreClient({"store": client_port}, 2.0)) as client, suppress(OutcomeUnknownError):
         for number in range(1000):
@@ -133,15 +133,15 @@
     return acknowledged
 
 
-def test_a_full_disk_ends_a_member_and_loses_nothing(
-    tmp_path: Path, member_with_small_files: subprocess.Popen[str]
+def test_a_member_with_a_full_disk_exits_and_loses_no_acknowledged_write(
+    tmp_path: Path, member_with_file_size_limit: subprocess.Popen[str]
 ) -> None:
-    member = member_with_small_files
+    member = member_with_file_size_limit
     assert member.stdout
     assert member.stderr
     _, _, _, client_port = member.stdout.readline().split()
     acknowledged = asyncio.run(fill_disk(int(client_port)))
-    assert member.wait(timeout=60) == STORAGE_FAILED
+    assert member.wait(timeout=60) == EXIT_STORAGE_FAILED
     assert "File too large" in member.stderr.read()
     assert 10 < len(acknowledged) < 100
 
@@ -149,4 +149,4 @@
         listing = await client.list_matching("k/>")
         assert {version.key for version in listing.versions}.issuperset(acknowledged)
 
-    use_member(tmp_path / "a", "wheatstile", use, "store")
+    run_with_member(tmp_path / "a", "wheatstile", use, "store")
--- a/tests/store/test_event_history.py
+++ b/tests/store/test_event_history.py
@@ -1,4 +1,4 @@
-"""`EventHistory`: its limit, and the error for a watch that needs discarded events."""
+"""`EventHistory`: its limit, and the error for a watch that requires discarded events."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from wheatstile.store.event_history import MAX_EVENTS, ChangeKind, Event, EventHistory
 
 
-def test_a_watch_that_is_too_far_behind_is_rejected() -> None:
+def test_a_watch_that_requires_discarded_events_is_rejected() -> None:
     history = EventHistory()
     for revision in range(1, MAX_EVENTS + 3):
         history.append(Event(revision, "k", ChangeKind.PUT, b""))
--- a/tests/store/test_framing.py
+++ b/tests/store/test_framing.py
@@ -1,4 +1,4 @@
-"""Frames on connections."""
+"""`FrameReader`: frames that arrive together, and malformed frames."""
 
 from __future__ import annotations
 
@@ -48,7 +48,9 @@
     assert (caught.value.length_bytes, caught.value.max_bytes) == (102, 100)
 
 
-def test_a_frame_of_another_type_is_an_error(sockets: tuple[socket.socket, socket.socket]) -> None:
+def test_a_frame_whose_body_has_another_type_is_an_error(
+    sockets: tuple[socket.socket, socket.socket],
+) -> None:
     sender, receiver = sockets
     sender.sendall(encode_frame(1))
     with pytest.raises(msgspec.DecodeError):
--- a/tests/store/test_key_pattern.py
+++ b/tests/store/test_key_pattern.py
@@ -1,4 +1,4 @@
-"""Patterns that match keys."""
+"""`matches_pattern`: exact parts and wildcards."""
 
 from __future__ import annotations
 
@@ -21,5 +21,5 @@
         ("a", "a/b", False),
     ],
 )
-def test_a_pattern_matches_its_keys_only(pattern: str, key: str, expected: bool) -> None:
+def test_a_pattern_matches_only_the_expected_keys(pattern: str, key: str, expected: bool) -> None:
     assert matches_pattern(pattern, key) is expected
--- a/tests/store/test_linearizability.py
+++ b/tests/store/test_linearizability.py
@@ -1,4 +1,4 @@
-"""The checkers of histories: they accept correct histories and reject incorrect ones."""
+"""`is_linearizable` and `check_applied`: both accept correct histories and reject incorrect ones."""
 
 from __future__ import annotations
 
@@ -47,6 +47,6 @@
         ({"a": ["applied 1 1 x 1"], "b": ["applied 1 1 y 1"]}, "not"),
     ],
 )
-def test_contradicting_histories_of_members_are_rejected(output: OutputByMember, message: str) -> None:
+def test_contradictory_output_of_members_is_rejected(output: OutputByMember, message: str) -> None:
     with pytest.raises(AssertionError, match=message):
         check_applied(output)
--- a/tests/store/test_member_replacement.py
+++ b/tests/store/test_member_replacement.py
@@ -1,6 +1,6 @@
-"""Voters of real processes are replaced one after another while their leader is killed or isolated.
+"""Replaces voters one after another, with members as processes, while the leader is killed or isolated.
 
-`python benchmarks/store_replacement.py` plays many rounds.
+`python benchmarks/store_replacement.py` runs many rounds.
 """
 
 from __future__ import annotations
@@ -14,8 +14,8 @@
 ROUNDS = 3
 
 
-def test_a_leader_is_found_after_each_replacement_of_a_voter(tmp_path: Path) -> None:
-    """Guards against a store that has no leader after a change of members."""
+def test_writes_are_acknowledged_in_time_after_each_replacement_of_a_voter(tmp_path: Path) -> None:
+    """Guards against a cluster that has no leader after a membership change."""
     rounds: list[Round] = []
 
     async def scenario(cluster: ProcessCluster) -> None:
@@ -25,4 +25,4 @@
 
     output = run_scenario(ProcessCluster(tmp_path, 1, "abcd"), scenario, voters="abc")
     assert check_applied(output) > ROUNDS
-    assert [played for played in rounds if played.leaderless_s > MAX_LEADERLESS_S] == []
+    assert [each for each in rounds if each.leaderless_s > MAX_LEADERLESS_S] == []
--- a/tests/store/test_pending_reads.py
+++ b/tests/store/test_pending_reads.py
@@ -1,4 +1,4 @@
-"""`PendingReads`: reads that are waiting for their read index."""
+"""`PendingReads`: reads that wait for their read index."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     return read
 
 
-def test_a_read_ends_with_the_index_that_a_quorum_has_confirmed() -> None:
+def test_a_read_returns_its_read_index_after_a_quorum_has_confirmed_it() -> None:
     async def scenario() -> None:
         leader = make_leader()
         reads = PendingReads(leader, lambda: None)
@@ -33,7 +33,7 @@
     asyncio.run(scenario())
 
 
-def test_a_read_fails_when_its_leader_is_replaced() -> None:
+def test_a_read_forwarded_to_a_leader_fails_when_that_leader_is_replaced() -> None:
     async def scenario() -> None:
         node = make_follower()
         reads = PendingReads(node, lambda: None)
--- a/tests/store/test_proposal_queue.py
+++ b/tests/store/test_proposal_queue.py
@@ -25,13 +25,13 @@
 
 
 def propose_command(queue: ProposalQueue) -> asyncio.Future[CommandResult]:
-    """Submit a command and propose what is due, and return the future of the command's result."""
+    """Submit a command, propose the commands that are due, and return the future of the command's result."""
     result = queue.submit(Command())
     queue.propose_due()
     return result
 
 
-def test_commands_wait_for_the_previous_group_and_are_proposed_together(
+def test_commands_wait_until_the_previous_group_is_committed_and_are_proposed_together(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(proposal_queue, "MAX_GROUP_WAIT_S", inf)  # independent of the machine's speed
@@ -52,7 +52,7 @@
     asyncio.run(scenario())
 
 
-def test_a_full_group_does_not_wait() -> None:
+def test_a_full_group_does_not_wait_for_the_previous_group() -> None:
     async def scenario() -> None:
         leader = make_leader()
         queue = make_queue(leader)
@@ -66,7 +66,7 @@
     asyncio.run(scenario())
 
 
-def test_a_command_is_stamped_and_answered_when_it_is_applied() -> None:
+def test_a_command_has_a_timestamp_and_gets_its_result_when_it_is_applied() -> None:
     async def scenario() -> None:
         leader = make_leader()
         queue = make_queue(leader)
@@ -91,7 +91,7 @@
     asyncio.run(scenario())
 
 
-def test_a_command_replaced_by_another_leaders_entry_was_not_applied() -> None:
+def test_a_command_whose_entry_another_leader_replaced_fails() -> None:
     async def scenario() -> None:
         leader = make_leader()
         queue = make_queue(leader)
@@ -104,13 +104,13 @@
     asyncio.run(scenario())
 
 
-def test_the_outcome_of_a_command_that_a_snapshot_covers_is_unknown() -> None:
+def test_the_outcome_of_a_command_covered_by_a_snapshot_is_unknown() -> None:
     async def scenario() -> None:
         leader = make_leader()
         queue = make_queue(leader)
         result = propose_command(queue)
         queue.on_snapshot_installed(leader.log.last_index)
-        with pytest.raises(OutcomeUnknownError, match="covered by a snapshot"):
+        with pytest.raises(OutcomeUnknownError, match="covered by an installed snapshot"):
             await result
 
     asyncio.run(scenario())
--- a/tests/store/test_record_file.py
+++ b/tests/store/test_record_file.py
@@ -1,4 +1,4 @@
-"""Files of checksummed records."""
+"""`encode_record` and `read_records`: files of checksummed records."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     assert list(read_records(tmp_path / "missing")) == []
 
 
-def test_a_record_of_another_type_is_corrupt_at_its_offset(tmp_path: Path) -> None:
+def test_the_error_for_a_record_of_another_type_has_its_path_and_offset(tmp_path: Path) -> None:
     path = tmp_path / "records"
     path.write_bytes(encode_record("first") + encode_record(2))
     _, record = read_records(path)
--- a/tests/store/test_state_machine.py
+++ b/tests/store/test_state_machine.py
@@ -1,4 +1,4 @@
-"""`StateMachine`: revisions, times to live, sessions, transactions, and the same state on all members."""
+"""`StateMachine`: revisions, times to live, sessions, transactions, and snapshots."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 
 def replay_events(events: list[Event]) -> dict[str, bytes]:
-    """Return the keys and values that result from the events."""
+    """Return the keys and values that result from applying the events."""
     state: dict[str, bytes] = {}
     for event in events:
         if event.change is ChangeKind.PUT:
@@ -68,7 +68,7 @@
         events += machine.events.after(events[-1].revision if events else 0)
     if restored is not machine:
         assert restored.dump() == machine.dump()
-    assert replay_events(events) == {key: version.value for key, version in machine.matching(">")}
+    assert replay_events(events) == {key: version.value for key, version in machine.matching_keys(">")}
 
 
 def test_a_repeated_command_is_applied_once_and_gives_the_same_result(machine: StateMachine) -> None:
@@ -90,15 +90,17 @@
     rejected = machine.apply(2, Command([Operation(PUT, "b", b"1"), Operation(PUT, "a", b"2", 7)]))
     assert (rejected.ok, rejected.revision) == (False, 1)
     assert machine.get("b") is None
-    absent = Command([Operation(PUT, "b", b"1")], preconditions=[Precondition("a", 0)])
-    assert not machine.apply(3, absent).ok
-    both = Command([Operation(PUT, "b", b"1"), Operation(DELETE, "a")], preconditions=[Precondition("a", 1)])
-    assert machine.apply(4, both).ok
+    failing = Command([Operation(PUT, "b", b"1")], preconditions=[Precondition("a", 0)])
+    assert not machine.apply(3, failing).ok
+    passing = Command(
+        [Operation(PUT, "b", b"1"), Operation(DELETE, "a")], preconditions=[Precondition("a", 1)]
+    )
+    assert machine.apply(4, passing).ok
     assert machine.get("a") is None
     assert [event.revision for event in machine.events.after(1)] == [4, 4]
 
 
-def test_a_key_expires_by_the_committed_clock_which_never_goes_back(machine: StateMachine) -> None:
+def test_a_key_expires_by_the_committed_clock_and_the_clock_never_goes_back(machine: StateMachine) -> None:
     machine.apply(1, Command([Operation(PUT, "k", b"1", ttl_ms=100)], clock_ms=1000))
     machine.apply(2, Command(clock_ms=1099))
     assert machine.get("k")
--- a/tests/store/test_storage.py
+++ b/tests/store/test_storage.py
@@ -1,4 +1,4 @@
-"""`Storage`: it recovers what a crash leaves behind, and rejects other damage with its position."""
+"""`Storage`: recovery after a crash, and rejection of damaged files with the position of the damage."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def make_entries(first: int, count: int, term: int) -> list[Entry]:
-    """Return `count` entries from index `first` on."""
+    """Return `count` entries that start at index `first`."""
     return [
         Entry(term, index, EntryKind.DATA, f"{term}:{index}".encode())
         for index in range(first, first + count)
@@ -28,7 +28,7 @@
 
 
 def recover(directory: Path) -> DirectoryContents:
-    """Open and close the directory as after a crash, and return its contents."""
+    """Open and close the directory, as a restart does after a crash, and return its contents."""
     with Storage(directory, "c", "a", sync=False) as storage:
         return storage.recovered
 
@@ -43,7 +43,7 @@
     return sizes_bytes
 
 
-def test_a_later_record_replaces_the_log_from_its_first_index(tmp_path: Path) -> None:
+def test_a_later_record_replaces_the_entries_from_its_first_index_on(tmp_path: Path) -> None:
     append_records(
         tmp_path,
         (HardState(1, "a", 0), make_entries(1, 5, term=1)),
@@ -58,26 +58,26 @@
 def test_after_a_crash_between_snapshot_and_log_only_entries_that_follow_the_snapshot_remain(
     tmp_path: Path, term: int, remaining: list[int]
 ) -> None:
-    """Entries of the old log that contradict the snapshot are discarded."""
+    """Entries of the old log that conflict with the snapshot are discarded."""
     append_records(tmp_path, (HardState(1, None, 0), make_entries(1, 6, term=1)))
     with Storage(tmp_path, "c", "a", sync=False) as storage:
         log = (tmp_path / LOG_FILE).read_bytes()
         storage.save_snapshot(make_snapshot(4, term), HardState(term, None, 4), [])
-    (tmp_path / LOG_FILE).write_bytes(log)  # the log from before the snapshot
+    (tmp_path / LOG_FILE).write_bytes(log)  # the log as it was before the snapshot
     assert [entry.index for entry in recover(tmp_path).entries] == remaining
 
 
 @settings(max_examples=60, deadline=None)
 @given(st.integers(1, 8), st.data())
-def test_a_crash_during_an_append_loses_that_record_alone(record_count: int, data: st.DataObject) -> None:
+def test_a_crash_during_an_append_loses_only_that_record(record_count: int, data: st.DataObject) -> None:
     with tempfile.TemporaryDirectory() as name:
         directory = Path(name)
         records = [(None, make_entries(number * 3 + 1, 3, term=1)) for number in range(record_count)]
         sizes_bytes = append_records(directory, *records)
         log = (directory / LOG_FILE).read_bytes()
-        cut = data.draw(st.integers(0, len(log)), label="bytes written")
-        (directory / LOG_FILE).write_bytes(log[:cut])
-        complete_records = sum(size <= cut for size in sizes_bytes)
+        written_bytes = data.draw(st.integers(0, len(log)), label="bytes written")
+        (directory / LOG_FILE).write_bytes(log[:written_bytes])
+        complete_records = sum(size <= written_bytes for size in sizes_bytes)
         expected = list(range(1, complete_records * 3 + 1))
         assert [entry.index for entry in recover(directory).entries] == expected
         assert recover(directory).torn_bytes == 0, "the incomplete record was not truncated"
@@ -86,7 +86,7 @@
 @settings(max_examples=60, deadline=None)
 @given(st.data())
 def test_a_flipped_bit_is_always_detected(data: st.DataObject) -> None:
-    """It is also detected in the last record, which may have been acknowledged."""
+    """The last record is checked as well, because it may have been acknowledged."""
     with tempfile.TemporaryDirectory() as name:
         directory = Path(name)
         records = [(HardState(1, "a", 0), make_entries(number + 1, 1, term=1)) for number in range(3)]
@@ -100,13 +100,13 @@
 
 
 @pytest.mark.parametrize(("cluster", "name"), [("other", "a"), ("c", "b")])
-def test_another_members_directory_is_rejected(tmp_path: Path, cluster: str, name: str) -> None:
+def test_the_directory_of_another_member_is_rejected(tmp_path: Path, cluster: str, name: str) -> None:
     append_records(tmp_path, (None, make_entries(1, 1, term=1)))
-    with pytest.raises(CorruptStorageError, match="the log of 'a' in cluster 'c'"):
+    with pytest.raises(CorruptStorageError, match="the log belongs to 'a' in cluster 'c'"):
         Storage(tmp_path, cluster, name)
 
 
-def test_a_directory_has_one_owner(tmp_path: Path) -> None:
+def test_a_directory_that_is_in_use_cannot_be_opened_again(tmp_path: Path) -> None:
     with Storage(tmp_path, "c", "a"), pytest.raises(BlockingIOError):
         Storage(tmp_path, "c", "a")
     recover(tmp_path)
--- a/tests/store/test_store_client.py
+++ b/tests/store/test_store_client.py
@@ -1,4 +1,4 @@
-"""`StoreClient` with scripted members: which errors it retries, and at which member."""
+"""`StoreClient` with scripted members: the errors that it retries, and the members that it selects."""
 
 from __future__ import annotations
 
@@ -53,7 +53,7 @@
 
 @asynccontextmanager
 async def serve_members(timeout_s: float = 5.0, **members: ScriptedMember) -> AsyncIterator[StoreClient]:
-    """Serve the members and yield a client, which asks them in the order of their names; close all."""
+    """Serve the members, yield a client that tries them in the order of their names, and close all."""
     servers = {
         name: await asyncio.start_server(member.serve, "127.0.0.1", 0) for name, member in members.items()
     }
@@ -95,7 +95,7 @@
 
 
 @pytest.mark.parametrize("code", [ErrorCode.REJECTED, ErrorCode.INVALID])
-def test_a_final_error_is_raised_and_the_next_write_begins_a_session(code: ErrorCode) -> None:
+def test_a_final_error_is_raised_and_the_next_write_starts_a_new_session(code: ErrorCode) -> None:
     async def scenario() -> None:
         member = ScriptedMember(Reply(code, "why"), WRITTEN)
         async with serve_members(a=member) as client:
@@ -134,7 +134,7 @@
         events = [Event(revision, "k", ChangeKind.PUT, b"") for revision in (5, 6)]
         members = [ScriptedMember(Reply(events=[event], revision=event.revision)) for event in events]
         seen: list[int] = []
-        async with serve_members(b=members[0], a=members[1]) as client:  # a watch starts at b
+        async with serve_members(b=members[0], a=members[1]) as client:  # the first watch is sent to b
             async for event in client.watch("k", 4):
                 seen.append(event.revision)
                 if len(seen) == len(events):
@@ -144,7 +144,7 @@
     asyncio.run(scenario())
 
 
-def test_a_watch_whose_events_were_discarded_is_an_error() -> None:
+def test_a_watch_that_requires_discarded_events_raises_an_error() -> None:
     async def scenario() -> None:
         member = ScriptedMember(Reply(ErrorCode.WATCH_COMPACTED, "the oldest is after 40", revision=40))
         async with serve_members(a=member) as client:
@@ -158,8 +158,8 @@
     asyncio.run(scenario())
 
 
-class FallingSilentMember(ScriptedMember):
-    """Replies to the first request, and to no other."""
+class MemberThatStopsReplying(ScriptedMember):
+    """Replies to the scripted requests of the first connection, and to no later request."""
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         if self.replies:
@@ -168,12 +168,12 @@
             await reader.read()
 
 
-def test_the_reason_of_a_refusal_is_not_replaced_by_an_attempt_without_time() -> None:
-    """Guards against "TimeoutError" as the reason where a member has refused a read as stale."""
+def test_the_reason_of_an_error_reply_is_kept_if_the_last_attempt_has_too_little_time() -> None:
+    """Guards against "TimeoutError" as the reported reason after a member has rejected a read as stale."""
 
     async def scenario() -> None:
-        member = FallingSilentMember(Reply(ErrorCode.STALE, "the state may be 900 ms old"))
-        async with serve_members(timeout_s=0.3, a=member) as client:  # less than one attempt
+        member = MemberThatStopsReplying(Reply(ErrorCode.STALE, "the state may be 900 ms old"))
+        async with serve_members(timeout_s=0.3, a=member) as client:  # shorter than one attempt
             with pytest.raises(OutcomeUnknownError, match="the state may be 900 ms old"):
                 await client.get("k", max_staleness_ms=200)
 
--- a/tests/store/test_store_commands.py
+++ b/tests/store/test_store_commands.py
@@ -1,4 +1,4 @@
-"""The limits of commands."""
+"""`validate`: the limits of commands."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
         (Command([Operation(PUT, "k", bytes(2 << 20))]), "k: value of"),
         (Command([Operation(PUT, "k"), Operation(DELETE, "k")]), "twice"),
         (Command([Operation(PUT, "k", ttl_ms=-1)]), "ttl"),
-        (Command(preconditions=[Precondition("k", 0)] * 65), "65 writes"),
+        (Command(preconditions=[Precondition("k", 0)] * 65), "65 operations"),
     ],
 )
-def test_an_invalid_command_is_rejected_before_it_is_proposed(command: Command, reason: str) -> None:
+def test_an_invalid_command_is_rejected(command: Command, reason: str) -> None:
     with pytest.raises(InvalidCommandError, match=reason):
         validate(command)
--- a/tests/store/test_store_protocol.py
+++ b/tests/store/test_store_protocol.py
@@ -1,4 +1,4 @@
-"""The keys on the wire and on disk, which do not depend on the names of the fields in the code."""
+"""The keys on the wire and on disk, which are independent of the field names in the code."""
 
 from __future__ import annotations
 
--- a/tests/store/test_store_server.py
+++ b/tests/store/test_store_server.py
@@ -1,7 +1,7 @@
-"""Members as processes under concurrent clients, with SIGKILL, SIGSTOP, restarts, cuts and lost frames.
+"""Members as processes with concurrent clients, SIGKILL, SIGSTOP, restarts, cut connections and lost frames.
 
-The clients' histories must be linearizable, and the members' logs must agree.
-`WHEATSTILE_SEEDS=N-N pytest tests/store/test_store_server.py -k faults` repeats the schedule of seed N.
+The histories of the clients must be linearizable, and the logs of the members must agree.
+`WHEATSTILE_SEEDS=N-N pytest tests/store/test_store_server.py -k faults` repeats the fault schedule of seed N.
 """
 
 from __future__ import annotations
@@ -25,24 +25,24 @@
 from wheatstile.store.framing import LENGTH_PREFIX
 from wheatstile.store.protocol import Request, RequestKind
 
-FIRST, _, LAST = os.environ.get("WHEATSTILE_SEEDS", "1-2").partition("-")
-SEEDS = range(int(FIRST), int(LAST or FIRST) + 1)
+FIRST_SEED, _, LAST_SEED = os.environ.get("WHEATSTILE_SEEDS", "1-2").partition("-")
+SEEDS = range(int(FIRST_SEED), int(LAST_SEED or FIRST_SEED) + 1)
 KEYS = ("k/a", "k/b")
-CLIENTS = 5
-FAULTS = 14
+CLIENT_COUNT = 5
+FAULT_COUNT = 14
 LAST_VALUE = "end"
 
 
 async def use_keys_under_faults(
     cluster: ProcessCluster, clients: Sequence[StoreClient], seed: int
 ) -> tuple[Histories, list[str]]:
-    """Run concurrent clients while faults are injected, and return their histories and the faults."""
+    """Run concurrent clients while faults are injected, and return the histories and the faults."""
     stopped = asyncio.Event()
     histories: Histories = {key: [] for key in KEYS}
     async with asyncio.TaskGroup() as tasks:
         for number, client in enumerate(clients):
             tasks.create_task(RegisterUser(client, number, seed, histories).run(stopped))
-        faults = await inject_faults(cluster, random.Random(seed), FAULTS)
+        faults = await inject_faults(cluster, random.Random(seed), FAULT_COUNT)
         stopped.set()
     return histories, faults
 
@@ -72,7 +72,7 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_histories_under_faults_are_linearizable(tmp_path: Path, seed: int) -> None:
     async def scenario(cluster: ProcessCluster) -> None:
-        clients = [cluster.client(timeout_s=3.0) for _ in range(CLIENTS)]
+        clients = [cluster.client(timeout_s=3.0) for _ in range(CLIENT_COUNT)]
         histories, faults = await use_keys_under_faults(cluster, clients, seed)
         await recover(cluster)
         for client in clients:
@@ -86,7 +86,7 @@
 
 
 async def run_command(cluster: ProcessCluster, *arguments: str) -> str:
-    """Run `wheatstile store` with these arguments until it ends, and return its output.
+    """Run `wheatstile store` with `arguments` until it ends, and return its output.
 
     Raises AssertionError with the error output if the exit status is not 0.
     """
@@ -96,8 +96,8 @@
     return completed.stdout
 
 
-def test_members_are_added_and_removed_and_leadership_is_transferred_by_commands(tmp_path: Path) -> None:
-    """The added member catches up by a snapshot."""
+def test_commands_add_and_remove_members_and_transfer_leadership(tmp_path: Path) -> None:
+    """The added member receives a snapshot, because the log has been compacted."""
 
     async def scenario(cluster: ProcessCluster) -> None:
         client = cluster.client(timeout_s=30)
@@ -134,20 +134,20 @@
     return values
 
 
-def test_a_watch_has_no_gap_and_no_repetition_when_leaders_are_killed(tmp_path: Path) -> None:
+def test_a_watch_has_no_gaps_and_no_duplicates_when_leaders_are_killed(tmp_path: Path) -> None:
     async def scenario(cluster: ProcessCluster) -> None:
         client = cluster.client()
         async with asyncio.TaskGroup() as tasks:
-            watching = tasks.create_task(watch_until_last_value(client))
-            for turn in range(6):
+            watch_task = tasks.create_task(watch_until_last_value(client))
+            for round_number in range(6):
                 for number in range(10):
-                    await client.put("w/x", f"{turn}.{number}".encode())
+                    await client.put("w/x", f"{round_number}.{number}".encode())
                 victim = await cluster.leader()
                 cluster.kill(victim)
-                await client.put("w/x", f"{turn}.without {victim}".encode())
+                await client.put("w/x", f"{round_number}.without {victim}".encode())
                 cluster.start(victim)
             await client.put("w/x", LAST_VALUE.encode())
-            seen = await asyncio.wait_for(watching, 60)
+            seen = await asyncio.wait_for(watch_task, 60)
         client.close()
         assert len(seen) == 6 * 11 + 1
         assert len(set(seen)) == len(seen)
--- a/wheatstile/store/applied_state.py
+++ b/wheatstile/store/applied_state.py
@@ -1,4 +1,4 @@
-"""The state machine of one member after the applied part of the log, and the store's clock."""
+"""Applies committed log entries to a member's state machine, and provides the store's clock."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 
 
 class AppliedState:
-    """Applies the node's committed entries to a state machine, which starts from `snapshot` or empty.
+    """Applies committed entries of `node` to a state machine, which starts from `snapshot` or empty.
 
-    `trace` is called with one line for each installed snapshot and each applied entry.
+    Each installed snapshot and each applied entry is reported to `trace` as one line.
     """
 
     def __init__(self, node: RaftNode, snapshot: Snapshot | None, trace: Callable[[str], None]) -> None:
@@ -26,35 +26,35 @@
         self._trace = trace
         self._leader_clock = LeaderClock()
         self.state_machine = StateMachine.load(snapshot.data if snapshot else b"")
-        self.next_application = asyncio.Event()
-        """Set at the next application, and then replaced by a new event."""
+        self.next_apply = asyncio.Event()
+        """Set when the next entry or snapshot has been applied, and then replaced by a new event."""
 
     @property
     def index(self) -> int:
-        """The index of the last applied entry, which is the revision of this member's state."""
+        """Index of the last applied entry, which is the revision of this member's state."""
         return self._node.log.applied_index
 
     async def wait_for(self, index: int) -> None:
         """Wait until the entry at `index` is applied."""
         while self.index < index:
-            await self.next_application.wait()
+            await self.next_apply.wait()
 
     def clock_ms(self) -> int:
-        """Return the running clock on the leader, and the committed clock on other members."""
+        """Return the leader clock if this member is the leader, and the committed clock otherwise."""
         committed_ms = self.state_machine.clock_ms
         if self._leader_clock.term != self._node.term or self._node.role is not Role.LEADER:
             return committed_ms
         return self._leader_clock.now_ms(committed_ms)
 
     def is_expiration_due(self) -> bool:
-        """Return whether a key has expired by the running clock, but not by the committed clock."""
+        """Return whether a key has expired by the leader clock, but not by the committed clock."""
         expires_at_ms = self.state_machine.next_expiration_ms()
         if expires_at_ms is None or self._leader_clock.term != self._node.term:
             return False
         return expires_at_ms <= self.clock_ms()
 
     def install(self, snapshot: Snapshot) -> None:
-        """Replace the state by that of a snapshot."""
+        """Replace the state with that of a snapshot."""
         self.state_machine = StateMachine.load(snapshot.data)
         self._trace(f"snapshot {snapshot.index}")
 
@@ -73,8 +73,8 @@
         is_leader = entry.term == self._node.term and self._node.role is Role.LEADER
         return is_leader and self._leader_clock.term != entry.term
 
-    def announce_application(self) -> None:
-        """Wake all tasks that wait for the next application."""
-        event = self.next_application
-        self.next_application = asyncio.Event()
+    def notify_applied(self) -> None:
+        """Wake all tasks that wait for `next_apply`."""
+        event = self.next_apply
+        self.next_apply = asyncio.Event()
         event.set()
--- a/wheatstile/store/backup.py
+++ b/wheatstile/store/backup.py
@@ -1,6 +1,6 @@
-"""Backups: writes a store's complete state to a file, and creates a member's directory from such a file.
+"""Writes the complete state of a store to a backup file, and creates a member's directory from such a file.
 
-The file has two records in the format of `record_file`: a `BackupHeader`, and the state machine's data.
+A backup has two records in the format of `record_file`: a `BackupHeader`, and the state machine's data.
 """
 
 from __future__ import annotations
@@ -39,7 +39,7 @@
 
 
 def write_backup(path: Path, cluster: str, revision: int, data: bytes) -> None:
-    """Write a backup, completely or not at all. Raises OSError."""
+    """Write a backup atomically. Raises OSError."""
     replace_file(path, [BackupHeader(FORMAT, cluster, revision), data], os.fsync)
 
 
@@ -49,7 +49,9 @@
         raise CorruptStorageError(str(path), None, "the file does not exist")
     records = list(read_records(path))
     if len(records) != RECORD_COUNT:
-        raise CorruptStorageError(str(path), 0, f"{len(records)} whole records; a backup has {RECORD_COUNT}")
+        raise CorruptStorageError(
+            str(path), 0, f"{len(records)} complete records; a backup has {RECORD_COUNT}"
+        )
     header = records[0].decode(BackupHeader)
     data = records[1].decode(bytes)
     check_format(path, header.format)
@@ -59,14 +61,16 @@
 def restore_backup(path: Path, directory: Path, cluster: str, name: str) -> BackupHeader:
     """Create the directory of the first member of a new cluster from a backup, and return its header.
 
-    Revisions continue from the backup's revision. Client sessions are omitted, because it is unknown what the
-    clients wrote after the backup. Raises `CorruptStorageError`, `RestoreRejectedError`, OSError.
+    Revisions continue from the backup's revision. Client sessions are omitted, because the writes
+    of the clients after the backup are unknown.
+
+    Raises `CorruptStorageError`, `RestoreRejectedError`, OSError.
     """
     backup = read_backup(path)
     header = backup.header
     if cluster == header.cluster:
         raise RestoreRejectedError(
-            f"the backup is of cluster {cluster!r}: a restored cluster needs another name, "
+            f"the backup was taken from cluster {cluster!r}; a restored cluster needs another name, "
             "so that members of the two clusters reject each other"
         )
     if directory.exists() and any(directory.iterdir()):
--- a/wheatstile/store/client.py
+++ b/wheatstile/store/client.py
@@ -1,6 +1,6 @@
-"""A client of the store. It finds the leader and retries requests until a time-out.
+"""Client of the store, which finds the leader and retries requests until a timeout.
 
-A write carries the client's session and a sequence number, so that a retried write is applied only once.
+A write contains the client's session and a sequence number, so that a retried write is applied only once.
 """
 
 from __future__ import annotations
@@ -39,22 +39,22 @@
 
 DEFAULT_TIMEOUT_S = 5.0
 MAX_ATTEMPT_S = 2.0
-"""Time that one member has for one request."""
+"""Time limit for the processing of one attempt by one member."""
 ATTEMPT_MARGIN_S = 0.5
-"""Additional time for the reply to arrive."""
+"""Added to the time limit of an attempt, so that the reply can arrive."""
 RETRY_DELAY_S = 0.05
-"""Pause before the next member is tried."""
-WATCH_SILENCE_S = 3.0
-"""Time without a reply after which a watch tries the next member; members send one each second."""
+"""Delay before the next member is tried."""
+WATCH_TIMEOUT_S = 3.0
+"""Time without a reply after which a watch tries the next member; a member sends a reply every second."""
 
 RETRYABLE_ERRORS = (ErrorCode.NOT_LEADER, ErrorCode.OUTCOME_UNKNOWN, ErrorCode.STALE)
 CONNECTION_ERRORS = (OSError, TimeoutError, ValueError)
-"""Errors of a connection to a member; protocol errors and decoding errors are ValueErrors."""
+"""Errors of a connection to a member. Protocol errors and decoding errors are subclasses of ValueError."""
 
 
 @dataclass(frozen=True, slots=True)
 class Listing:
-    """Keys with their latest versions at `revision`."""
+    """Keys that match a pattern, with their latest versions at `revision`."""
 
     revision: int
     versions: list[KeyVersion]
@@ -69,10 +69,10 @@
 
 
 class StoreClient:
-    """A client of `members`, a mapping from name to loopback port. `close` closes its connections.
+    """Client of `members`, which maps member names to loopback ports. `close` closes its connections.
 
-    It sends one write at a time. Requests raise `RequestRejectedError`, and `OutcomeUnknownError` if no
-    member gives a final reply within `timeout_s`.
+    The client sends one write at a time. Requests raise `RequestRejectedError`, and `OutcomeUnknownError` if
+    no member gives a final reply within `timeout_s`.
     """
 
     def __init__(self, members: Mapping[str, int], timeout_s: float = DEFAULT_TIMEOUT_S) -> None:
@@ -83,7 +83,7 @@
         self._names = itertools.cycle(sorted(members))
         self._target = next(self._names)
         self._connections = ClientConnections(members)
-        self._writing = asyncio.Lock()
+        self._write_lock = asyncio.Lock()
         self._start_session()
 
     def _start_session(self) -> None:
@@ -97,14 +97,14 @@
     async def write(
         self, operations: Iterable[Operation], preconditions: Iterable[Precondition] = ()
     ) -> CommandResult:
-        """Apply all `operations`, or none if a precondition does not hold."""
-        async with self._writing:
+        """Apply all `operations`, or none of them if a precondition does not hold."""
+        async with self._write_lock:
             self._sequence += 1
             command = Command(list(operations), list(preconditions), self._session_id, self._sequence)
             try:
                 reply = await self.request(Request(RequestKind.WRITE, command))
             except BaseException:
-                # The write may still be applied. The next one needs a session of its own, so that the two
+                # The write may still be applied. The next write starts a new session, so that the two writes
                 # cannot share a sequence number.
                 self._start_session()
                 raise
@@ -128,7 +128,7 @@
         return reply.versions[0] if reply.versions else None
 
     async def list_matching(self, pattern: str, max_staleness_ms: int = LINEARIZABLE) -> Listing:
-        """Return all keys that match `pattern`; linearizable unless `max_staleness_ms` is given."""
+        """Return the keys that match `pattern`; linearizable unless `max_staleness_ms` is given."""
         request = Request(RequestKind.LIST, key=pattern, max_staleness_ms=max_staleness_ms)
         reply = await self.request(request)
         return Listing(reply.revision, reply.versions)
@@ -141,13 +141,13 @@
         return reply.status
 
     async def statuses(self) -> dict[str, MemberStatus | str]:
-        """Return the status of each member, or the reason why it was not reached."""
+        """Return the status of each member, or the reason why the member could not be reached."""
         statuses: dict[str, MemberStatus | str] = {}
         for name in sorted(self._members):
             try:
                 statuses[name] = await self.status(name)
             except CONNECTION_ERRORS as error:
-                statuses[name] = str(error) or "no answer"
+                statuses[name] = str(error) or "no reply"
         return statuses
 
     async def find_leader(self) -> MemberStatus | None:
@@ -187,15 +187,16 @@
         """Send a request to one member after another until one of them gives a final reply."""
         loop = asyncio.get_running_loop()
         deadline_s = loop.time() + self._timeout_s
-        last_failure = "no member was asked before the time-out"
-        has_refusal = False
+        last_failure = "the request timed out before it was sent to a member"
+        has_error_reply = False
         while (remaining_s := deadline_s - loop.time()) > 0:
             target = self._target
             try:
                 reply = await self._attempt(request, remaining_s)
             except CONNECTION_ERRORS as error:
-                # An attempt that the deadline cuts short shows nothing about the member: a refusal stays.
-                if not (has_refusal and remaining_s < MAX_ATTEMPT_S):
+                # If the deadline shortened this attempt, its failure says nothing about the member, so an
+                # earlier error reply remains the reported failure.
+                if not (has_error_reply and remaining_s < MAX_ATTEMPT_S):
                     last_failure = f"{target}: {str(error) or type(error).__name__}"
                 self._connections.discard(target)
                 await self._try_next_member(deadline_s)
@@ -205,7 +206,7 @@
             if reply.error not in RETRYABLE_ERRORS:
                 raise RequestRejectedError(reply.error, reply.reason)
             last_failure = f"{target}: {reply.error}: {reply.reason}"
-            has_refusal = True
+            has_error_reply = True
             if reply.error is ErrorCode.NOT_LEADER and reply.leader in self._members:
                 self._target = reply.leader
             else:
@@ -213,22 +214,22 @@
         raise OutcomeUnknownError(last_failure)
 
     async def _attempt(self, request: Request, remaining_s: float) -> Reply:
-        """Send a request to the current target, which has up to `MAX_ATTEMPT_S` for it."""
+        """Send a request to the current target, with a time limit of up to `MAX_ATTEMPT_S`."""
         timeout_ms = max(1, int(min(remaining_s, MAX_ATTEMPT_S) * 1000))
-        limited = msgspec.structs.replace(request, timeout_ms=timeout_ms)
+        bounded_request = msgspec.structs.replace(request, timeout_ms=timeout_ms)
         async with asyncio.timeout(min(remaining_s, MAX_ATTEMPT_S + ATTEMPT_MARGIN_S)):
-            return await self._connections.request(self._target, limited)
+            return await self._connections.request(self._target, bounded_request)
 
     async def _try_next_member(self, deadline_s: float) -> None:
-        """Select the next member as the target, and pause, at most until the deadline."""
+        """Select the next member as the target, and wait, but not beyond the deadline."""
         self._target = next(self._names)
         remaining_s = deadline_s - asyncio.get_running_loop().time()
         await asyncio.sleep(min(RETRY_DELAY_S, max(0.0, remaining_s)))
 
     async def watch(self, pattern: str, after_revision: int) -> AsyncIterator[Event]:
-        """Yield the events of matching keys after a revision, without a gap or a repetition.
+        """Yield the events of matching keys after a revision, without gaps or duplicates.
 
-        Continues with the next member when a connection is lost. Raises `WatchCompactedError`.
+        Continue with the next member when a connection is lost. Raises `WatchCompactedError`.
         """
         revision = after_revision
         while True:
@@ -244,17 +245,17 @@
     async def _watch_member(self, name: str, pattern: str, revision: int) -> AsyncGenerator[Reply, None]:
         """Yield one member's replies to a watch until the connection ends.
 
-        Raises `WatchCompactedError`, OSError, ValueError, and TimeoutError after `WATCH_SILENCE_S` without a
+        Raises `WatchCompactedError`, OSError, ValueError, and TimeoutError after `WATCH_TIMEOUT_S` without a
         reply.
         """
-        async with asyncio.timeout(WATCH_SILENCE_S):
+        async with asyncio.timeout(WATCH_TIMEOUT_S):
             sock = await connect(self._members[name])
         with sock:
             request = Request(RequestKind.WATCH, key=pattern, after_revision=revision)
             await asyncio.get_running_loop().sock_sendall(sock, encode_frame(request))
             frames = FrameReader(sock)
             while True:
-                async with asyncio.timeout(WATCH_SILENCE_S):
+                async with asyncio.timeout(WATCH_TIMEOUT_S):
                     reply = await frames.read(Reply)
                 if reply is None:
                     return
--- a/wheatstile/store/client_connections.py
+++ b/wheatstile/store/client_connections.py
@@ -1,4 +1,4 @@
-"""A client's connections to the members: one for each member, opened at its first use."""
+"""Connections of a client to the members: one for each member, opened when it is first used."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 
 class ClientConnections:
-    """Connections to `members`, a mapping from name to loopback port. `close` closes them.
+    """Connections to `members`, which maps member names to loopback ports. `close` closes the connections.
 
-    A connection is closed after any failure. Otherwise a late reply could be mistaken for the reply to the
-    next request.
+    A connection is closed after any failure, because a late reply could otherwise be taken for the reply to
+    the next request.
     """
 
     def __init__(self, members: Mapping[str, int]) -> None:
--- a/wheatstile/store/client_service.py
+++ b/wheatstile/store/client_service.py
@@ -1,4 +1,4 @@
-"""Serves the requests of clients. A connection carries one request after another, or one watch."""
+"""Serves client requests. A connection carries either a sequence of requests or one watch."""
 
 from __future__ import annotations
 
@@ -21,24 +21,24 @@
 from wheatstile.store.watch_stream import WatchStream
 
 MAX_CLIENTS = 1024
-"""Concurrent client connections. Further connections are closed."""
+"""Maximum number of concurrent client connections. Further connections are closed."""
 MAX_LISTED_KEYS = 10_000
-"""Keys in one reply."""
+"""Maximum number of keys in one reply."""
 MAX_REQUEST_TIMEOUT_MS = 60_000
 BACKUP_CHUNK_BYTES = 1 << 20
 SEND_TIMEOUT_S = 5.0
-"""Time for sending one reply. If the client does not read it in this time, the connection is closed."""
+"""Time limit for sending one reply, after which the connection is closed."""
 TRANSFER_POLL_INTERVAL_S = 0.01
 
 
 async def send_reply(sock: socket.socket, reply: Reply) -> None:
-    """Send one reply. Raises OSError, and TimeoutError if the client does not read it."""
+    """Send one reply. Raises OSError, and TimeoutError if the client does not read the reply in time."""
     async with asyncio.timeout(SEND_TIMEOUT_S):
         await asyncio.get_running_loop().sock_sendall(sock, encode_frame(reply))
 
 
 class ClientService:
-    """Replies to the requests of all clients of one member."""
+    """Serves the requests of all clients of one member."""
 
     def __init__(self, member: Member) -> None:
         self._member = member
@@ -68,7 +68,7 @@
                 await send_reply(sock, reply)
 
     async def _answer(self, request: Request) -> Reply:
-        """Carry out a request within its time-out, and return the result or the error as a reply."""
+        """Process a request within its timeout, and return the result or the error as a reply."""
         timeout_ms = min(max(request.timeout_ms, 1), MAX_REQUEST_TIMEOUT_MS)
         try:
             async with asyncio.timeout(timeout_ms / 1000):
@@ -110,15 +110,15 @@
         return Reply(result=result, revision=result.revision)
 
     async def _transfer_leadership(self, target: str) -> Reply:
-        """Transfer leadership, and reply when a new term has begun."""
+        """Transfer leadership, and return the reply when a new term has begun."""
         term = self._member.node.term
         self._member.transfer_leadership(target)
-        while self._member.node.term == term:  # noqa: ASYNC110  no event is set when the term changes
+        while self._member.node.term == term:  # noqa: ASYNC110  no event signals a change of the term
             await asyncio.sleep(TRANSFER_POLL_INTERVAL_S)
         return Reply(status=self._member.status())
 
     async def _read(self, request: Request) -> Reply:
-        """Reply to a get, a list or a history from a state that is as recent as the request demands."""
+        """Return the reply to a get, list or history request, from a state that is as recent as requested."""
         member = self._member
         if request.max_staleness_ms <= LINEARIZABLE:
             await member.wait_until_current()
@@ -133,7 +133,7 @@
         return Reply(versions=versions, revision=member.applied.index, commit_age_ms=member.commit_age_ms)
 
     def _find_versions(self, request: Request) -> list[KeyVersion]:
-        """Return the versions that a read asks for, but not more than `MAX_LISTED_KEYS` + 1 keys."""
+        """Return the versions that a read requests, for at most `MAX_LISTED_KEYS` + 1 keys."""
         state_machine = self._member.applied.state_machine
         found: list[tuple[str, Version]] = []
         match request.kind:
@@ -141,7 +141,7 @@
                 version = state_machine.get(request.key)
                 found = [(request.key, version)] if version else []
             case RequestKind.LIST:
-                found = list(islice(state_machine.matching(request.key), MAX_LISTED_KEYS + 1))
+                found = list(islice(state_machine.matching_keys(request.key), MAX_LISTED_KEYS + 1))
             case RequestKind.HISTORY:
                 versions = state_machine.keys.get(request.key, [])
                 found = [(request.key, version) for version in versions]
--- a/wheatstile/store/commands.py
+++ b/wheatstile/store/commands.py
@@ -1,4 +1,4 @@
-"""Commands to the state machine and their results. They are MessagePack arrays in the log and on the wire."""
+"""Commands to the state machine and their results: MessagePack arrays in the log and on the wire."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 MAX_KEY_BYTES = 512
 MAX_VALUE_BYTES = 1 << 20
 MAX_COMMAND_CLAUSES = 64
-"""Operations and preconditions in one command."""
+"""Maximum number of operations and preconditions in one command."""
 
 ANY_REVISION = -1
 """Expected revision of a key that may be at any revision, or absent."""
@@ -20,7 +20,7 @@
 
 
 class OperationKind(enum.StrEnum):
-    """What an operation does to its key; the values are those in the log and on the wire."""
+    """The effect of an operation on its key; the values are used in the log and on the wire."""
 
     PUT = "put"
     DELETE = "delete"
@@ -28,10 +28,10 @@
 
 
 class Operation(msgspec.Struct, frozen=True, array_like=True):
-    """One write of a command.
+    """One operation of a command on one key.
 
     `expected_revision` is the revision that the key must be at, `ANY_REVISION` or `ABSENT_REVISION`. `ttl_ms`
-    is the time to live; 0 means that the key does not expire.
+    is the time to live, or 0 if the key does not expire.
     """
 
     kind: OperationKind
@@ -51,8 +51,8 @@
 class Command(msgspec.Struct, frozen=True, array_like=True):
     """A transaction: all `operations` are applied if every precondition holds, otherwise none.
 
-    A command with a `session_id` is applied at most once for each `sequence`; a repetition returns the first
-    result. `clock_ms` is the leader's clock when it proposed the command.
+    A command with a `session_id` is applied at most once for each `sequence`; a repeated command returns
+    the first result. `clock_ms` is the leader clock at the time when the leader proposed the command.
     """
 
     operations: list[Operation] = []
@@ -66,8 +66,8 @@
     """The result of a command.
 
     `ok` tells whether the command was applied. `revision` is the revision of the write; if a precondition
-    failed, it is the revision of that key, and `reason` describes the failure. `repeated` marks the result of
-    an earlier application.
+    failed, it is the revision of that key, and `reason` describes the failure. `repeated` is set if the
+    command had been applied before and this is its first result.
     """
 
     ok: bool
@@ -80,7 +80,9 @@
     """Check the limits of a command. Raises `InvalidCommandError`."""
     clauses = len(command.operations) + len(command.preconditions)
     if clauses > MAX_COMMAND_CLAUSES:
-        raise InvalidCommandError(f"{clauses} writes and preconditions; the limit is {MAX_COMMAND_CLAUSES}")
+        raise InvalidCommandError(
+            f"{clauses} operations and preconditions; the limit is {MAX_COMMAND_CLAUSES}"
+        )
     written: set[str] = set()
     for operation in command.operations:
         _validate_operation(operation)
--- a/wheatstile/store/errors.py
+++ b/wheatstile/store/errors.py
@@ -16,7 +16,7 @@
 
 
 class MembershipChangeRejectedError(ReasonError):
-    """The membership change or the leadership transfer is unsafe, or impossible at the moment."""
+    """The membership change or the leadership transfer is unsafe, or currently not possible."""
 
 
 class OutcomeUnknownError(ReasonError):
@@ -28,11 +28,11 @@
 
 
 class RestoreRejectedError(ReasonError):
-    """The backup must not be restored under this cluster name or into this directory."""
+    """The backup cannot be restored under this cluster name or into this directory."""
 
 
 class NotLeaderError(StoreError):
-    """The operation needs the leader and reached another member.
+    """The operation requires the leader, and this member is not the leader.
 
     `leader` is the leader that this member knows of, or None.
     """
@@ -46,7 +46,7 @@
 class StorageFailedError(StoreError):
     """A write to the member's directory failed.
 
-    The contents of the disk are unknown from then on, so the member must stop and answer nothing more.
+    The contents of the disk are unknown after the failure, so the member must stop and send no more replies.
     """
 
     def __init__(self, directory: str, cause: OSError) -> None:
@@ -56,7 +56,7 @@
 
 
 class CorruptStorageError(StoreError):
-    """A file has contents that no crash can leave behind.
+    """A file is damaged in a way that a crash during a write cannot cause.
 
     `offset` is the byte offset of the corrupt record, or None if the error concerns the whole file.
     """
@@ -70,7 +70,7 @@
 
 
 class WatchCompactedError(StoreError):
-    """A watch asks for events that were discarded. The client has to read the keys again.
+    """A watch requires events that were discarded. The client has to read the keys again.
 
     `compacted_revision` is the revision of the latest event that was discarded.
     """
@@ -97,6 +97,6 @@
     """The length prefix of a frame exceeds the receiver's limit."""
 
     def __init__(self, length_bytes: int, max_bytes: int) -> None:
-        super().__init__(f"a frame has {length_bytes} bytes; the limit is {max_bytes}")
+        super().__init__(f"frame of {length_bytes} bytes; the limit is {max_bytes} bytes")
         self.length_bytes = length_bytes
         self.max_bytes = max_bytes
--- a/wheatstile/store/event_history.py
+++ b/wheatstile/store/event_history.py
@@ -1,4 +1,4 @@
-"""The latest changes of keys, in the order of their revisions, for watches."""
+"""Bounded history of key changes in the order of their revisions, from which watches are served."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from wheatstile.store.errors import WatchCompactedError
 
 MAX_EVENTS = 10_000
-"""Number of stored events. A watch that needs older events is rejected."""
+"""Maximum number of stored events. A watch that requires older events is rejected."""
 MAX_EVENTS_PER_READ = 256
 
 
 class ChangeKind(enum.StrEnum):
-    """The kind of a change; the values are those in snapshots and on the wire."""
+    """The kind of a change; the values are used in snapshots and on the wire."""
 
     PUT = "put"
     DELETE = "delete"
@@ -42,15 +42,15 @@
         self.compacted_revision = compacted_revision
 
     def append(self, event: Event) -> None:
-        """Add an event, and discard the oldest events above `MAX_EVENTS`."""
+        """Add an event, and discard the oldest events if there are more than `MAX_EVENTS`."""
         self.events.append(event)
         while len(self.events) > MAX_EVENTS:
             self.compacted_revision = self.events.popleft().revision
 
     def after(self, revision: int, limit: int = MAX_EVENTS_PER_READ) -> list[Event]:
-        """Return the events after `revision`, up to `limit` and the remaining ones of the last revision.
+        """Return at most `limit` events after `revision`, plus the remaining events of the last revision.
 
-        Raises `WatchCompactedError` if some of them were discarded.
+        Raises `WatchCompactedError` if events after `revision` were discarded.
         """
         if revision < self.compacted_revision:
             raise WatchCompactedError(self.compacted_revision)
--- a/wheatstile/store/framing.py
+++ b/wheatstile/store/framing.py
@@ -1,4 +1,4 @@
-"""Frames on the store's connections. A frame is a 4-byte big-endian length and a MessagePack body."""
+"""Encodes and reads frames. A frame is a 4-byte big-endian length and a MessagePack body."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 LOOPBACK = "127.0.0.1"
 LENGTH_PREFIX = struct.Struct(">I")
 MAX_FRAME_BYTES = 16 * 1024 * 1024
-"""Bytes of the body of a frame; enough for a batch of entries with commands of `MAX_REQUEST_BYTES`."""
+"""Maximum size of a frame's body; enough for a batch of entries with commands of `MAX_REQUEST_BYTES`."""
 MAX_REQUEST_BYTES = 4 * 1024 * 1024
-"""Bytes of the body of a client's request."""
+"""Maximum size of the body of a client's request."""
 RECEIVE_BYTES = 256 * 1024
-"""Bytes requested in one read from a socket."""
+"""Maximum number of bytes in one read from a socket."""
 
 
 def encode_frame(value: object) -> bytes:
@@ -38,22 +38,22 @@
         self._buffer = bytearray()
         self._loop = asyncio.get_running_loop()
 
-    async def read(self, kind: type[Decoded]) -> Decoded | None:
-        """Return the next frame, decoded as a `kind`, or None at the end of the stream.
+    async def read(self, value_type: type[Decoded]) -> Decoded | None:
+        """Return the body of the next frame, decoded as `value_type`, or None at the end of the stream.
 
-        Raises `FrameTooLargeError`, OSError, and `msgspec.DecodeError` if the body is not a `kind`.
+        Raises `FrameTooLargeError`, OSError, and `msgspec.DecodeError` if the body has another type.
         """
         while True:
             body = self._take_body()
             if body is not None:
-                return msgspec.msgpack.decode(body, type=kind)
+                return msgspec.msgpack.decode(body, type=value_type)
             data = await self._loop.sock_recv(self.sock, RECEIVE_BYTES)
             if not data:
                 return None
             self._buffer += data
 
     def _take_body(self) -> bytes | None:
-        """Remove the first frame from the buffer and return its body, or None if it is not complete."""
+        """Remove the first frame from the buffer and return its body, or return None if it is incomplete."""
         if len(self._buffer) < LENGTH_PREFIX.size:
             return None
         (length,) = LENGTH_PREFIX.unpack_from(self._buffer)
--- a/wheatstile/store/inspection.py
+++ b/wheatstile/store/inspection.py
@@ -1,4 +1,4 @@
-"""A summary of a member's directory for operators. It does not need a running member or change a file."""
+"""Summarises a member's directory for operators, without a running member and without changing a file."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from wheatstile.store.storage import DirectoryContents, read_directory
 
 NO_FORMAT = 0
-"""Value of `DirectorySummary.format` for a directory without a log."""
+"""Value of `DirectorySummary.format` if the directory has no log."""
 
 
 class DirectorySummary(msgspec.Struct, frozen=True):
-    """The output of `store inspect`; the encoded names of the fields are the printed keys."""
+    """The output of `store inspect`, which prints the encoded names of the fields as keys."""
 
     name: str
     cluster: str
@@ -57,7 +57,7 @@
         last_index=last.index,
         last_term=last.term,
         snapshot_index=snapshot.index,
-        snapshot_key_count=sum(1 for _ in machine.matching(">")),
+        snapshot_key_count=sum(1 for _ in machine.matching_keys(">")),
         entry_count=len(contents.entries),
         torn_bytes=contents.torn_bytes,
         voters=sorted(configuration.voters),
--- a/wheatstile/store/key_pattern.py
+++ b/wheatstile/store/key_pattern.py
@@ -1,4 +1,4 @@
-"""Patterns that match keys. The parts of a key are separated by dots or slashes."""
+"""Matches keys against patterns. The parts of a key are separated by dots or slashes."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def matches_pattern(pattern: str, key: str) -> bool:
-    """Return whether `key` matches. `*` matches one part, and `>` at the end one or more parts."""
+    """Return whether `key` matches. `*` matches one part, and `>` at the end matches one or more parts."""
     pattern_parts = split_parts(pattern)
     key_parts = split_parts(key)
     last = len(pattern_parts) - 1
--- a/wheatstile/store/leader_clock.py
+++ b/wheatstile/store/leader_clock.py
@@ -1,8 +1,8 @@
-"""The store's clock while this member is the leader.
+"""Provides the store's clock while this member is the leader.
 
-The committed clock is the latest time stamp of an applied command. From the application of its first entry, a
-leader advances it by its own monotonic clock. The stamps of all earlier leaders are known then, so the clock
-never goes back. It stops while there is no leader.
+The committed clock is the latest timestamp of an applied command. A leader advances this clock by
+its own monotonic clock, but only after it has applied the first entry of its term. By then it has applied the
+timestamps of all earlier leaders, so the clock never goes back. The clock stops while there is no leader.
 """
 
 from __future__ import annotations
@@ -11,11 +11,11 @@
 
 NANOSECONDS_PER_MS = 1_000_000
 NOT_STARTED = 0
-"""Value of `LeaderClock.term` before this member has been the leader."""
+"""Value of `LeaderClock.term` before this member becomes the leader for the first time."""
 
 
 class LeaderClock:
-    """A clock that runs from `start` on, for one term."""
+    """A clock that runs for one term, from the call of `start`."""
 
     def __init__(self) -> None:
         self.term = NOT_STARTED
@@ -23,12 +23,12 @@
         self._started_at_ns = 0
 
     def start(self, term: int, committed_ms: int) -> None:
-        """Start the clock at the committed clock, as the leader of `term`."""
+        """Start the clock at `committed_ms`, as the leader of `term`."""
         self.term = term
         self._base_ms = committed_ms
         self._started_at_ns = time.monotonic_ns()
 
     def now_ms(self, committed_ms: int) -> int:
-        """Return the running clock, which is never less than `committed_ms`."""
+        """Return the clock, which is never less than `committed_ms`."""
         elapsed_ms = (time.monotonic_ns() - self._started_at_ns) // NANOSECONDS_PER_MS
         return max(committed_ms, self._base_ms + elapsed_ms)
--- a/wheatstile/store/member.py
+++ b/wheatstile/store/member.py
@@ -1,6 +1,6 @@
-"""One member of the store without its sockets: Raft, storage, state machine, and pending requests.
+"""Combines Raft, storage, state machine and pending requests to one member of the store, without networking.
 
-All messages and requests of one turn of the event loop are processed together with one fsync (group commit).
+All messages and requests of one turn of the event loop are persisted with one fsync (group commit).
 """
 
 from __future__ import annotations
@@ -29,9 +29,9 @@
 
 
 class Member:
-    """A running member. It needs a running event loop; `close` releases its files.
+    """One running member, created in a running event loop. `close` closes its files.
 
-    `send` sends a message to another member and may lose it. Raises `CorruptStorageError`, OSError.
+    `send` sends a message to another member; messages may be lost. Raises `CorruptStorageError`, OSError.
     """
 
     def __init__(self, config: MemberConfig, send: Callable[[Message], None]) -> None:
@@ -54,7 +54,8 @@
         self.applied = AppliedState(self.node, recovered.snapshot, self._trace)
         self._proposals = ProposalQueue(self.node, self.applied.clock_ms)
         self._reads = PendingReads(self.node, self.schedule_flush)
-        self._failed: asyncio.Future[None] = self._loop.create_future()  # fails with StorageFailedError
+        # Fails with StorageFailedError.
+        self._storage_failure: asyncio.Future[None] = self._loop.create_future()
         self._is_flush_scheduled = False
         self._last_logged_role = Role.FOLLOWER
 
@@ -64,16 +65,16 @@
 
     async def run(self) -> None:
         """Advance Raft's clock until the storage fails, and then raise `StorageFailedError`."""
-        while not self._failed.done():
+        while not self._storage_failure.done():
             catch_up(self.node)
             self._propose_due_expiration()
             self.schedule_flush()
-            await asyncio.wait([self._failed], timeout=TICK_S)
-        self._failed.result()
+            await asyncio.wait([self._storage_failure], timeout=TICK_S)
+        self._storage_failure.result()
 
     @property
     def commit_age_ms(self) -> int:
-        """Upper bound, in milliseconds, for how old the state is that this member can read locally."""
+        """Upper bound, in milliseconds, for the age of the state that this member can read locally."""
         catch_up(self.node)
         return (self.node.commit_age_ticks + 1) * TICK_MS
 
@@ -112,9 +113,9 @@
         return await result
 
     async def wait_until_current(self) -> None:
-        """Wait until every entry that was committed before the call is applied on this member (read index).
+        """Wait until this member has applied every entry that was committed before the call (read index).
 
-        Raises `NotLeaderError` if no leader is known. Without a quorum it does not return.
+        Raises `NotLeaderError` if no leader is known. Does not return without a quorum.
         """
         catch_up(self.node)
         index = await self._reads.read_index()
@@ -129,7 +130,7 @@
         self.schedule_flush()
         await self.applied.wait_for(index)
         while not self.node.is_membership_change_complete:
-            await self.applied.next_application.wait()
+            await self.applied.next_apply.wait()
 
     def transfer_leadership(self, target: str) -> None:
         """Start a transfer to `target`. Raises `NotLeaderError`, `MembershipChangeRejectedError`."""
@@ -137,13 +138,13 @@
         self.schedule_flush()
 
     def on_message(self, message: Message) -> None:
-        """Handle a message from another member."""
+        """Process a message from another member."""
         catch_up(self.node)
         self.node.step(message)
         self.schedule_flush()
 
     def _propose_due_expiration(self) -> None:
-        """Advance the committed clock by an empty command if a key has expired and there are no writes."""
+        """Propose an empty command if a key has expired and no write has advanced the committed clock."""
         if self.applied.is_expiration_due():
             command = Command(clock_ms=self.applied.clock_ms())
             with suppress(NotLeaderError):
@@ -151,14 +152,14 @@
 
     def schedule_flush(self) -> None:
         """Schedule the processing of Raft's `Ready` in the next turn of the event loop."""
-        if not self._is_flush_scheduled and not self._failed.done():
+        if not self._is_flush_scheduled and not self._storage_failure.done():
             self._is_flush_scheduled = True
             self._loop.call_soon(self._flush)
 
     def _flush(self) -> None:
-        """Process one `Ready` in the order of its fields, and stop if the storage fails."""
+        """Persist one `Ready`, then send its messages and apply its entries. Stop if the storage fails."""
         self._is_flush_scheduled = False
-        if self._failed.done():
+        if self._storage_failure.done():
             return
         self._proposals.propose_due()
         ready = self.node.ready()
@@ -166,7 +167,7 @@
             return
         with self._fail_on_storage_error():
             self._persist(ready)
-        if self._failed.done():
+        if self._storage_failure.done():
             return
         self._process_persisted(ready)
         if self.applied.index - self.node.log.snapshot.index >= self.config.compact_every:
@@ -175,11 +176,11 @@
 
     @contextmanager
     def _fail_on_storage_error(self) -> Iterator[None]:
-        """Make `run` raise `StorageFailedError` if the body raises OSError."""
+        """Make `run` raise `StorageFailedError` if the `with` block raises OSError."""
         try:
             yield
         except OSError as error:
-            self._failed.set_exception(StorageFailedError(str(self.config.directory), error))
+            self._storage_failure.set_exception(StorageFailedError(str(self.config.directory), error))
 
     def _persist(self, ready: Ready) -> None:
         if ready.snapshot is None:
@@ -200,11 +201,11 @@
             self._proposals.on_applied(entry, result)
         self._reads.on_ready(ready)
         if ready.committed_entries or ready.snapshot:
-            self.applied.announce_application()
+            self.applied.notify_applied()
         self._log_role_change()
 
     def _compact(self) -> None:
-        """Replace the applied entries by a snapshot. Raises OSError."""
+        """Replace the applied entries with a snapshot. Raises OSError."""
         self.node.compact(self.applied.state_machine.dump())
         raft_log = self.node.log
         self._storage.save_snapshot(raft_log.snapshot, self.node.hard_state, list(raft_log.entries))
--- a/wheatstile/store/member_config.py
+++ b/wheatstile/store/member_config.py
@@ -1,4 +1,4 @@
-"""The configuration of one member."""
+"""Configuration of one member."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True)
 class MemberConfig:
-    """The identity of one member, and where it stores its data."""
+    """The identity of one member, its directory and its options."""
 
     name: str
     voters: frozenset[str]
@@ -19,8 +19,8 @@
     directory: Path
     cluster: str = DEFAULT_CLUSTER
     seed: int = 0
-    """Seeds the random election time-outs, together with the name."""
+    """Seed of the random election timeouts, combined with the name."""
     trace: bool = False
-    """Prints each role, snapshot and applied entry on standard output, for tests that check histories."""
+    """Whether to print won elections, snapshots and applied entries to standard output; used by tests."""
     compact_every: int = DEFAULT_COMPACT_EVERY
-    """The number of applied entries after which the log is compacted into a snapshot."""
+    """Number of applied entries after which the log is compacted into a snapshot."""
--- a/wheatstile/store/peer_transport.py
+++ b/wheatstile/store/peer_transport.py
@@ -1,4 +1,4 @@
-"""Messages between members over TCP, with one connection for each direction of each pair."""
+"""Sends and receives messages between members over TCP, with one connection for each direction of a pair."""
 
 from __future__ import annotations
 
@@ -17,18 +17,20 @@
 log = structlog.get_logger()
 
 MAX_OUTBOX_MESSAGES = 256
-"""Messages queued for one peer. A full queue discards its oldest message; Raft tolerates the loss."""
+"""Maximum number of messages queued for one peer. A full queue discards its oldest message; Raft
+tolerates the loss.
+"""
 RECONNECT_DELAY_S = 0.1
-"""Pause before the next attempt to connect to a peer."""
+"""Delay before the next attempt to connect to a peer."""
 ADDRESS_KEY_PREFIX = "_members"
-"""Prefix of the keys `_members/NAME` of members added later; the value begins with the peer port."""
+"""Prefix of the address keys `_members/NAME` of members added later. The value begins with the peer port."""
 
 
 class PeerTransport:
-    """Sends messages to peers and receives theirs.
+    """Sends messages to peers and receives messages from them.
 
-    `ports` contains the loopback ports of the configured peers. For other peers, `stored_address` returns the
-    value of the address key, or None.
+    `ports` maps the configured peers to their loopback ports. For other peers, `stored_address` returns the
+    value of an address key, or None if there is no such key.
     """
 
     def __init__(
@@ -44,7 +46,7 @@
         self._new_peers: asyncio.Queue[str] = asyncio.Queue()
 
     async def run(self) -> None:
-        """Send the queued messages until cancelled, with one task for each peer."""
+        """Send queued messages until cancelled, with one task for each peer."""
         async with asyncio.TaskGroup() as tasks:
             while True:
                 peer = await self._new_peers.get()
@@ -68,7 +70,7 @@
         return int(fields[0]) if fields and fields[0].isdigit() else None
 
     async def _send_queued(self, peer: str) -> None:
-        """Connect to `peer` when a message is queued, and send until the connection is lost."""
+        """Connect to `peer` when a message is queued, send until the connection is lost, and repeat."""
         outbox = self._outboxes[peer]
         while True:
             message = await outbox.get()
@@ -78,11 +80,11 @@
             try:
                 with await connect(port) as sock:
                     await self._send_over(sock, peer, message)
-            except OSError:  # messages in flight may be lost
+            except OSError:  # messages that the peer has not read may be lost
                 await asyncio.sleep(RECONNECT_DELAY_S)
 
     async def _send_over(self, sock: socket.socket, peer: str, message: Message) -> None:
-        """Send `message`, and all later messages to the peer, until an OSError."""
+        """Send `message` and all later messages to the peer until an OSError."""
         loop = asyncio.get_running_loop()
         outbox = self._outboxes[peer]
         handshake = PeerHandshake(self._config.cluster, self._config.name, peer)
@@ -106,13 +108,13 @@
         while (message := await frames.read(Message)) is not None:
             if (message.sender, message.recipient) != (handshake.name, self._config.name):
                 route = f'from "{message.sender}" to "{message.recipient}"'
-                raise ProtocolError(f'a message {route} on a connection from "{handshake.name}"')
+                raise ProtocolError(f'received a message {route} on a connection from "{handshake.name}"')
             if message.kind is MessageKind.SNAPSHOT and message.snapshot is None:
-                raise ProtocolError("a snapshot message without a snapshot")
+                raise ProtocolError("received a snapshot message without a snapshot")
             on_message(message)
 
     def _accepts(self, handshake: PeerHandshake) -> bool:
-        """Return whether the peer belongs to this cluster and the connection is meant for this member."""
+        """Return whether the handshake names this cluster, and this member as the recipient."""
         if (handshake.cluster, handshake.recipient) == (self._config.cluster, self._config.name):
             return True
         log.warning(
--- a/wheatstile/store/pending_reads.py
+++ b/wheatstile/store/pending_reads.py
@@ -1,4 +1,4 @@
-"""Linearizable reads of one member that are waiting for their read index."""
+"""Requests read indices for linearizable reads, and tracks the reads that wait for theirs."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 
 
 class PendingReads:
-    """Requests read indices from the node; `schedule_flush` schedules the processing of its `Ready`."""
+    """Requests read indices from `node`. `schedule_flush` schedules the processing of the node's `Ready`."""
 
     def __init__(self, node: RaftNode, schedule_flush: Callable[[], None]) -> None:
         self._node = node
         self._schedule_flush = schedule_flush
         self._reads: dict[int, asyncio.Future[int]] = {}
-        # A reply to a read from before a restart may still arrive, so identifiers must not repeat.
+        # A reply to a read from before a restart may still arrive, so identifiers must not be reused.
         self._request_ids = itertools.count(time.monotonic_ns())
 
     async def read_index(self) -> int:
-        """Return the index that must be applied before a read that starts now is answered.
+        """Return the index that must be applied before a read that starts now may be answered.
 
-        Raises `NotLeaderError` if no leader is known. Without a quorum it does not return.
+        Raises `NotLeaderError` if no leader is known. Does not return without a quorum.
         """
         request_id = next(self._request_ids)
         read: asyncio.Future[int] = asyncio.get_running_loop().create_future()
@@ -39,15 +39,15 @@
             self._node.cancel_read(request_id)
 
     def on_ready(self, ready: Ready) -> None:
-        """Resolve the reads that `ready` answers or rejects."""
+        """Resolve the reads that `ready` confirms or rejects."""
         for read_state in ready.read_states:
-            if read := self._unfinished(read_state.request_id):
+            if read := self._find_pending(read_state.request_id):
                 read.set_result(read_state.index)
         for request_id in ready.rejected_reads:
-            if read := self._unfinished(request_id):
+            if read := self._find_pending(request_id):
                 read.set_exception(NotLeaderError(self._node.leader))
 
-    def _unfinished(self, request_id: int) -> asyncio.Future[int] | None:
-        """Return the pending read with this identifier, unless its client has cancelled it."""
+    def _find_pending(self, request_id: int) -> asyncio.Future[int] | None:
+        """Return the read with this identifier, or None if its client has cancelled it."""
         read = self._reads.get(request_id)
         return None if read is None or read.done() else read
--- a/wheatstile/store/proposal_queue.py
+++ b/wheatstile/store/proposal_queue.py
@@ -1,4 +1,4 @@
-"""Commands from their submission to their application: queued for group commit, then proposed."""
+"""Queues submitted commands, proposes them in groups (group commit), and returns their results."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 from wheatstile.store.raft.node import RaftNode
 
 MAX_GROUP_COMMANDS = 512
-"""Queue length at which the queue is proposed before the previous group is committed."""
+"""Queue length at which the queue is proposed even if the previous group is not committed."""
 MAX_GROUP_WAIT_S = 0.005
-"""Waiting time after which the queue is proposed before the previous group is committed."""
+"""Waiting time after which the queue is proposed even if the previous group is not committed."""
 
 
 @dataclass(frozen=True, slots=True)
 class QueuedCommand:
-    """A command that is not in the log yet; `queued_at_s` is a time of the event loop's clock."""
+    """A command that is not in the log yet. `queued_at_s` is a time on the event loop's clock."""
 
     queued_at_s: float
     command: Command
@@ -39,7 +39,7 @@
 class ProposalQueue:
     """Proposes commands in groups, and resolves their futures when their entries are applied.
 
-    `clock_ms` returns the store's clock, with which a command is stamped when it is proposed.
+    `clock_ms` returns the store's clock, which is the timestamp of a command when it is proposed.
     """
 
     def __init__(self, node: RaftNode, clock_ms: Callable[[], int]) -> None:
@@ -54,17 +54,18 @@
         """Queue `command` and return the future of its result.
 
         The future fails with `NotLeaderError` if the command was not applied, and with `OutcomeUnknownError`
-        if that is unknown.
+        if the command may have been applied.
         """
         result: asyncio.Future[CommandResult] = self._loop.create_future()
         self._queue.append(QueuedCommand(self._loop.time(), command, result))
         return result
 
     def propose_due(self) -> None:
-        """Propose all queued commands, unless more should join their group.
+        """Propose all queued commands, unless their group should wait for further commands.
 
         A group is proposed when the previous group is committed, so that more commands share one fsync under
-        load. The limits are `MAX_GROUP_COMMANDS` and `MAX_GROUP_WAIT_S`, the latter plus one tick.
+        load. It is proposed earlier if it has `MAX_GROUP_COMMANDS` commands or has waited for
+        `MAX_GROUP_WAIT_S` (and up to one tick more).
         """
         if not self._queue or self._is_group_open():
             return
@@ -75,7 +76,7 @@
                 self._propose(queued)
 
     def _is_group_open(self) -> bool:
-        """Return whether further commands may join those in the queue."""
+        """Return whether the queue should wait for further commands."""
         return (
             self._node.log.commit_index < self._last_proposed_index
             and len(self._queue) < MAX_GROUP_COMMANDS
@@ -93,19 +94,21 @@
         self._proposed[index] = ProposedCommand(self._node.term, queued.result)
 
     def on_applied(self, entry: Entry, result: CommandResult) -> None:
-        """Resolve the command that was proposed at the entry's index, if there is one."""
+        """Resolve the future of the command that was proposed at the entry's index, if there is one."""
         proposed = self._proposed.pop(entry.index, None)
         if proposed is None or proposed.result.done():
             return
         if proposed.term == entry.term:
             proposed.result.set_result(result)
-        else:  # replaced by the entry of another leader
+        else:  # another leader has replaced the entry
             proposed.result.set_exception(NotLeaderError(self._node.leader))
 
     def on_snapshot_installed(self, index: int) -> None:
-        """Fail the commands up to `index`, which a snapshot covers, because their results are unknown."""
+        """Fail the commands up to `index`, whose results are unknown because a snapshot covers them."""
         covered = [proposed_index for proposed_index in self._proposed if proposed_index <= index]
         for proposed_index in covered:
             result = self._proposed.pop(proposed_index).result
             if not result.done():
-                result.set_exception(OutcomeUnknownError("covered by a snapshot"))
+                result.set_exception(
+                    OutcomeUnknownError("the entry of the command is covered by an installed snapshot")
+                )
--- a/wheatstile/store/protocol.py
+++ b/wheatstile/store/protocol.py
@@ -1,9 +1,10 @@
-"""Messages on the store's connections. Each is a MessagePack map in a frame (`framing`).
+"""Defines the messages on the store's connections. Each is a MessagePack map in a frame (`framing`).
 
-A connection between members has one direction: the sender sends a `PeerHandshake` and then
+A connection between members is used in one direction: the sender sends a `PeerHandshake` and then
 `raft.messages.Message`s. A client sends `Request`s and receives one `Reply` for each, in order. There are two
-exceptions: a watch gets replies until either side closes the connection, and a backup until no bytes remain.
-Where a key on the wire differs from the field's name, `msgspec.field(name=...)` gives the key.
+exceptions: a watch receives replies until either side closes the connection, and a backup receives replies
+until no bytes remain. If a key on the wire differs from the name of the field, `msgspec.field(name=...)`
+defines the key.
 """
 
 from __future__ import annotations
@@ -17,12 +18,12 @@
 from wheatstile.store.raft.messages import Role
 
 LINEARIZABLE = -1
-"""Value of `Request.max_staleness_ms` for a read that sees every write acknowledged before it."""
+"""Value of `Request.max_staleness_ms` for a read that returns every write acknowledged before it."""
 DEFAULT_TIMEOUT_MS = 2000
 
 
 class RequestKind(enum.StrEnum):
-    """The kind of a client's request; the values are those on the wire."""
+    """The kind of a client's request; the values are used on the wire."""
 
     WRITE = "write"
     GET = "get"
@@ -36,15 +37,15 @@
 
 
 class ErrorCode(enum.StrEnum):
-    """The reason why a request was not carried out; the values are those on the wire."""
+    """The reason why a request was not carried out; the values are used on the wire."""
 
     NONE = ""
     NOT_LEADER = "not-leader"  # `Reply.leader` is the leader, if this member knows it
     OUTCOME_UNKNOWN = "unknown"  # a write may have been applied, or may be applied later
     REJECTED = "refused"  # the membership change or the leadership transfer is not possible now
     STALE = "stale"  # this member's state may be older than the read allows
-    WATCH_COMPACTED = "behind"  # some events after the watch's revision were discarded
-    INVALID = "bad"  # the request violates a limit
+    WATCH_COMPACTED = "behind"  # events that the watch requires were discarded
+    INVALID = "bad"  # the request is malformed or exceeds a limit
 
 
 class PeerHandshake(msgspec.Struct, frozen=True):
@@ -59,8 +60,8 @@
     """A client's request.
 
     Depending on `kind`, `key` is a key, a pattern or the name of a member. A watch returns the events after
-    `after_revision`. A read may return a state that is `max_staleness_ms` old. The member replies within
-    `timeout_ms`.
+    `after_revision`. A read may return a state that is up to `max_staleness_ms` old. The member replies
+    within `timeout_ms`.
     """
 
     kind: RequestKind = msgspec.field(name="op")
@@ -84,7 +85,7 @@
 
 
 class MemberStatus(msgspec.Struct, frozen=True):
-    """The status of a member; the keys on the wire are those that `store status --json` prints."""
+    """The status of a member, which `store status --json` prints with the keys on the wire."""
 
     name: str
     role: Role
@@ -104,7 +105,7 @@
 
 
 class Reply(msgspec.Struct, frozen=True):
-    """The reply to a request; `error` is `ErrorCode.NONE` if the request was carried out."""
+    """The reply to a request. `error` is `ErrorCode.NONE` if the request was carried out."""
 
     error: ErrorCode = ErrorCode.NONE
     reason: str = ""
@@ -118,6 +119,6 @@
     """Upper bound, in milliseconds, for the age of the returned state."""
     status: MemberStatus | None = None
     chunk: bytes = msgspec.field(default=b"", name="data")
-    """A part of a backup's data."""
+    """One chunk of a backup's data."""
     remaining_bytes: int = msgspec.field(default=0, name="left")
-    """Bytes of the backup's data that follow in further replies."""
+    """Number of bytes of the backup's data that follow in further replies."""
--- a/wheatstile/store/record_file.py
+++ b/wheatstile/store/record_file.py
@@ -1,8 +1,8 @@
-"""Files of checksummed records: encoding, reading, and replacing a file atomically.
+"""Encodes, reads and atomically replaces files of checksummed records.
 
 A record is a header (length of the body, CRC-32 of the length, CRC-32 of the body; 4 bytes each, big-endian)
-and a body in MessagePack. The separate checksum of the length distinguishes an incomplete record, which a
-crash leaves behind, from a corrupt length.
+and a body in MessagePack. The separate checksum of the length distinguishes an incomplete record, which
+remains after a crash during a write, from a corrupt length.
 """
 
 from __future__ import annotations
@@ -24,12 +24,12 @@
 HEADER = struct.Struct(">III")
 LENGTH_BYTES = 4
 MAX_RECORD_BYTES = 256 * 1024 * 1024
-"""Bytes of the body of one record. A larger length is treated as corrupt."""
+"""Maximum size of the body of one record. A larger length is treated as corrupt."""
 
 
 @dataclass(frozen=True, slots=True)
 class FileRecord:
-    """The body of a complete record, and the record's position in its file."""
+    """The body of a complete record, and the position of the record in its file."""
 
     path: Path
     offset: int
@@ -37,13 +37,13 @@
 
     @property
     def end_offset(self) -> int:
-        """The offset of the first byte after the record."""
+        """Offset of the first byte after the record."""
         return self.offset + HEADER.size + len(self.body)
 
-    def decode(self, kind: type[Decoded]) -> Decoded:
-        """Decode the body. Raises `CorruptStorageError` if it is not a `kind`."""
+    def decode(self, value_type: type[Decoded]) -> Decoded:
+        """Decode the body. Raises `CorruptStorageError` if it is not a `value_type`."""
         try:
-            return msgspec.msgpack.decode(self.body, type=kind)
+            return msgspec.msgpack.decode(self.body, type=value_type)
         except msgspec.DecodeError as error:
             raise CorruptStorageError(str(self.path), self.offset, str(error)) from error
 
@@ -59,7 +59,7 @@
 
 
 def replace_file(path: Path, values: Iterable[object], fsync: Callable[[int], None]) -> None:
-    """Replace a file atomically by one that has `values` as its records. Raises OSError.
+    """Replace a file atomically with one that has `values` as its records. Raises OSError.
 
     `fsync` is called with the descriptor of the new file. The directory is not synced.
     """
@@ -74,21 +74,23 @@
 def read_records(path: Path) -> Iterator[FileRecord]:
     """Yield each complete record of a file. A missing file has none.
 
-    An incomplete record at the end is omitted; it starts at the `end_offset` of the last complete one. Raises
-    `CorruptStorageError` for a record whose checksums do not match.
+    An incomplete record at the end is omitted; it starts at the `end_offset` of the last complete record.
+    Raises `CorruptStorageError` for a record whose checksums do not match.
     """
     data = path.read_bytes() if path.exists() else b""
     offset = 0
     while offset + HEADER.size <= len(data):
         length, length_checksum, checksum = HEADER.unpack_from(data, offset)
         if _length_checksum(length) != length_checksum or length > MAX_RECORD_BYTES:
-            raise CorruptStorageError(str(path), offset, "the record's length does not check")
+            raise CorruptStorageError(str(path), offset, "the length of the record is corrupt")
         start = offset + HEADER.size
         record = FileRecord(path, offset, data[start : start + length])
         if len(record.body) < length:
             return
         actual = zlib.crc32(record.body)
         if actual != checksum:
-            raise CorruptStorageError(str(path), offset, f"checksum {actual:#x}, not {checksum:#x}")
+            raise CorruptStorageError(
+                str(path), offset, f"the checksum of the record is {actual:#x}, expected {checksum:#x}"
+            )
         yield record
         offset = record.end_offset
--- a/wheatstile/store/server.py
+++ b/wheatstile/store/server.py
@@ -1,4 +1,4 @@
-"""A member of the store as a process that serves peers and clients over TCP on loopback."""
+"""Runs one member of the store as a process that serves peers and clients over TCP on loopback."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 LISTEN_BACKLOG = 256
 ACCEPT_RETRY_DELAY_S = 0.1
-"""Pause after a failed accept."""
+"""Delay after a failed accept."""
 
 STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True)
 class Ports:
-    """Loopback ports of this member for peers and for clients (0: any free port), and those of its peers."""
+    """Loopback ports of this member for peers and clients (0: any free port), and the ports of its peers."""
 
     peer: int
     client: int
@@ -47,7 +47,10 @@
 
 
 class StoreServer:
-    """Serves one member. Raises `CorruptStorageError`, and OSError if the directory cannot be used."""
+    """Serves the peers and clients of one member.
+
+    Raises `CorruptStorageError`, and OSError if the directory cannot be used.
+    """
 
     def __init__(self, config: MemberConfig, ports: Ports) -> None:
         self._config = config
@@ -57,9 +60,10 @@
         self._clients = ClientService(self._member)
 
     async def serve(self) -> None:
-        """Serve peers and clients until cancelled, and close the member.
+        """Serve peers and clients until cancelled, and then close the member.
 
-        Raises OSError if a port cannot be used, and an exception group with `StorageFailedError`.
+        Raises OSError if a port cannot be used, and an exception group that contains `StorageFailedError` if
+        the storage fails.
         """
         with (
             closing(self._member),
@@ -91,7 +95,7 @@
 
 
 async def accept_connections(listener: socket.socket, handle: ConnectionHandler) -> None:
-    """Accept connections until cancelled, and run `handle` on each in a task of its own."""
+    """Accept connections until cancelled, and run `handle` on each in a separate task."""
     loop = asyncio.get_running_loop()
     async with asyncio.TaskGroup() as tasks:
         while True:
@@ -107,7 +111,7 @@
 
 
 async def handle_connection(sock: socket.socket, handle: ConnectionHandler) -> None:
-    """Run `handle` on a connection and close it. A protocol error affects this connection alone."""
+    """Run `handle` on a connection, and close it. A protocol error affects only this connection."""
     with sock:
         try:
             await handle(sock)
@@ -118,7 +122,7 @@
 
 
 async def serve_until_signalled(config: MemberConfig, ports: Ports) -> None:
-    """Serve until SIGTERM or SIGINT, which cancel this task."""
+    """Serve until SIGTERM or SIGINT, both of which cancel this task."""
     server = StoreServer(config, ports)
     task = asyncio.current_task()
     assert task is not None
@@ -150,7 +154,7 @@
 
 
 def report_errors(config: MemberConfig, errors: BaseExceptionGroup[Exception], status: int) -> int:
-    """Print the errors that ended the process on standard error, and return `status`."""
+    """Print the errors that end the process to standard error, and return `status`."""
     for error in errors.exceptions:
         print(f"store: {config.name}: {error}", file=sys.stderr)
     return status
--- a/wheatstile/store/state_machine.py
+++ b/wheatstile/store/state_machine.py
@@ -1,8 +1,9 @@
-"""The replicated state: keys with revisions and bounded history, times to live, client sessions, events.
+"""Applies commands to the replicated state: keys with bounded history, client sessions, and events.
 
 This module is pure: the same commands produce the same state on every member. A revision is the log index of
-the write. The clock is in milliseconds and comes from the commands, which the leader stamps. It never goes
-back, never runs faster than a leader's own clock, and stops while there is no leader.
+the write. Keys can have a time to live. The clock is in milliseconds and comes from the timestamps that the
+leader adds to commands. It never goes back, never runs faster than a leader's own clock, and stops while
+there is no leader.
 """
 
 from __future__ import annotations
@@ -27,7 +28,7 @@
 
 SNAPSHOT_FORMAT = 1
 MAX_KEYS = 200_000
-"""Number of keys, including deleted keys whose history is still stored."""
+"""Maximum number of keys, including deleted keys whose history is still stored."""
 MAX_VERSIONS_PER_KEY = 8
 MAX_SESSIONS = 10_000
 SESSION_TTL_MS = 3_600_000
@@ -37,7 +38,7 @@
 
 
 class Version(msgspec.Struct, frozen=True, array_like=True):
-    """One version of a key; `expires_at_ms` is 0 if it does not expire."""
+    """One version of a key. `expires_at_ms` is 0 if the version does not expire."""
 
     revision: int
     change: ChangeKind
@@ -47,7 +48,7 @@
 
 
 class Session(msgspec.Struct, frozen=True, array_like=True):
-    """The last command of a client's session, by which a repeated command is recognised."""
+    """The last command of a client's session, which identifies a repeated command."""
 
     sequence: int
     result: CommandResult
@@ -66,7 +67,7 @@
 
 
 class Expiration(NamedTuple):
-    """The time at which a key expires, or is discarded if it is deleted. Void if its revision has changed."""
+    """The time when a key expires, or is discarded if deleted. Ignored if the key has a later revision."""
 
     at_ms: int
     key: str
@@ -88,7 +89,7 @@
         versions = self.keys.get(key)
         return versions[-1] if versions and versions[-1].change is ChangeKind.PUT else None
 
-    def matching(self, pattern: str) -> Iterator[tuple[str, Version]]:
+    def matching_keys(self, pattern: str) -> Iterator[tuple[str, Version]]:
         """Yield the keys that match `pattern` in alphabetical order, each with its latest version."""
         for key in sorted(self.keys):
             version = self.get(key)
@@ -96,7 +97,7 @@
                 yield key, version
 
     def next_expiration_ms(self) -> int | None:
-        """Return the committed clock's time at which the next key expires or is discarded, or None."""
+        """Return the time, by the committed clock, when the next key expires or is discarded, or None."""
         return self._expirations[0].at_ms if self._expirations else None
 
     def apply(self, index: int, command: Command) -> CommandResult:
@@ -115,7 +116,7 @@
             return CommandResult(False, reason=reason)
         if session and command.sequence <= session.sequence:
             self.sessions[session_id] = session
-            return _result_of_repetition(session, command)
+            return _result_of_repeated_command(session, command)
         result = self._execute(index, command)
         self.sessions[session_id] = Session(command.sequence, result, self.clock_ms)
         self._discard_old_sessions()
@@ -131,18 +132,18 @@
             del self.sessions[session_id]
 
     def _execute(self, index: int, command: Command) -> CommandResult:
-        """Execute all operations, or none if a precondition or the limit on keys prevents it."""
+        """Execute all operations, or none if a precondition fails or there would be too many keys."""
         failure = self._find_failed_precondition(command)
         if failure is not None:
             return failure
         if self._exceeds_max_keys(command.operations):
-            return CommandResult(False, reason=f"{MAX_KEYS} keys at most")
+            return CommandResult(False, reason=f"the number of keys would exceed the limit of {MAX_KEYS}")
         for operation in command.operations:
             self._execute_operation(index, operation)
         return CommandResult(True, index)
 
     def _find_failed_precondition(self, command: Command) -> CommandResult | None:
-        """Return the result of a command that fails a precondition, or None if all of them hold."""
+        """Return the result for the first precondition that fails, or None if all preconditions hold."""
         preconditions = [*command.preconditions]
         preconditions += [
             Precondition(operation.key, operation.expected_revision) for operation in command.operations
@@ -176,7 +177,7 @@
         self._add_version(key, Version(index, change, b"", self.clock_ms, discarded_at_ms))
 
     def _add_version(self, key: str, version: Version) -> None:
-        """Add a key's latest version, discard its oldest above the limit, and record the event."""
+        """Add a key's latest version, discard its oldest one above the limit, and record the event."""
         previous = self.keys.get(key, [])
         self.keys[key] = [*previous[-MAX_VERSIONS_PER_KEY + 1 :], version]
         if version.expires_at_ms:
@@ -184,7 +185,7 @@
         self.events.append(Event(version.revision, key, version.change, version.value))
 
     def _expire_keys(self, index: int) -> None:
-        """Mark the expired keys as removed, and discard the removed keys whose time has passed."""
+        """Mark expired keys as removed, and discard keys that were removed `DELETED_KEY_TTL_MS` ago."""
         while self._expirations and self._expirations[0].at_ms <= self.clock_ms:
             expiration = heapq.heappop(self._expirations)
             versions = self.keys.get(expiration.key)
@@ -233,9 +234,9 @@
         return machine
 
 
-def _result_of_repetition(session: Session, command: Command) -> CommandResult:
-    """Return the result of a command whose sequence number was applied before in its session."""
+def _result_of_repeated_command(session: Session, command: Command) -> CommandResult:
+    """Return the result of a command whose sequence number is not higher than that of its session."""
     if command.sequence == session.sequence:
         return msgspec.structs.replace(session.result, repeated=True)
-    reason = f"sequence {command.sequence} is older than the session's last one, {session.sequence}"
+    reason = f"sequence {command.sequence} precedes the last sequence of the session, {session.sequence}"
     return CommandResult(False, reason=reason)
--- a/wheatstile/store/storage.py
+++ b/wheatstile/store/storage.py
@@ -1,13 +1,14 @@
-"""The persistent state of a Raft node: a log of records and a snapshot, in one directory.
+"""Stores the persistent state of a Raft node in one directory: a log of records and a snapshot.
 
 The file `snapshot` is replaced atomically: the new file is written and synced under another name and renamed,
-then the directory is synced. The file `log` gets one record and at most one fsync for each `Ready`, and is
-replaced with each snapshot. Its first record contains the format, the owner of the directory, and the
-snapshot that precedes the log. The entries of a record replace all earlier entries from their first index on.
-
-A crash during an append leaves an incomplete record, which is truncated when the directory is opened: nothing
-in it was acknowledged. Any other damage may affect acknowledged entries. The member then rejects its
-directory, and has to be removed from the cluster and added again with an empty one.
+then the directory is synced. For each `Ready`, at most one record is appended to the file `log`, with at most
+one fsync. The log is replaced with each snapshot. Its first record contains the format, the owner of the
+directory, and the index and term of the snapshot that precedes the log. The entries of a record replace all
+earlier entries from their first index on.
+
+A crash during an append leaves an incomplete record, which is truncated when the directory is opened, because
+none of its contents was acknowledged. Any other damage may affect acknowledged entries. The member then
+rejects its directory, and has to be removed from the cluster and added again with an empty directory.
 """
 
 from __future__ import annotations
@@ -33,7 +34,7 @@
 
 
 class LogHeader(msgspec.Struct, frozen=True):
-    """The log's first record; `snapshot_*` identify the snapshot that precedes the log (index 0: none)."""
+    """The first record of the log. `snapshot_*` identify the snapshot before the log (index 0: none)."""
 
     format: int
     cluster: str
@@ -43,13 +44,13 @@
 
 
 class LogRecord(msgspec.Struct, frozen=True, array_like=True):
-    """A record of the log after the first: the hard state and the entries of one `Ready`."""
+    """A further record of the log, with the hard state and the entries of one `Ready`."""
 
     hard_state: HardState | None
     entries: list[Entry]
 
 
-class Ballot(NamedTuple):
+class TermAndVote(NamedTuple):
     """The part of the hard state that must be synced before a message is sent."""
 
     term: int
@@ -58,16 +59,16 @@
 
 @dataclass
 class DirectoryContents:
-    """The contents of a directory. `header` is None if there is no log."""
+    """The contents of a member's directory. `header` is None if there is no log."""
 
     header: LogHeader | None = None
     hard_state: HardState | None = None
     snapshot: Snapshot | None = None
     entries: list[Entry] = field(default_factory=list)
     log_end_offset: int = 0
-    """The offset in bytes of the end of the log's last complete record."""
+    """Offset in bytes of the end of the last complete record in the log."""
     torn_bytes: int = 0
-    """The size in bytes of an incomplete record at the log's end."""
+    """Size in bytes of an incomplete record at the end of the log."""
 
 
 def read_directory(directory: Path) -> DirectoryContents:
@@ -102,7 +103,7 @@
 
 
 def check_format(path: Path, file_format: int) -> None:
-    """Raise `CorruptStorageError` unless this program reads the file's format."""
+    """Raise `CorruptStorageError` if this program cannot read the format of the file."""
     if file_format != FORMAT:
         reason = f"format {file_format} is not supported; this program reads format {FORMAT}"
         raise CorruptStorageError(str(path), 0, reason)
@@ -122,17 +123,17 @@
 def _match_log_to_snapshot(contents: DirectoryContents, log_path: Path) -> None:
     """Discard the entries that do not follow the snapshot.
 
-    A crash between the replacement of the snapshot and that of the log leaves such entries. Raises
-    `CorruptStorageError` if there is no log for the snapshot, or the snapshot before the log is missing.
+    Such entries remain after a crash between the replacement of the snapshot and the replacement of the log.
+    Raises `CorruptStorageError` if the log is missing, or if the snapshot before the log is missing.
     """
     header = contents.header
     snapshot = contents.snapshot
     if header is None:
         if snapshot:
-            raise CorruptStorageError(str(log_path), 0, "there is a snapshot, but no log")
+            raise CorruptStorageError(str(log_path), 0, "the log is missing, although there is a snapshot")
         return
     if header.snapshot_index > (snapshot.index if snapshot else 0):
-        reason = f"follows a snapshot at {header.snapshot_index} that is not there"
+        reason = f"the snapshot at index {header.snapshot_index}, which precedes the log, is missing"
         raise CorruptStorageError(str(log_path), 0, reason)
     if snapshot is None or (header.snapshot_index, header.snapshot_term) == (snapshot.index, snapshot.term):
         return
@@ -144,9 +145,9 @@
 
 
 class Storage:
-    """Owns the files of a directory. `close`, or the end of a `with` statement, releases them.
+    """Owns the files of a directory. `close`, or the end of a `with` statement, closes them.
 
-    `recovered` has the contents of the directory when it was opened. Raises `CorruptStorageError`, and
+    `recovered` has the contents that the directory had when it was opened. Raises `CorruptStorageError`, and
     OSError if the directory cannot be used (BlockingIOError if another process uses it).
     """
 
@@ -166,7 +167,7 @@
             os.close(self._lock)
             raise
         hard_state = self.recovered.hard_state
-        self._synced_ballot = Ballot(hard_state.term, hard_state.vote) if hard_state else None
+        self._synced_term_and_vote = TermAndVote(hard_state.term, hard_state.vote) if hard_state else None
 
     def __enter__(self) -> Self:
         return self
@@ -190,8 +191,8 @@
             self._replace(LOG_FILE, [LogHeader(FORMAT, self.cluster, self.name)])
             return contents
         if (header.cluster, header.name) != (self.cluster, self.name):
-            owner = f"the log of {header.name!r} in cluster {header.cluster!r}"
-            reason = f"{owner}, not of {self.name!r} in {self.cluster!r}"
+            owner = f"the log belongs to {header.name!r} in cluster {header.cluster!r}"
+            reason = f"{owner}, not to {self.name!r} in cluster {self.cluster!r}"
             raise CorruptStorageError(str(log_path), 0, reason)
         if contents.torn_bytes:
             with open(log_path, "r+b") as file:
@@ -202,7 +203,7 @@
     def append(self, hard_state: HardState | None, entries: list[Entry]) -> None:
         """Store the hard state and the entries of one `Ready`.
 
-        Raises OSError. The contents of the disk are unknown then, and the member must stop.
+        Raises OSError. The contents of the disk are unknown after that, so the member must stop.
         """
         if hard_state is None and not entries:
             return
@@ -210,20 +211,23 @@
         while data:
             written_bytes = os.write(self._log, data)
             data = data[written_bytes:]
-        ballot = Ballot(hard_state.term, hard_state.vote) if hard_state else self._synced_ballot
-        # A commit index alone needs no fsync: a member that loses it receives it again from the leader.
-        if entries or ballot != self._synced_ballot:
+        term_and_vote = (
+            TermAndVote(hard_state.term, hard_state.vote) if hard_state else self._synced_term_and_vote
+        )
+        # A record that only advances the commit index needs no fsync: a member that loses the commit index
+        # receives it again from the leader.
+        if entries or term_and_vote != self._synced_term_and_vote:
             self._fsync(self._log)
-        self._synced_ballot = ballot
+        self._synced_term_and_vote = term_and_vote
 
     def save_snapshot(self, snapshot: Snapshot, hard_state: HardState, entries: list[Entry]) -> None:
-        """Replace the snapshot, and then the log by one with `entries`, which follow it. Raises OSError."""
+        """Replace the snapshot, and then the log with one of `entries`, which follow it. Raises OSError."""
         self._replace(SNAPSHOT_FILE, [snapshot])
         header = LogHeader(FORMAT, self.cluster, self.name, snapshot.index, snapshot.term)
         self._replace(LOG_FILE, [header, LogRecord(hard_state, entries)])
         os.close(self._log)
         self._log = os.open(self.directory / LOG_FILE, os.O_WRONLY | os.O_APPEND)
-        self._synced_ballot = Ballot(hard_state.term, hard_state.vote)
+        self._synced_term_and_vote = TermAndVote(hard_state.term, hard_state.vote)
 
     def _fsync(self, descriptor: int) -> None:
         if self.sync:
@@ -231,7 +235,7 @@
             os.fsync(descriptor)
 
     def _replace(self, file_name: str, values: Iterable[object]) -> None:
-        """Replace a file atomically by one with `values` as its records, and sync the directory."""
+        """Replace a file atomically with one that has `values` as its records, and sync the directory."""
         replace_file(self.directory / file_name, values, self._fsync)
         descriptor = os.open(self.directory, os.O_RDONLY)
         try:
--- a/wheatstile/store/watch_stream.py
+++ b/wheatstile/store/watch_stream.py
@@ -1,4 +1,4 @@
-"""One client's watch: the events of matching keys in order, without a gap or a repetition."""
+"""Serves the watch of one client: sends the events of matching keys in order, without gaps or duplicates."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 from wheatstile.store.protocol import ErrorCode, Reply
 
 HEARTBEAT_INTERVAL_S = 1.0
-"""Time without a reply after which the client is sent a heartbeat."""
+"""Time without a reply after which a heartbeat is sent to the client."""
 
 
 class WatchStream:
-    """Sends the events after `revision` whose keys match `pattern`, by calls of `send`.
+    """Passes the events after `revision` whose keys match `pattern` to `send`.
 
     All events of a revision are in one reply. A reply without events is a heartbeat: it contains the revision
-    up to which there were no further events, and the upper bound for the age of the member's state.
+    up to which all events were sent, and an upper bound for the age of the member's state.
     """
 
     def __init__(
@@ -37,11 +37,11 @@
     async def run(self) -> None:
         """Send events until `send` fails or the events that the watch needs were discarded."""
         if self._applied.index < self._revision:
-            # This member has not applied the revision yet. It sends the events when it has applied them.
+            # This member has not applied the revision yet. It sends later events once it has applied them.
             await self._send(Reply(revision=self._revision))
         while True:
-            # Read before the events, so that an application in between is not missed.
-            next_application = self._applied.next_application
+            # Read before the events, so that entries that are applied in between are not missed.
+            next_apply = self._applied.next_apply
             try:
                 events = self._applied.state_machine.events.after(self._revision)
             except WatchCompactedError as error:
@@ -54,11 +54,11 @@
                 continue
             with suppress(TimeoutError):
                 async with asyncio.timeout(HEARTBEAT_INTERVAL_S):
-                    await next_application.wait()
+                    await next_apply.wait()
             await self._send_heartbeat_if_due()
 
     async def _send_matching(self, events: list[Event]) -> None:
-        """Send those of the events whose keys match."""
+        """Send the events whose keys match the pattern."""
         self._revision = events[-1].revision
         matching = [event for event in events if matches_pattern(self._pattern, event.key)]
         if matching:
@@ -66,7 +66,7 @@
             self._last_sent_at_s = self._loop.time()
 
     async def _send_heartbeat_if_due(self) -> None:
-        """Tell the client how old the member's state may be, since the member may be partitioned."""
+        """Report the age of the member's state to the client, because the member may be partitioned."""
         if self._loop.time() - self._last_sent_at_s >= HEARTBEAT_INTERVAL_S:
             self._last_sent_at_s = self._loop.time()
             await self._send(Reply(revision=self._revision, commit_age_ms=self._member.commit_age_ms))
