--- a/tests/store/test_backup.py
+++ b/tests/store/test_backup.py
@@ -47,7 +47,7 @@
 def create_backup(root: Path) -> tuple[Path, int]:
     """Return a backup file with the keys `k/0` to `k/59`, and the revision of the last key.
 
-    The backup is taken from a cluster of three members, which has ended on return.
+    The backup is taken from a cluster of three members, which is stopped before the function returns.
     """
     file = root / "backup"
     revision = 0
--- a/wheatstile/store/client.py
+++ b/wheatstile/store/client.py
@@ -80,8 +80,8 @@
             raise ValueError("a store client needs at least one member")
         self._members = members
         self._timeout_s = timeout_s
-        self._names = itertools.cycle(sorted(members))
-        self._target = next(self._names)
+        self._member_cycle = itertools.cycle(sorted(members))
+        self._target = next(self._member_cycle)
         self._connections = ClientConnections(members)
         self._write_lock = asyncio.Lock()
         self._start_session()
@@ -194,7 +194,7 @@
             try:
                 reply = await self._attempt(request, remaining_s)
             except CONNECTION_ERRORS as error:
-                # If the deadline shortened this attempt, its failure says nothing about the member, so an
+                # An attempt that is shortened by the deadline may fail although the member works, so an
                 # earlier error reply remains the reported failure.
                 if not (has_error_reply and remaining_s < MAX_ATTEMPT_S):
                     last_failure = f"{target}: {str(error) or type(error).__name__}"
@@ -222,7 +222,7 @@
 
     async def _try_next_member(self, deadline_s: float) -> None:
         """Select the next member as the target, and wait, but not beyond the deadline."""
-        self._target = next(self._names)
+        self._target = next(self._member_cycle)
         remaining_s = deadline_s - asyncio.get_running_loop().time()
         await asyncio.sleep(min(RETRY_DELAY_S, max(0.0, remaining_s)))
 
@@ -233,7 +233,7 @@
         """
         revision = after_revision
         while True:
-            name = next(self._names)
+            name = next(self._member_cycle)
             with suppress(*CONNECTION_ERRORS):
                 async with aclosing(self._watch_member(name, pattern, revision)) as replies:
                     async for reply in replies:
--- a/wheatstile/store/client_service.py
+++ b/wheatstile/store/client_service.py
@@ -61,18 +61,18 @@
                 send = partial(send_reply, sock)
                 await WatchStream(self._member, send, request.key, request.after_revision).run()
                 return
-            reply = await self._answer(request)
+            reply = await self._reply_to(request)
             if request.kind is RequestKind.BACKUP and reply.error is ErrorCode.NONE:
                 await self._send_backup(sock)
             else:
                 await send_reply(sock, reply)
 
-    async def _answer(self, request: Request) -> Reply:
+    async def _reply_to(self, request: Request) -> Reply:
         """Process a request within its timeout, and return the result or the error as a reply."""
         timeout_ms = min(max(request.timeout_ms, 1), MAX_REQUEST_TIMEOUT_MS)
         try:
             async with asyncio.timeout(timeout_ms / 1000):
-                return await self._handle(request)
+                return await self._dispatch(request)
         except TimeoutError:
             reason = f"the request was not completed within {request.timeout_ms} ms"
             return Reply(ErrorCode.OUTCOME_UNKNOWN, reason, self._member.node.leader or "")
@@ -85,7 +85,7 @@
         except InvalidCommandError as error:
             return Reply(ErrorCode.INVALID, error.reason)
 
-    async def _handle(self, request: Request) -> Reply:
+    async def _dispatch(self, request: Request) -> Reply:
         member = self._member
         match request.kind:
             case RequestKind.WRITE:
--- a/wheatstile/store/member.py
+++ b/wheatstile/store/member.py
@@ -1,4 +1,4 @@
-"""Combines Raft, storage, state machine and pending requests to one member of the store, without networking.
+"""Combines Raft, storage, state machine and pending requests into one member without networking.
 
 All messages and requests of one turn of the event loop are persisted with one fsync (group commit).
 """
--- a/wheatstile/store/peer_transport.py
+++ b/wheatstile/store/peer_transport.py
@@ -29,19 +29,19 @@
 class PeerTransport:
     """Sends messages to peers and receives messages from them.
 
-    `ports` maps the configured peers to their loopback ports. For other peers, `stored_address` returns the
-    value of an address key, or None if there is no such key.
+    `ports` maps the configured peers to their loopback ports. For other peers, the port is read
+    from the address key by `read_key`, which returns the value of a key or None.
     """
 
     def __init__(
         self,
         config: MemberConfig,
         ports: Mapping[str, int],
-        stored_address: Callable[[str], bytes | None],
+        read_key: Callable[[str], bytes | None],
     ) -> None:
         self._config = config
         self._ports = ports
-        self._stored_address = stored_address
+        self._read_key = read_key
         self._outboxes: dict[str, asyncio.Queue[Message]] = {}
         self._new_peers: asyncio.Queue[str] = asyncio.Queue()
 
@@ -66,7 +66,7 @@
     def _port_of(self, peer: str) -> int | None:
         if peer in self._ports:
             return self._ports[peer]
-        fields = (self._stored_address(f"{ADDRESS_KEY_PREFIX}/{peer}") or b"").split()
+        fields = (self._read_key(f"{ADDRESS_KEY_PREFIX}/{peer}") or b"").split()
         return int(fields[0]) if fields and fields[0].isdigit() else None
 
     async def _send_queued(self, peer: str) -> None:
@@ -79,11 +79,11 @@
                 continue
             try:
                 with await connect(port) as sock:
-                    await self._send_over(sock, peer, message)
+                    await self._send_on_connection(sock, peer, message)
             except OSError:  # messages that the peer has not read may be lost
                 await asyncio.sleep(RECONNECT_DELAY_S)
 
-    async def _send_over(self, sock: socket.socket, peer: str, message: Message) -> None:
+    async def _send_on_connection(self, sock: socket.socket, peer: str, message: Message) -> None:
         """Send `message` and all later messages to the peer until an OSError."""
         loop = asyncio.get_running_loop()
         outbox = self._outboxes[peer]
@@ -103,7 +103,7 @@
         """
         frames = FrameReader(sock)
         handshake = await frames.read(PeerHandshake)
-        if handshake is None or not self._accepts(handshake):
+        if handshake is None or not self._is_expected_handshake(handshake):
             return
         while (message := await frames.read(Message)) is not None:
             if (message.sender, message.recipient) != (handshake.name, self._config.name):
@@ -113,7 +113,7 @@
                 raise ProtocolError("received a snapshot message without a snapshot")
             on_message(message)
 
-    def _accepts(self, handshake: PeerHandshake) -> bool:
+    def _is_expected_handshake(self, handshake: PeerHandshake) -> bool:
         """Return whether the handshake names this cluster, and this member as the recipient."""
         if (handshake.cluster, handshake.recipient) == (self._config.cluster, self._config.name):
             return True
--- a/wheatstile/store/server.py
+++ b/wheatstile/store/server.py
@@ -55,7 +55,7 @@
     def __init__(self, config: MemberConfig, ports: Ports) -> None:
         self._config = config
         self._ports = ports
-        self._transport = PeerTransport(config, ports.peers, self._stored_address)
+        self._transport = PeerTransport(config, ports.peers, self._read_key)
         self._member = Member(config, self._transport.send)
         self._clients = ClientService(self._member)
 
@@ -82,7 +82,7 @@
     async def _serve_peer(self, sock: socket.socket) -> None:
         await self._transport.receive(sock, self._member.on_message)
 
-    def _stored_address(self, key: str) -> bytes | None:
+    def _read_key(self, key: str) -> bytes | None:
         version = self._member.applied.state_machine.get(key)
         return version.value if version else None
 
--- a/wheatstile/store/state_machine.py
+++ b/wheatstile/store/state_machine.py
@@ -75,14 +75,14 @@
 
 
 class StateMachine:
-    """The state of the store after the commands that were applied so far."""
+    """The state of the store after the commands that have been applied."""
 
     def __init__(self) -> None:
         self.clock_ms = 0
-        self.keys: dict[str, list[Version]] = {}  # versions from the oldest to the latest
-        self.sessions: dict[str, Session] = {}  # from the least to the most recently used
+        self.keys: dict[str, list[Version]] = {}  # versions ordered from the oldest to the latest
+        self.sessions: dict[str, Session] = {}  # ordered from the least to the most recently used
         self.events = EventHistory()
-        self._expirations: list[Expiration] = []  # a heap
+        self._expirations: list[Expiration] = []  # a heap ordered by time
 
     def get(self, key: str) -> Version | None:
         """Return the key's latest version, or None if the key is absent or deleted."""
@@ -123,7 +123,7 @@
         return result
 
     def _discard_old_sessions(self) -> None:
-        """Discard sessions that exceed `MAX_SESSIONS` or were unused for `SESSION_TTL_MS`."""
+        """Discard the oldest sessions above `MAX_SESSIONS`, and those unused for `SESSION_TTL_MS`."""
         while self.sessions:
             session_id, session = next(iter(self.sessions.items()))
             is_in_use = session.last_used_ms > self.clock_ms - SESSION_TTL_MS
--- a/wheatstile/store/watch_stream.py
+++ b/wheatstile/store/watch_stream.py
@@ -35,7 +35,7 @@
         self._last_sent_at_s = self._loop.time()
 
     async def run(self) -> None:
-        """Send events until `send` fails or the events that the watch needs were discarded."""
+        """Send events until `send` fails or the events that the watch requires were discarded."""
         if self._applied.index < self._revision:
             # This member has not applied the revision yet. It sends later events once it has applied them.
             await self._send(Reply(revision=self._revision))
