--- a/tests/store/linearizability.py
+++ b/tests/store/linearizability.py
@@ -3,8 +3,8 @@
 A history is linearizable if there is an order of its operations that is correct for one register and
 agrees with the times of their calls and returns. The search algorithm is that of Wing and Gong, "Testing and
 Verifying Concurrent Objects" (JPDC 1993). It skips states that it has already visited (Lowe, "Testing for
-Linearizability", 2017). An operation without a
-reply may have been applied at any time after its call, or never.
+Linearizability", 2017). An operation without a reply may have been applied at any time after its call, or
+never.
 """
 
 from __future__ import annotations
--- a/tests/store/member_replacement.py
+++ b/tests/store/member_replacement.py
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True)
 class Round:
-    """One replacement: the voters before and after it, the fault, and the time to the next write."""
+    """One replacement: voters before and after, the fault, and the time to the next acknowledged write."""
 
     number: int
     voters: str
--- a/tests/store/process_faults.py
+++ b/tests/store/process_faults.py
@@ -1,4 +1,4 @@
-"""Injects random faults into a `ProcessCluster`. The random number generator of the caller selects them."""
+"""Injects random faults into a `ProcessCluster`. The seed of the caller's generator determines the faults."""
 
 from __future__ import annotations
 
--- a/tests/store/test_state_machine.py
+++ b/tests/store/test_state_machine.py
@@ -1,4 +1,4 @@
-"""`StateMachine`: revisions, times to live, sessions, transactions, and snapshots."""
+"""`StateMachine`: revisions, times to live, sessions, transactions, and equal state after a snapshot."""
 
 from __future__ import annotations
 
--- a/wheatstile/store/backup.py
+++ b/wheatstile/store/backup.py
@@ -61,8 +61,8 @@
 def restore_backup(path: Path, directory: Path, cluster: str, name: str) -> BackupHeader:
     """Create the directory of the first member of a new cluster from a backup, and return its header.
 
-    Revisions continue from the backup's revision. Client sessions are omitted, because the writes
-    of the clients after the backup are unknown.
+    Revisions continue from the backup's revision. Client sessions are omitted, because the writes of
+    the clients after the backup are unknown.
 
     Raises `CorruptStorageError`, `RestoreRejectedError`, OSError.
     """
--- a/wheatstile/store/peer_transport.py
+++ b/wheatstile/store/peer_transport.py
@@ -29,8 +29,8 @@
 class PeerTransport:
     """Sends messages to peers and receives messages from them.
 
-    `ports` maps the configured peers to their loopback ports. For other peers, the port is read
-    from the address key by `read_key`, which returns the value of a key or None.
+    `ports` maps the configured peers to their loopback ports. For other peers, the port is read from
+    the address key by `read_key`, which returns the value of a key or None.
     """
 
     def __init__(
