--- a/tests/net/test_client_connection.py
+++ b/tests/net/test_client_connection.py
@@ -1,4 +1,4 @@
-"""A client's connection: its first line, and how it ends."""
+"""Tests of client connections: the first line, and how connections end."""
 
 import re
 import select
@@ -11,7 +11,7 @@
 
 from wheatstile.net.first_line_reader import FIRST_LINE_TIMEOUT_S
 
-MAX_BUFFERED_BYTES = 32 << 20  # more than the kernel's buffers hold
+MAX_BUFFERED_BYTES = 32 << 20  # more than the kernel buffers
 SHORT_DEADLINE = WITHOUT_HEALTH_CHECKS | {"classes": [SETTINGS["classes"][0] | {"deadlineUs": 1500000}]}
 
 
@@ -29,7 +29,7 @@
     partial.sock.sendall(b"OPEN 00000000000")
     for client in (silent, partial):
         assert client.line() in ("ERR", "")
-    assert time.monotonic() - started_s < 4.0  # the protocol allows 3 s; 1 s for a busy machine
+    assert time.monotonic() - started_s < 4.0  # the protocol allows 3 s; 1 s is margin for a busy machine
 
 
 @pytest.mark.parametrize("settings", [SHORT_DEADLINE])
@@ -55,7 +55,7 @@
 
 
 @pytest.mark.parametrize("settings", [SHORT_DEADLINE])
-def test_huge_wait_is_bounded_by_the_deadline_of_the_class(balancer: Balancer) -> None:
+def test_client_timeout_is_bounded_by_the_deadline_of_the_class(balancer: Balancer) -> None:
     balancer.start()
     client = balancer.open(1, 999999999)
     server = balancer.server.accept_session()[0]  # sends no answer
--- a/tests/net/test_client_floods.py
+++ b/tests/net/test_client_floods.py
@@ -1,4 +1,4 @@
-"""Clients that send many lines at once."""
+"""Tests of clients that send many lines at once."""
 
 from typing import Any
 
@@ -18,7 +18,7 @@
 def test_flood_of_commands_in_one_turn_gets_one_answer_and_is_not_forwarded(
     balancer: Balancer, first: str, command: str
 ) -> None:
-    """The protocol allows no further line before the answer to the first one."""
+    """The protocol does not allow another line before the answer to the first line."""
     balancer.start()
     client = balancer.client()
     with balancer.paused():
@@ -28,7 +28,7 @@
 
 
 def test_flood_of_commands_during_an_attempt_ends_it(balancer: Balancer) -> None:
-    """The server's answer arrives in the same turn; the client gets one final answer only."""
+    """The server answers in the same event loop iteration. The client gets only one final answer."""
     balancer.start()
     client = balancer.open(1)
     server, _ = balancer.server.accept_session()
@@ -41,7 +41,7 @@
 
 
 def test_flood_of_lines_on_an_established_session_is_relayed_in_order(balancer: Balancer) -> None:
-    """Every line and every answer arrives once and unchanged, and another client is served meanwhile."""
+    """Every line and every answer arrives once and unchanged. Another client is served meanwhile."""
     balancer.start()
     client, server = balancer.establish(1)
     lines = [f"PING {number}" for number in range(FLOOD_LINES)]
--- a/tests/net/test_client_listener.py
+++ b/tests/net/test_client_listener.py
@@ -1,4 +1,4 @@
-"""Accepting clients within the limit on descriptors."""
+"""Tests of accepting clients within the file descriptor limit."""
 
 import re
 import resource
@@ -15,7 +15,7 @@
 
 
 def try_to_establish(balancer: Balancer, number: int) -> tuple[Peer, Peer] | None:
-    """Establish a session. Return the client's end and the server's, or None if the client was rejected."""
+    """Establish a session. Return the peers (client, server), or None if the client was rejected."""
     client = balancer.open(number)
     session = balancer.server.accept_session_unless_readable(client.sock)
     if session is None:
@@ -35,7 +35,7 @@
     assert select.select([idle[-1].sock], [], [], 0)[0] == []
 
 
-def test_out_of_descriptors_clients_are_rejected_and_later_served(balancer: Balancer) -> None:
+def test_clients_are_rejected_while_out_of_descriptors_and_served_afterwards(balancer: Balancer) -> None:
     balancer.start(files=64)
     numbers = count(2)
     established: list[tuple[Peer, Peer]] = []
@@ -61,15 +61,17 @@
     assert "health_checks_connect_failed" not in counters
 
 
-def test_health_checks_of_many_servers_spare_descriptors_for_clients(balancer: Balancer) -> None:
+def test_health_checks_of_many_servers_leave_descriptors_for_clients(balancer: Balancer) -> None:
     balancer.start([balancer.member(f"s{number}") for number in range(60)], files=100)
     established = [balancer.establish(number, f"g{number}") for number in range(1, 25)]
     assert len(established) == 24
-    assert len(balancer.server.health_checks) <= 12  # 10, and connections that are being closed
+    assert len(balancer.server.health_checks) <= 12  # a limit of 10, plus connections that are being closed
 
 
 @pytest.mark.parametrize("settings", [SHORT_DEADLINE])
-def test_request_with_an_open_sessions_id_is_rejected_however_old_the_session_is(balancer: Balancer) -> None:
+def test_request_with_the_id_of_an_open_session_is_rejected_even_if_the_session_is_old(
+    balancer: Balancer,
+) -> None:
     balancer.start([balancer.member("s1"), balancer.member("s2", phase="draining")])
     client, server = balancer.establish(0)
     for number in range(1, MAX_RECENT_IDS + 104):
--- a/tests/net/test_connection_close.py
+++ b/tests/net/test_connection_close.py
@@ -1,4 +1,4 @@
-"""Requests and lines that arrive as their connection is closed."""
+"""Tests of requests and lines that arrive while their connection is being closed."""
 
 import itertools
 import resource
@@ -13,13 +13,13 @@
 from support.balancer import SLOW_CONNECT, Balancer
 from support.peer import POLL_INTERVAL_S, Peer
 
-DESCRIPTORS = 64  # few enough that a test can use them up
-RECEIVE_BUFFER_BYTES = 4096  # small, so that it is soon full
-STUCK_AFTER_S = 0.3  # time after which a queue of the kernel that is not emptied counts as stuck
+DESCRIPTORS = 64  # low enough that a test can exhaust it
+RECEIVE_BUFFER_BYTES = 4096  # small, so that it fills quickly
+STUCK_AFTER_S = 0.3  # a kernel queue that is not emptied within this time is stuck
 
 
 class KernelQueues(NamedTuple):
-    """The bytes that the kernel holds at one end of a connection."""
+    """Number of bytes in the kernel's queues at one end of a connection."""
 
     to_send: int
     to_read: int
@@ -31,7 +31,7 @@
 
 
 def kernel_queues(balancer: Balancer, client: socket.socket) -> KernelQueues:
-    """Return the queues at the balancer's end of a client's connection."""
+    """Return the kernel queues at the balancer's end of a client connection."""
     local_port = f":{balancer.listen[1]:04X}"
     remote_port = f":{client.getsockname()[1]:04X}"
     for row in Path("/proc/net/tcp").read_text().splitlines()[1:]:
@@ -43,7 +43,7 @@
 
 
 def stays_filled(queue_bytes: Callable[[], int]) -> bool:
-    """Return whether a queue is not emptied for STUCK_AFTER_S."""
+    """Return whether a queue is not emptied within STUCK_AFTER_S."""
     end_s = time.monotonic() + STUCK_AFTER_S
     while queue_bytes():
         if time.monotonic() > end_s:
@@ -53,7 +53,7 @@
 
 
 def connect_with_small_receive_buffer(balancer: Balancer) -> Peer:
-    """Connect a client whose kernel takes little of what it does not read."""
+    """Connect a client with a small receive buffer."""
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
     sock.connect(balancer.listen)
@@ -61,12 +61,12 @@
 
 
 def has_ended(client: Peer) -> bool:
-    """Return whether the connection has already been ended; for a client that has been sent nothing."""
+    """Return whether the connection is already closed. The client must not have been sent any data."""
     return bool(select.select([client.sock], [], [], 0)[0])
 
 
 def use_up_descriptors(balancer: Balancer) -> list[Peer]:
-    """Lower the balancer's limit on descriptors, and connect clients until one is rejected. Return them."""
+    """Lower the balancer's descriptor limit and connect clients until one is rejected. Return them."""
     descriptors = [int(path.name) for path in Path(f"/proc/{balancer.process.pid}/fd").iterdir()]
     resource.prlimit(balancer.process.pid, resource.RLIMIT_NOFILE, (max(descriptors) + 1, 1024))
     idle = []
@@ -77,17 +77,17 @@
 
 @pytest.mark.parametrize("before", [b"", b"PING\r\n", b"OPEN 00000000000"])
 def test_request_is_served_as_its_idle_connection_would_be_evicted(balancer: Balancer, before: bytes) -> None:
-    """The oldest idle connection sends its request in the turn in which new connections would evict it."""
+    """The oldest idle client sends its request in the event loop iteration that would evict it."""
     balancer.start(files=DESCRIPTORS)
     idle = [balancer.client() for _ in range(2 * DESCRIPTORS)]
-    idle.append(balancer.pinged_client())  # all have been accepted, and the first ones evicted
+    idle.append(balancer.pinged_client())  # by now all are accepted, and the first ones evicted
     oldest = next(client for client in idle if not has_ended(client))
     first_line = b"OPEN 0000000000000001 key1 c=web,d=9000,g=abc\r\n"
     oldest.sock.sendall(before)
     if before.startswith(b"PING"):
         assert oldest.line() == "PONG"
     else:
-        balancer.counters()  # the balancer has read the part of the line by now
+        balancer.counters()  # by now the balancer has read the partial line
         first_line = first_line.removeprefix(before)
     with balancer.paused():
         oldest.sock.sendall(first_line)
@@ -105,11 +105,11 @@
 def test_request_after_the_end_of_its_connection_is_not_forwarded(
     balancer: Balancer, is_shutdown: bool, answer: str
 ) -> None:
-    """A client sends its first line after the balancer has answered it and ended the connection."""
+    """A client sends its first line after the balancer has sent a final answer and closed its side."""
     balancer.start()
     client = balancer.client()
     if is_shutdown:
-        balancer.counters()  # the balancer has accepted the client by now
+        balancer.counters()  # by now the balancer has accepted the client
         balancer.terminate()
     assert client.lines_to_the_end() == [answer]
     balancer.open(1, client=client)
@@ -121,11 +121,11 @@
 
 
 def test_request_in_the_backlog_is_answered_without_a_descriptor(balancer: Balancer) -> None:
-    """The client is rejected on the spare descriptor, without a reset over its unread request."""
+    """The client is rejected by the spare descriptor, without a reset because of its unread request."""
     balancer.settings = balancer.settings | {"discovery": "pushed"}
     balancer.start()
     watch, _ = balancer.discovery.watch()
-    watch.begin_watch()  # from now on the balancer itself opens no connection
+    watch.begin_watch()  # from now on the balancer opens no connections itself
     _idle = use_up_descriptors(balancer)
     with balancer.paused():
         client = balancer.open(1)
@@ -138,7 +138,7 @@
 def test_one_request_among_idle_clients_that_fill_the_descriptors(
     balancer: Balancer, idle_after_request: int
 ) -> None:
-    """All clients are in the backlog at once."""
+    """All clients are in the backlog at the same time."""
     balancer.start(files=DESCRIPTORS)
     with balancer.paused():
         idle = [balancer.client() for _ in range(2 * DESCRIPTORS)]
@@ -152,7 +152,7 @@
 
 
 def test_partial_line_of_a_server_is_dropped_at_its_close(balancer: Balancer) -> None:
-    """The complete line before it is relayed in the same turn, and then the end of the connection."""
+    """The preceding complete line is relayed in the same event loop iteration, followed by the close."""
     balancer.start()
     client, server = balancer.establish(1)
     with balancer.paused():
@@ -163,7 +163,7 @@
 
 
 def test_partial_line_of_a_server_does_not_precede_a_migration_in_one_turn(balancer: Balancer) -> None:
-    """The partial line arrives in the turn in which a balancer that shuts down migrates its clients."""
+    """The partial line arrives in the event loop iteration in which the shutdown migrates the client."""
     balancer.start()
     client, server = balancer.establish(1)
     balancer.begin_shutdown()
@@ -178,7 +178,7 @@
 
 
 def test_last_line_of_a_client_reaches_a_server_that_sent_a_partial_line(balancer: Balancer) -> None:
-    """The client disconnects in the same turn, so the balancer closes the server's side over unread bytes."""
+    """The client disconnects as the partial line arrives, so the server side is closed with unread bytes."""
     balancer.start()
     client, server = balancer.establish(1)
     with balancer.paused():
@@ -190,7 +190,7 @@
 
 
 def test_last_line_in_the_kernel_survives_the_close_over_pending_bytes(balancer: Balancer) -> None:
-    """The client reads nothing until the balancer has closed, and has sent lines that nobody reads."""
+    """The client reads nothing until the balancer has closed, and has sent lines that are never read."""
     balancer.server.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
     balancer.start()
     client = balancer.open(1, client=connect_with_small_receive_buffer(balancer))
@@ -204,7 +204,7 @@
     client.send("x" * 4000)
     # The server reads nothing, so the balancer stops reading from the client.
     while not stays_filled(lambda: kernel_queues(balancer, client.sock).to_read):
-        server.send(f"{next(numbers):0100}")  # keeps the server from being unresponsive
+        server.send(f"{next(numbers):0100}")  # prevents the server from counting as unresponsive
         client.send(*["x" * 4000] * 8)  # half of MAX_DISCARDED_BYTES
     server.send("BYE")
     server.sock.shutdown(socket.SHUT_WR)
--- a/tests/net/test_discovery_watcher.py
+++ b/tests/net/test_discovery_watcher.py
@@ -1,4 +1,4 @@
-"""The watch on discovery: its messages, its time-outs, and its failures."""
+"""Tests of the watch on discovery: messages, timeouts and failures."""
 
 import json
 import re
@@ -27,7 +27,7 @@
     watch.send("HTTP/1.1 503 Busy", "Content-Length: 0", "")
     watch, _ = balancer.discovery.watch()
     watch.begin_watch()
-    watch.chunk(2, balancer.member("s1"))  # at the address of the test's server
+    watch.chunk(2, balancer.member("s1"))  # at the address of the test server
     watch.chunk(3, balancer.member("s2", host_port="127.0.0.1:1", phase="draining"))
     watch.send("1", "\n")
     watch.chunk(4, balancer.member("s3", phase="odd"))
@@ -49,12 +49,12 @@
     watch.begin_watch()
     watch.chunk(2, balancer.member("s2"))
     watch.close()
-    balancer.discovery.watch()  # the balancer has handled the third failure by now
+    balancer.discovery.watch()  # by now the balancer has handled the third failure
     assert balancer.stop().count("endpoint_watch_ended") == 2
 
 
 def send_indented(watch: Peer, revision: int, *members: dict[str, Any]) -> None:
-    """Send one list over several lines, each in a chunk of its own, with an empty line at the end."""
+    """Send one list that spans several lines, each in its own chunk, with an empty line at the end."""
     document = {"revision": revision, "complete": False, "members": members, "note": 'a "}" in { text'}
     for line in [*json.dumps(document, indent=2).splitlines(), ""]:
         watch.send(f"{len(line) + 1:x}", line + "\n")
@@ -88,7 +88,7 @@
     balancer.start()
     watch, _ = balancer.discovery.watch()
     watch.begin_watch()
-    for _ in range(20):  # for 10 s, one byte each half second
+    for _ in range(20):  # one byte every half second, for 10 s
         with suppress(OSError):  # the balancer may have closed the watch
             watch.send("1", "{")
         if select.select([balancer.discovery.sock], [], [], 0.5)[0]:
@@ -103,7 +103,7 @@
     watch.chunk(2, balancer.member("s2"))
     last_message_s = time.monotonic()
     balancer.discovery.watch()
-    # Discovery counts changes as notified after 6 s. IDLE_TIMEOUT_S and the back-off come to 4.5 s at most.
+    # Discovery counts a change as delivered after 6 s. IDLE_TIMEOUT_S plus the backoff is at most 4.5 s.
     assert time.monotonic() - last_message_s < 5.2
 
 
@@ -118,7 +118,7 @@
     watch.close()
     closed_s = time.monotonic()
     balancer.discovery.watch()
-    # The first back-off is 1.5 s at most; that of a fourth failure in a row is 4 to 12 s.
+    # The first backoff is at most 1.5 s; after a fourth consecutive failure it would be 4 to 12 s.
     assert time.monotonic() - closed_s < 3.0
 
 
--- a/tests/net/test_endpoint_stream.py
+++ b/tests/net/test_endpoint_stream.py
@@ -1,4 +1,4 @@
-"""The decoder of discovery's answers: bytes in, messages out."""
+"""Tests of the decoder for discovery's responses."""
 
 import json
 
@@ -18,7 +18,7 @@
 
 
 def endpoint_list(revision: int, *, complete: bool = False, indent: int | None = None) -> bytes:
-    """Return a list with one server, whose name contains a quotation mark and a bracket."""
+    """Return an endpoint list with one server whose name contains a quotation mark and a bracket."""
     member = {"id": 'a"}', "phase": "ready", "host_port": "127.0.0.1:80"}
     return json.dumps(
         {"revision": revision, "complete": complete, "members": [member]}, indent=indent
@@ -62,12 +62,12 @@
 @pytest.mark.parametrize(
     ("stream", "reason"),
     [
-        (b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", "discovery answered 503"),
+        (b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", "discovery answered with status 503"),
         (b"no HTTP at all\r\n\r\n", "HTTP"),
-        (CHUNKED + chunk(b"{\n}\n"), "discovery sent no list: KeyError"),
-        (CHUNKED + chunk(b"[1]\n"), "discovery sent no list: TypeError"),
+        (CHUNKED + chunk(b"{\n}\n"), "invalid endpoint list from discovery: KeyError"),
+        (CHUNKED + chunk(b"[1]\n"), "invalid endpoint list from discovery: TypeError"),
         (CHUNKED + b"0\r\n\r\n", "discovery ended the watch"),
-        (CHUNKED + chunk(b"[" * (MAX_LIST_BYTES + 1)), "discovery sent a list without an end"),
+        (CHUNKED + chunk(b"[" * (MAX_LIST_BYTES + 1)), "endpoint list from discovery exceeds the size limit"),
     ],
 )
 def test_invalid_stream_raises_an_error(stream: bytes, reason: str) -> None:
@@ -80,5 +80,5 @@
     stream = CHUNKED + chunk(endpoint_list(3) + b"\nnothing\n" + endpoint_list(4) + b"\n")
     messages = EndpointStreamDecoder(is_stream=True).receive(stream)
     assert summary([next(messages), next(messages)]) == [ResponseStarted, 3]
-    with pytest.raises(DiscoveryError, match="no list"):
+    with pytest.raises(DiscoveryError, match="invalid endpoint list"):
         next(messages)
--- a/tests/net/test_graceful_shutdown.py
+++ b/tests/net/test_graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""SIGTERM: clients are still served, then migrated, and every client gets an answer."""
+"""Tests of the shutdown after SIGTERM: clients are served, then migrated, and each gets an answer."""
 
 import re
 import time
@@ -14,7 +14,7 @@
 
 
 @pytest.mark.parametrize("settings", [{}])
-def test_clients_are_still_accepted_and_then_migrated(balancer: Balancer) -> None:
+def test_clients_are_accepted_during_the_shutdown_and_then_migrated(balancer: Balancer) -> None:
     balancer.start()
     client, server = balancer.establish(1)
     balancer.terminate()
@@ -42,7 +42,7 @@
     for client in (established, waiting):
         client.close()
     assert balancer.wait() == 0
-    # The shutdown may take 3.7 s. Neither the deadline of 9 s nor the silent client may prolong it.
+    # The shutdown may take 3.7 s. Neither the deadline of 9 s nor the silent client must prolong it.
     assert time.monotonic() - terminated_s < 7.0
 
 
@@ -64,7 +64,7 @@
     balancer.begin_shutdown()
     with balancer.paused():
         server.send("UP r")
-        time.sleep(3.2)  # until all clients without a session are rejected
+        time.sleep(3.2)  # until all clients without a session have been rejected
     lines = [client.line(), client.line(), client.line()]
     assert lines[0].split()[0] in ("UP", "BUSY")
     assert lines[1:] == (["MOVE", ""] if lines[0] == "UP r" else ["", ""])
--- a/tests/net/test_health_checker.py
+++ b/tests/net/test_health_checker.py
@@ -1,4 +1,4 @@
-"""Health checks: idle connections, repeated checks, unexpected answers, the time-out."""
+"""Tests of health checks: idle connections, repeated checks, unexpected answers, and the timeout."""
 
 from typing import Any
 
@@ -15,9 +15,9 @@
 
 
 def start_with_pending_check(balancer: Balancer) -> tuple[Peer, Peer]:
-    """Start the balancer, and let a second request cause a health check on the idle connection.
+    """Start the balancer and trigger a health check on the idle connection by a second request.
 
-    Returns the connection, on which the check waits for its answer, and the client of the second request.
+    Returns the connection with the unanswered check, and the client of the second request.
     """
     balancer.start()
     balancer.establish(1)
@@ -28,7 +28,7 @@
 
 
 def serve_waiting_client(balancer: Balancer, client: Peer) -> dict[str, int]:
-    """Answer the repeated health check, and establish the waiting client's session. Return the counters."""
+    """Answer any health check and establish the waiting client's session. Return the counters."""
     server, line = balancer.server.accept_session()
     assert "0000000000000002" in line
     server.send("UP r")
@@ -39,14 +39,16 @@
 @pytest.mark.parametrize("reset", [False, True])
 def test_idle_connection_that_ends_as_a_check_is_sent_is_no_failure(balancer: Balancer, reset: bool) -> None:
     health_check, client = start_with_pending_check(balancer)
-    health_check.close(reset)  # the balancer cannot tell whether the server had received the check
+    health_check.close(reset)  # the balancer cannot know whether the server received the check
     counters = serve_waiting_client(balancer, client)
     assert counters.get("health_checks_repeated") == 1
     assert "health_checks_reset" not in counters
 
 
 @pytest.mark.parametrize(("objective_ms", "timeout_s"), [(50.0, 0.1), (100.0, 0.2), (0.0, 0.25)])
-def test_timeout_is_twice_the_shortest_objective(objective_ms: float, timeout_s: float) -> None:
+def test_health_check_timeout_is_twice_the_shortest_latency_objective(
+    objective_ms: float, timeout_s: float
+) -> None:
     assert UpstreamLimits(0.25, 15.0, True, objective_ms, 100).health_check_timeout_s == timeout_s
 
 
--- a/tests/net/test_open_request.py
+++ b/tests/net/test_open_request.py
@@ -1,4 +1,4 @@
-"""The first line of a client: its syntax, and what a server gets of it."""
+"""Tests of the OPEN line: its syntax, and what is forwarded to a server."""
 
 import pytest
 from support.balancer import Balancer
@@ -7,15 +7,15 @@
 from wheatstile.net.open_request import OpenRequest
 
 
-def test_open_line_is_forwarded_unchanged_but_for_the_wait(balancer: Balancer) -> None:
+def test_open_line_is_forwarded_unchanged_except_for_the_timeout(balancer: Balancer) -> None:
     balancer.start()
     _client = balancer.open(7, 8765, ",r=1,x=1.50,again=1")
     line = balancer.server.accept_session()[1]
     before, _, rest = line.partition("d=")
-    wait, _, after = rest.partition(",")
+    timeout_ms, _, after = rest.partition(",")
     assert before == "OPEN 0000000000000007 key7 c=web,"
     assert after == "g=abc,r=1,x=1.50,again=1"
-    assert 0 < int(wait) <= 8765 // 2, line
+    assert 0 < int(timeout_ms) <= 8765 // 2, line
 
 
 def test_malformed_open_line_gets_one_error_and_is_not_forwarded(balancer: Balancer) -> None:
@@ -52,21 +52,21 @@
         (b"c=web,g=a,add=7,d=900", b"c=web,g=a,add=7,d=1"),
     ],
 )
-def test_wait_is_replaced_at_any_position(fields: bytes, forwarded: bytes) -> None:
+def test_timeout_is_replaced_at_any_position(fields: bytes, forwarded: bytes) -> None:
     request = OpenRequest.parse(b"OPEN 0000000000000001 k " + fields + b"\r\n")
-    assert request.wait_ms == 900
-    assert request.line_with_wait(1) == b"OPEN 0000000000000001 k " + forwarded + b"\r\n"
+    assert request.timeout_ms == 900
+    assert request.line_with_timeout(1) == b"OPEN 0000000000000001 k " + forwarded + b"\r\n"
 
 
 @pytest.mark.parametrize(
     ("fields", "reason"),
     [
-        (b"c=web,d=900", "a field is missing"),
-        (b"c=web,d=9x,g=a", "d is no time to wait"),
-        (b"c=web,d=900,g=a,h=x", "h is no load"),
-        (b"c=web,d=900,g=a,g=b", "g twice"),
-        (b"c=web,d=900,g=a,r=0", "a flag that is not 1"),
-        (b"c=web,d=900,g=", "no field"),
+        (b"c=web,d=900", "a required field is missing"),
+        (b"c=web,d=9x,g=a", "field d is not a timeout in milliseconds"),
+        (b"c=web,d=900,g=a,h=x", "field h is not a valid load"),
+        (b"c=web,d=900,g=a,g=b", "field g is repeated"),
+        (b"c=web,d=900,g=a,r=0", "flag has a value other than 1"),
+        (b"c=web,d=900,g=", "field is not NAME=VALUE"),
     ],
 )
 def test_error_names_the_reason(fields: bytes, reason: str) -> None:
--- a/tests/net/test_repeat_window.py
+++ b/tests/net/test_repeat_window.py
@@ -1,4 +1,4 @@
-"""Retries of requests with an idempotency key, within the deduplication window and after it."""
+"""Tests of retries of requests with an idempotency key, within and after the deduplication window."""
 
 import time
 from typing import Any
@@ -6,7 +6,7 @@
 import pytest
 from support.balancer import SLOW_CONNECT, Balancer, with_class
 
-WINDOW_US = 3_000_000  # longer than the kernel takes to retransmit a connection's first packet
+WINDOW_US = 3_000_000  # longer than the kernel takes to retransmit a SYN
 AFTER_THE_WINDOW_S = 3.2
 
 
@@ -19,7 +19,7 @@
 def test_keyed_request_that_fails_after_its_window_is_not_retried(
     balancer: Balancer, scope: str, answer: str
 ) -> None:
-    """The balancer reads the failure after the end of the window."""
+    """The balancer reads the failed answer after the window has ended."""
     balancer.settings = balancer.settings | with_class("dedup", scope, 300_000)
     balancer.start()
     client = balancer.open(1)
@@ -35,7 +35,7 @@
 def test_keyed_retry_that_connects_after_the_window_is_not_sent(
     balancer: Balancer, scope: str, answer: str
 ) -> None:
-    """The retry is decided within the window, but its open line would be sent after it."""
+    """The retry starts within the window, but its open line would be sent after the window."""
     balancer.settings = balancer.settings | with_class("dedup", scope, WINDOW_US)
     balancer.start()
     client = balancer.open(1)
@@ -53,7 +53,7 @@
 
 
 def test_keyed_retry_that_connects_within_the_window_is_sent(balancer: Balancer) -> None:
-    """The order of events is the same as above, in a longer window."""
+    """The events are the same as in the previous test, but the window is longer."""
     balancer.settings = balancer.settings | with_class("dedup", "zone", 60_000_000)
     balancer.start()
     client = balancer.open(1)
--- a/tests/net/test_session_relay.py
+++ b/tests/net/test_session_relay.py
@@ -1,11 +1,11 @@
-"""The relay of an established session, and how it ends."""
+"""Tests of the relay of an established session, and how it ends."""
 
 from typing import Any
 
 import pytest
 from support.balancer import SLOW_CONNECT, WITHOUT_HEALTH_CHECKS, Balancer
 
-MAX_BUFFERED_BYTES = 64 << 20  # more than the kernel's buffers hold
+MAX_BUFFERED_BYTES = 64 << 20  # more than the kernel buffers
 
 
 @pytest.fixture
@@ -14,7 +14,7 @@
 
 
 @pytest.mark.parametrize("settings", [{}])
-def test_lines_and_the_end_are_relayed(balancer: Balancer) -> None:
+def test_lines_and_the_close_are_relayed(balancer: Balancer) -> None:
     balancer.start()
     client, server = balancer.establish()
     client.send("a", "b" * 4000)
@@ -39,7 +39,7 @@
     assert server.line() == ""
 
 
-def test_client_that_reads_nothing_slows_its_server_down_and_loses_no_line(balancer: Balancer) -> None:
+def test_client_that_reads_nothing_applies_backpressure_and_loses_no_line(balancer: Balancer) -> None:
     balancer.start()
     client, server = balancer.establish()
     sent_bytes = 0
@@ -78,7 +78,7 @@
 def test_no_migration_follows_the_upstreams_final_line(balancer: Balancer, final_line: str) -> None:
     balancer.start()
     client, server = balancer.establish()
-    server.send(final_line)  # without ending the connection
+    server.send(final_line)  # without closing the connection
     assert client.line() == final_line
     balancer.terminate()
     assert client.line() == ""
@@ -88,7 +88,7 @@
 def test_line_that_begins_with_a_final_keyword_does_not_end_the_session(
     balancer: Balancer, line: str
 ) -> None:
-    """Guards against a client that is cut off without MOVE, since its server's last line was taken for it."""
+    """Guards against disconnecting a client without MOVE after mistaking its server's last line for final."""
     balancer.start()
     client, server = balancer.establish()
     server.send(line)
--- a/tests/net/test_session_reopen.py
+++ b/tests/net/test_session_reopen.py
@@ -1,4 +1,4 @@
-"""Sessions that were established before this process started."""
+"""Tests of reopening sessions that were established before the process started."""
 
 import select
 
@@ -18,11 +18,11 @@
 
 
 @pytest.mark.parametrize("settings", [SHORT_CONNECT])
-def test_session_is_reopened_though_its_server_is_slow_to_accept(balancer: Balancer) -> None:
+def test_session_is_reopened_at_a_server_that_is_slow_to_accept(balancer: Balancer) -> None:
     balancer.start()
     ahead = balancer.server.fill_backlog()
     client = balancer.open(3, 4294967, ",at=s1")
-    assert select.select([client.sock], [], [], 0.5)[0] == []  # the balancer has not given up
+    assert select.select([client.sock], [], [], 0.5)[0] == []  # the balancer is still connecting
     for sock in ahead:
         sock.close()
     while not (line := balancer.server.accept().line()):
--- a/tests/net/test_session_setup.py
+++ b/tests/net/test_session_setup.py
@@ -1,4 +1,4 @@
-"""The setup of a session: its attempts, and clients and servers that leave meanwhile."""
+"""Tests of the setup of a session: its attempts, client disconnects, and removed or draining servers."""
 
 from typing import Any
 
@@ -34,7 +34,7 @@
 
 
 @pytest.mark.parametrize("settings", [{}])
-def test_rejected_request_is_given_a_time_to_retry_after(balancer: Balancer) -> None:
+def test_rejection_has_a_retry_after_time(balancer: Balancer) -> None:
     balancer.start([])
     keyword, _, retry_after_ms = balancer.open(wait=300).line().partition(" ")
     assert keyword == "BUSY"
@@ -42,11 +42,11 @@
 
 
 @pytest.mark.parametrize("settings", [WITHOUT_HEALTH_CHECKS])
-def test_attempt_without_answer_ends_in_time(balancer: Balancer) -> None:
+def test_attempt_without_an_answer_times_out_before_its_client(balancer: Balancer) -> None:
     balancer.start()
     client = balancer.open(wait=1200)
     first = balancer.server.accept_session()[0]
-    assert first.line() == ""  # closed before its client's time is over
+    assert first.line() == ""  # closed before the client's timeout expires
     assert client.line().split()[0] in ("BUSY", "ERR")
 
 
@@ -57,7 +57,7 @@
     client = balancer.open(1)
     balancer.server.wait_for_connect()
     with balancer.paused():
-        server = balancer.server.accept_waiting(ahead)  # the connect succeeds before the client leaves
+        server = balancer.server.accept_waiting(ahead)  # the connect succeeds before the client disconnects
         client.close(reset)
     assert server.line() == ""
     balancer.server.sock.listen(100)
@@ -65,9 +65,9 @@
 
 
 def assert_upstream_ended(server: Peer, reset: bool) -> None:
-    """Expect the server's side to end without a line, by a reset only if the client has reset its side.
+    """Check that the server's connection ends without a line, by a reset only if the client reset its own.
 
-    The balancer may read the client's reset before the server's line, and then resets the server's side.
+    If the balancer reads the client's reset before the server's line, it resets the server's connection.
     """
     try:
         assert server.line() == ""
@@ -106,12 +106,12 @@
 @pytest.mark.parametrize("settings", [SLOW_HEALTH_CHECKS])
 def test_client_that_disconnects_during_a_health_check_is_not_forwarded(balancer: Balancer) -> None:
     balancer.start()
-    balancer.establish(1)  # opens a connection for health checks
+    balancer.establish(1)  # opens the health check connection
     client = balancer.open(2)
     health_check = balancer.server.health_checks[0]
     assert health_check.line() == "STATS"
     with balancer.paused():
-        health_check.send("PONG x0=0.3")  # arrives before the client's end
+        health_check.send("PONG x0=0.3")  # arrives before the client's disconnect
         client.close()
     assert balancer.check_serving(3)["attempts_established"] == 2
 
@@ -149,7 +149,7 @@
 
 @pytest.mark.parametrize("drain_grace_us", [250_000, 2_500_000])
 def test_drain_while_connecting_sends_no_open_line(balancer: Balancer, drain_grace_us: int) -> None:
-    """No request is sent to a draining server, whatever drain grace the settings allow."""
+    """No request is sent to a draining server, regardless of the drain grace period in the settings."""
     rules = SETTINGS["rules"] | {"drainGraceUs": drain_grace_us}
     balancer.settings = SLOW_CONNECT | {"rules": rules}
     other = Listener()
--- a/tests/net/test_unresponsive_upstream_detector.py
+++ b/tests/net/test_unresponsive_upstream_detector.py
@@ -1,4 +1,4 @@
-"""Servers that do not answer a client's lines."""
+"""Test of a server that does not answer a client's lines."""
 
 from typing import Any
 
@@ -11,7 +11,7 @@
     return WITHOUT_HEALTH_CHECKS
 
 
-def test_unresponsive_upstream_migrates_its_client(balancer: Balancer) -> None:
+def test_client_of_an_unresponsive_upstream_is_migrated(balancer: Balancer) -> None:
     balancer.start()
     client, _server = balancer.establish()
     client.send("a line without an answer")
--- a/tests/net/test_upstream_attempt.py
+++ b/tests/net/test_upstream_attempt.py
@@ -1,4 +1,4 @@
-"""Attempts with a slow connect, or with an incomplete answer."""
+"""Tests of attempts with a slow connect or an incomplete answer."""
 
 import time
 from contextlib import suppress
@@ -19,7 +19,7 @@
 def test_incomplete_answer_is_a_failed_attempt_and_is_not_relayed(
     balancer: Balancer, part: str, reset: bool
 ) -> None:
-    """A line without its end is not an answer. An idempotent request is retried on a new connection."""
+    """A line without a line ending is not an answer. An idempotent request is retried."""
     balancer.start()
     client = balancer.open(1)
     first, _ = balancer.server.accept_session()
@@ -37,7 +37,7 @@
 def test_incomplete_answer_is_not_retried_where_the_request_may_have_run(
     balancer: Balancer, part: str
 ) -> None:
-    """A request that is not idempotent fails: no second attempt, and no `BUSY`, which permits a retry."""
+    """A non-idempotent request fails with ERR. `BUSY` would permit the client to retry it."""
     balancer.settings = balancer.settings | with_class("fragile")
     balancer.start()
     client = balancer.open(1)
@@ -50,7 +50,7 @@
 
 @pytest.mark.parametrize("answer", [b"UP " + b"r" * 100_000, b"UP r"], ids=["flood", "partial line"])
 def test_answer_without_an_end_is_closed_before_the_next_attempt(balancer: Balancer, answer: bytes) -> None:
-    """A line that is too long fails at once, a partial line at the attempt's time-out."""
+    """A line that is too long fails the attempt immediately, a partial line at the attempt's timeout."""
     balancer.start()
     client = balancer.open(1, wait=6000)
     first, _ = balancer.server.accept_session()
@@ -64,7 +64,7 @@
 
 
 def test_endless_line_of_a_server_ends_the_session(balancer: Balancer) -> None:
-    """The line before it is relayed, and no part of the endless line."""
+    """The preceding line is relayed, but no part of the endless line."""
     balancer.start()
     client, server = balancer.establish(1)
     with suppress(ConnectionError):
@@ -75,7 +75,7 @@
 
 
 def test_slow_connect_is_used_with_the_remaining_time(balancer: Balancer) -> None:
-    """The open line names no more than the rest of the client's time to wait."""
+    """The open line carries at most the remainder of the client's timeout."""
     balancer.start()
     ahead = balancer.server.fill_backlog()
     started_s = time.monotonic()
@@ -86,14 +86,14 @@
         time.sleep(max(0.0, started_s + 1.5 - time.monotonic()))
     line = server.line()
     assert line.startswith("OPEN 0000000000000001 ")
-    wait_ms = int(line.partition("d=")[2].partition(",")[0])
-    assert 0 < wait_ms <= 9000 - 1500
+    timeout_ms = int(line.partition("d=")[2].partition(",")[0])
+    assert 0 < timeout_ms <= 9000 - 1500
     server.send("UP r")
     assert client.line() == "UP r"
 
 
 def test_connect_timeout_closes_the_attempt_before_the_next(balancer: Balancer) -> None:
-    """The settings allow 1 s to connect. There are never two attempts at once."""
+    """The connect timeout in the settings is 1 s. There are never two attempts at the same time."""
     balancer.settings = balancer.settings | {"limits": SLOW_CONNECT["limits"] | {"dialTimeoutUs": 1_000_000}}
     balancer.start()
     watch, _ = balancer.discovery.watch()
@@ -108,4 +108,4 @@
     assert not balancer.server.is_connecting()
     server.send("UP r")
     assert client.line() == "UP r"
-    assert len(ahead) > 0  # the connections have kept the backlog full until now
+    assert len(ahead) > 0  # keeps the connections open, so that the backlog is full until here
--- a/tests/net/test_upstream_reply.py
+++ b/tests/net/test_upstream_reply.py
@@ -1,4 +1,4 @@
-"""The parser for the lines of servers."""
+"""Tests of the parser for lines of servers."""
 
 import pytest
 
--- a/wheatstile/net/__init__.py
+++ b/wheatstile/net/__init__.py
@@ -1,1 +1,1 @@
-"""The balancer's sockets: a decision loop that knows no protocol, and modules for each kind of peer."""
+"""Network code of the balancer: the decision loop, and connections to clients, servers and discovery."""
--- a/wheatstile/net/client_connection.py
+++ b/wheatstile/net/client_connection.py
@@ -1,4 +1,4 @@
-"""A client's connection from accept to close: its first line, its session, and its last line."""
+"""Handling of one client connection from accept to close."""
 
 import asyncio
 import socket
@@ -15,32 +15,32 @@
 from wheatstile.net.session_relay import SessionRelay, relay_client
 from wheatstile.net.session_setup import SessionSetup, SetupContext
 
-RETRY_AFTER_MS = 1000  # sent with a rejection during the shutdown or for lack of descriptors
+RETRY_AFTER_MS = 1000  # for rejections during the shutdown or when file descriptors run out
 
 
 class ConnectionOwner(SetupContext, Protocol):
-    """The listener, as the connections that it accepted use it."""
+    """Interface of the listener that a client connection uses."""
 
     decisions: DecisionLoop
     limits: ClientLimits
 
     def register_id(self, session_id: str) -> bool:
-        """Register a session's id. Return whether it is new."""
+        """Record a session id as used. Return False if it was already in use or used recently."""
 
     def has_capacity(self) -> bool:
-        """Return whether there are enough descriptors for another session."""
+        """Return whether enough file descriptors are free for another session."""
 
-    def admit(self, connection: "ClientConnection", session: Session) -> None:
-        """Register the session that the connection has requested."""
+    def add_session(self, connection: "ClientConnection", session: Session) -> None:
+        """Register the session that the client has requested on this connection."""
 
-    def release(self, connection: "ClientConnection", session: Session) -> None:
-        """Remove the session, which has ended."""
+    def remove_session(self, connection: "ClientConnection", session: Session) -> None:
+        """Remove a session that has ended. Does nothing if it has already been removed."""
 
 
 class ClientConnection:
-    """One client's connection and its session. Owns both sides' sockets from accept to close.
+    """One client connection and its session. Owns the sockets to the client and to the server.
 
-    `task`: runs the connection; set by the listener.
+    `task`: the task that executes `run`; set by the listener.
     """
 
     def __init__(self, owner: ConnectionOwner, sock: socket.socket) -> None:
@@ -53,30 +53,30 @@
         self._migration: asyncio.Future[MigrationReason] = asyncio.get_running_loop().create_future()
 
     def has_pending_input(self) -> bool:
-        """Return whether the client has sent input that has not been read."""
+        """Return whether the socket has unread input from the client."""
         return self._stream.has_pending_input()
 
     def migrate(self, reason: MigrationReason) -> None:
-        """Tell the client to connect again, at once or as soon as its session is established."""
+        """Tell the client to reconnect, now or as soon as its session is established."""
         request_migration(self._migration, reason)
 
     def reject(self) -> None:
-        """Reject the client if it has not sent its first line yet."""
+        """Reject the client unless its first line has already arrived."""
         self._first_line.stop()
 
     async def run(self) -> None:
-        """Serve the client. Both sides' sockets are closed here and nowhere else."""
+        """Serve the client, then close both connections. The client's socket is closed only here."""
         reset = False
         try:
             last_line = await self._serve()
             await self._stop_reading()
-            await self._stream.finish(last_line)
+            await self._stream.send_last_line(last_line)
         except ClientDisconnectedError as error:
             reset = error.reset
         except ProtocolError:
             self._decisions.counters["protocol_errors"] += 1
             await self._stop_reading()
-            await self._stream.finish(ERROR_LINE)
+            await self._stream.send_last_line(ERROR_LINE)
         finally:
             await self._stop_reading()
             if self.session:
@@ -88,7 +88,7 @@
             await self.session.stop_reading()
 
     async def _serve(self) -> bytes:
-        """Read the request and serve it. Return the client's last line; empty if there is none to send.
+        """Read the request and serve it. Return the last line to send to the client, or b"" for none.
 
         Raises ProtocolError and ClientDisconnectedError.
         """
@@ -107,15 +107,15 @@
         return await self._run_session(request)
 
     async def _run_session(self, request: OpenRequest) -> bytes:
-        """Set up and relay the session. Return the client's last line; empty if there is none to send."""
+        """Set up and relay the session. Return the last line to send to the client, or b"" for none."""
         session = Session(request, self._stream, self._decisions, self._migration)
         self.session = session
-        self._owner.admit(self, session)
+        self._owner.add_session(self, session)
         session.client_reader = asyncio.create_task(relay_client(session))
         try:
             final_answer = await SessionSetup(session, self._owner).run()
             if final_answer is not None:
                 return final_answer
-            return await SessionRelay(session, lambda: self._owner.release(self, session)).run()
+            return await SessionRelay(session, lambda: self._owner.remove_session(self, session)).run()
         finally:
-            self._owner.release(self, session)
+            self._owner.remove_session(self, session)
--- a/wheatstile/net/client_listener.py
+++ b/wheatstile/net/client_listener.py
@@ -1,4 +1,4 @@
-"""Accepts clients, and bounds their number by the descriptors that the process may open."""
+"""Listener that accepts clients and keeps the process within its file descriptor limit."""
 
 import asyncio
 import errno
@@ -21,23 +21,23 @@
 
 log = structlog.get_logger()
 
-MAX_RECENT_IDS = 1 << 12  # session ids that are kept to detect a repeat, besides those of open sessions
-RESERVED_DESCRIPTORS = 20  # standard streams, event loop, listener, discovery, the spare descriptor
-PENDING_SHARE = 1 / 8  # share of the descriptors for connections without a session
-DESCRIPTORS_PER_SESSION = 2  # the client's connection and the server's
+MAX_RECENT_IDS = 1 << 12  # recently used session ids that are kept, to detect a repeated request
+RESERVED_DESCRIPTORS = 20  # for standard streams, event loop, listener, discovery and spare descriptor
+PENDING_SHARE = 1 / 8  # minimum share of the descriptors for connections without a session
+DESCRIPTORS_PER_SESSION = 2  # one for the client connection, one for the server connection
 ACCEPT_RETRY_S = 0.01
 
 
 class ClientListener:
     """Accepts clients and owns their connections until they end.
 
-    A connection without a session is pending: it has not requested one yet, or it is being closed. Some
-    descriptors are kept for pending connections, so that each client can be answered. When these are in use,
-    the oldest pending connection is evicted.
+    A connection is pending while it has no session: before the client's request, and while the connection
+    is being closed. Some descriptors are reserved for pending connections, so that every client gets an
+    answer. When all of them are in use, the oldest pending connection is evicted.
 
     Attributes:
-        limits: the limits in force; a reload replaces them.
-        connections: all connections by their tasks, the oldest first.
+        limits: the current limits; a configuration reload replaces them.
+        connections: all connections by task, oldest first.
     """
 
     def __init__(self, decisions: DecisionLoop, upstreams: UpstreamPool, limits: ClientLimits) -> None:
@@ -45,14 +45,14 @@
         self.upstreams = upstreams
         self.limits = limits
         self.connections: dict[asyncio.Task[None], ClientConnection] = {}
-        self._pending: dict[ClientConnection, asyncio.Task[None]] = {}  # the oldest first
-        self._recent_ids: OrderedDict[str, None] = OrderedDict()  # the oldest first
+        self._pending: dict[ClientConnection, asyncio.Task[None]] = {}  # oldest first
+        self._recent_ids: OrderedDict[str, None] = OrderedDict()  # oldest first
         self._spare_descriptor = _open_spare_descriptor()
 
     def register_id(self, session_id: str) -> bool:
-        """Register a session's id. Return whether it is new; a repeat would duplicate the session.
+        """Record a session id as used. Return False for a repeated id, which would duplicate a session.
 
-        The ids of open sessions are checked too, since they may be older than all ids that are kept.
+        The ids of open sessions are checked separately: they may have been dropped from the recent ids.
         """
         if session_id in self._recent_ids or session_id in self.decisions.sessions:
             return False
@@ -61,41 +61,42 @@
             self._recent_ids.popitem(last=False)
         return True
 
-    def max_wait_ms(self, request: OpenRequest) -> int:
-        """Return how many milliseconds the request's client waits at most. Raises KeyError for its class."""
-        return min(request.wait_ms, self.limits.deadlines_ms[request.service_class])
+    def max_timeout_ms(self, request: OpenRequest) -> int:
+        """Return the lower of the request's timeout and the deadline of its class. Raises KeyError."""
+        return min(request.timeout_ms, self.limits.deadlines_ms[request.service_class])
 
-    def admit(self, connection: ClientConnection, session: Session) -> None:
-        """Register the session that a connection has requested. The connection is no longer pending."""
+    def add_session(self, connection: ClientConnection, session: Session) -> None:
+        """Register the session that was requested on a connection, which is then no longer pending."""
         self._pending.pop(connection, None)
         self.decisions.sessions[session.id] = session
 
-    def release(self, connection: ClientConnection, session: Session) -> None:
-        """Remove a session that has ended. Its connection is pending until its client has the last line."""
+    def remove_session(self, connection: ClientConnection, session: Session) -> None:
+        """Remove a session that has ended. The connection is pending until it is closed."""
         if self.decisions.sessions.pop(session.id, None):
             self._pending[connection] = connection.task
 
     def _free_descriptors(self) -> int:
-        """Return the number of descriptors that are not needed by sessions or by the balancer itself."""
+        """Return the number of descriptors that neither sessions nor the balancer itself need."""
         used_by_sessions = DESCRIPTORS_PER_SESSION * len(self.decisions.sessions)
         reserved = RESERVED_DESCRIPTORS + self.upstreams.max_health_check_connections
         return self.limits.descriptors - reserved - used_by_sessions
 
-    def _min_pending(self) -> int:
-        """Return the number of descriptors that are kept for pending connections."""
+    def _reserved_for_pending(self) -> int:
+        """Return the number of descriptors that are reserved for pending connections."""
         return int(self.limits.descriptors * PENDING_SHARE)
 
     def has_capacity(self) -> bool:
-        """Return whether another session leaves enough descriptors for pending connections."""
-        return self._free_descriptors() - DESCRIPTORS_PER_SESSION >= self._min_pending()
+        """Return whether another session would leave enough descriptors for pending connections."""
+        return self._free_descriptors() - DESCRIPTORS_PER_SESSION >= self._reserved_for_pending()
 
     def _evict_oldest_pending(self) -> None:
         """Close the oldest pending connection if there are too many.
 
-        A client normally sends its first line at once, so the oldest pending connections are idle ones. A
-        connection with unread input is skipped, unless all have some: its request may have just arrived.
+        Clients normally send their first line immediately, so the oldest pending connections are idle. A
+        connection with unread input is skipped, since its request may have just arrived. If all pending
+        connections have unread input, the oldest one is closed.
         """
-        max_pending = max(self._free_descriptors(), self._min_pending())
+        max_pending = max(self._free_descriptors(), self._reserved_for_pending())
         if self._pending and len(self._pending) >= max_pending:
             oldest = next(iter(self._pending))
             evicted = next((pending for pending in self._pending if not pending.has_pending_input()), oldest)
@@ -103,11 +104,11 @@
             self.decisions.counters["client_connections_evicted"] += 1
 
     def rejection_line(self, retry_after_ms: int) -> bytes:
-        """Return the line that rejects a client; the time to retry after is bounded by the settings."""
+        """Return the line that rejects a client. The settings limit the retry-after time in it."""
         return rejection_line(min(retry_after_ms, self.limits.max_retry_after_ms))
 
     async def serve(self, listener: socket.socket) -> None:
-        """Accept clients until cancelled. After an accept that failed, wait ACCEPT_RETRY_S and go on."""
+        """Accept clients until cancelled. After a failed accept, wait ACCEPT_RETRY_S and continue."""
         loop = asyncio.get_running_loop()
         while True:
             failed: asyncio.Future[None] = loop.create_future()
@@ -119,9 +120,9 @@
             await asyncio.sleep(ACCEPT_RETRY_S)
 
     def accept(self, listener: socket.socket, failed: asyncio.Future[None] | None = None) -> bool:
-        """Accept one client and start its connection, in one turn of the event loop.
+        """Accept one client and start its connection, in one iteration of the event loop.
 
-        Returns False if the backlog is empty or the accept failed. A failure completes `failed`.
+        Returns False if the backlog is empty or the accept failed. If it failed, `failed` is completed.
         """
         try:
             sock, _ = listener.accept()
@@ -146,9 +147,9 @@
             self._reject_on_spare_descriptor(listener)
 
     def _reject_on_spare_descriptor(self, listener: socket.socket) -> None:
-        """Close the spare descriptor while one client is accepted and rejected.
+        """Free the spare descriptor, and use it to accept and reject one client.
 
-        Without it, the clients in the backlog would get no answer, and `serve` would retry in vain.
+        Otherwise clients in the backlog would get no answer while the process is out of descriptors.
         """
         os.close(self._spare_descriptor)
         try:
@@ -159,12 +160,12 @@
             self._spare_descriptor = _open_spare_descriptor()
 
     def _reject(self, sock: socket.socket) -> None:
-        """Send the rejection, and close the socket."""
+        """Send a rejection and close the socket."""
         self.decisions.counters["clients_rejected_out_of_descriptors"] += 1
         with sock, suppress(OSError):
             sock.setblocking(False)
             sock.send(self.rejection_line(RETRY_AFTER_MS))
-            sock.recv(LINE_LIMIT)  # closing over an unread request would reset the connection
+            sock.recv(LINE_LIMIT)  # closing a socket with unread input would reset the connection
 
     def _on_connection_done(self, task: asyncio.Task[None]) -> None:
         connection = self.connections.pop(task)
@@ -176,5 +177,5 @@
 
 
 def _open_spare_descriptor() -> int:
-    """Return a descriptor that can be closed to make room for another one."""
+    """Return a descriptor that can be closed to free one for an accept."""
     return os.open(os.devnull, os.O_RDONLY)
--- a/wheatstile/net/client_stream.py
+++ b/wheatstile/net/client_stream.py
@@ -1,19 +1,19 @@
-"""The line stream of a client's connection."""
+"""Line stream of a client connection."""
 
 from wheatstile.net.errors import ClientDisconnectedError, ProtocolError
 from wheatstile.net.line_stream import LineStream
 
 
 class ClientStream(LineStream):
-    """A client's connection. After its first line, a client must send nothing until it has its answer."""
+    """A client connection. After its first line, a client must not send more before it gets the answer."""
 
     __slots__ = ()
 
-    def check_waiting(self) -> None:
-        """Check that the client is still connected and waits for its answer.
+    def check_awaiting_answer(self) -> None:
+        """Check that the client is still connected and has not sent more input.
 
-        The check asks the socket itself, because the client's end may have arrived in this turn of the event
-        loop and no task has read it yet. Call it in the turn in which something is done for the client.
+        This checks the socket directly, since no task may have read a disconnect that arrived in the current
+        iteration of the event loop. Call it in the same iteration as the operation that depends on it.
 
         Raises ClientDisconnectedError, or ProtocolError if the client has sent another line.
         """
@@ -22,6 +22,6 @@
         except OSError:
             raise ClientDisconnectedError(reset=True) from None
         if next_byte:
-            raise ProtocolError("more than one line before the answer")
+            raise ProtocolError("client sent more input before the answer")
         if next_byte is not None:
             raise ClientDisconnectedError
--- a/wheatstile/net/decision_loop.py
+++ b/wheatstile/net/decision_loop.py
@@ -1,7 +1,7 @@
-"""The decision loop: one instance of the decision module, its clock, and the dispatch of its actions.
+"""Decision loop: passes events to the decision module and its actions to the network code.
 
-The loop knows no protocol. The code of a protocol registers its sessions, dispatches events, and gets the
-module's actions as they are.
+The loop is independent of the network protocol. Protocol code registers its sessions, dispatches events, and
+receives the actions of the decision module unchanged.
 """
 
 import asyncio
@@ -20,7 +20,7 @@
 
 
 def _counter_names(prefix: str, kinds: tuple[type, ...]) -> dict[type, str]:
-    """Return the counter of each type, such as `events_client_disconnected` for ClientDisconnected."""
+    """Return the counter name of each type, such as `events_client_disconnected` for ClientDisconnected."""
     return {kind: prefix + re.sub(r"(?<=[a-z])(?=[A-Z])", "_", kind.__name__).lower() for kind in kinds}
 
 
@@ -29,10 +29,10 @@
 
 
 class SessionHandler(Protocol):
-    """Carries out the actions for one request, and for the connection that it becomes."""
+    """Carries out the actions for one session."""
 
-    def decide(self, action: api.StartAttempt | api.Reject | api.Fail | api.Migrate) -> None:
-        """Accept an action. It is carried out later, not within this call."""
+    def on_action(self, action: api.StartAttempt | api.Reject | api.Fail | api.Migrate) -> None:
+        """Queue an action. It is carried out after this call has returned."""
 
 
 class HealthCheckStarter(Protocol):
@@ -46,15 +46,15 @@
     """Carries out WatchEndpoints."""
 
     def watch(self) -> None:
-        """Watch the endpoint list for changes from now on."""
+        """Start to watch the endpoint list for changes, unless a watch is running."""
 
 
 class DecisionLoop:
-    """Owns the instance of the decision module. Passes it events, and passes its actions on.
+    """Runs one instance of the decision module: passes it events and dispatches its actions.
 
     Attributes:
-        counters: all counters of the process by their names.
-        sessions: the open sessions by the ids of their requests.
+        counters: all counters of the process, by name.
+        sessions: the open sessions, by request id.
     """
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
@@ -64,14 +64,14 @@
         self.loop = asyncio.get_running_loop()
         self._health_checks: HealthCheckStarter
         self._endpoint_watch: EndpointWatchStarter
-        # The module compares its clock with the servers' start times, which are Unix time. So Unix time is
-        # read once, and moved by the monotonic clock.
+        # The module compares its clock with the servers' start times, which are Unix time. The clock is
+        # therefore Unix time, read once and advanced by the monotonic clock.
         self._epoch_ns = time.time_ns() - time.monotonic_ns()
         self._events: deque[api.Event] = deque()
         self._is_dispatching = False
 
     def now(self) -> int:
-        """Return the module's clock: Unix time in microseconds, which never goes back."""
+        """Return the module's clock: monotonic Unix time in microseconds."""
         return (self._epoch_ns + time.monotonic_ns()) // 1000
 
     def start(self, health_checks: HealthCheckStarter, endpoint_watch: EndpointWatchStarter) -> None:
@@ -82,14 +82,14 @@
             self._carry_out(action)
 
     def configure(self, settings: api.Settings) -> None:
-        """Replace the settings, from the module's next event on."""
+        """Replace the module's settings. They apply from its next event on."""
         self.balancer.configure(settings)
 
     def dispatch(self, event: api.Event) -> None:
         """Pass an event to the module and carry out the resulting actions.
 
-        An event that is dispatched during another one is queued. So the module is never entered twice at
-        once, and it handles events in the order of their dispatch.
+        An event that is dispatched while another one is handled is queued. Calls to the module are thus never
+        nested, and it handles events in the order in which they are dispatched.
         """
         self._events.append(event)
         if self._is_dispatching:
@@ -106,7 +106,7 @@
         try:
             actions = self.balancer.handle(self.now(), event)
         except Exception:
-            # A fault in the module fails the session of this event; all others are kept.
+            # An error in the module fails only the session of this event.
             log.exception("decision_module_failed", event_type=type(event).__name__)
             self.counters["decision_module_failures"] += 1
             self._fail_session(event)
@@ -115,21 +115,21 @@
             self._carry_out(action)
 
     def _fail_session(self, event: api.Event) -> None:
-        """Fail the session that the event is about, if it is about one."""
+        """Fail the session that the event belongs to, if any."""
         session_id = getattr(event, "id", "")
         session = self.sessions.get(session_id)
         if session:
-            session.decide(api.Fail(session_id))
+            session.on_action(api.Fail(session_id))
 
     def _carry_out(self, action: api.Action) -> None:
         self.counters[ACTION_COUNTERS[type(action)]] += 1
         if isinstance(action, api.SetTimer):
-            # Rounded up to the loop's resolution, so that no timer fires before it is due.
+            # Rounded up to the event loop's resolution, so that no timer fires early.
             delay_s = ceil(action.delay_us / 1000) / 1000
             self.loop.call_later(delay_s, self.dispatch, api.TimerFired(action.token))
         elif isinstance(action, api.CheckHealth):
             self._health_checks.check_health(action.server)
         elif isinstance(action, api.WatchEndpoints):
             self._endpoint_watch.watch()
-        elif action.id in self.sessions:  # the client may have disconnected in this turn
-            self.sessions[action.id].decide(action)
+        elif action.id in self.sessions:  # the client may have disconnected meanwhile
+            self.sessions[action.id].on_action(action)
--- a/wheatstile/net/discovery_client.py
+++ b/wheatstile/net/discovery_client.py
@@ -1,4 +1,4 @@
-"""HTTP calls to discovery, each on a connection of its own."""
+"""HTTP client for discovery. Each call uses its own connection."""
 
 import asyncio
 import socket
@@ -8,9 +8,9 @@
 from wheatstile.net.endpoint_stream import DiscoveryError, EndpointStreamDecoder, Keepalive, ResponseStarted
 
 HOSTS_PATH = "/discovery/hosts"
-RESPONSE_TIMEOUT_S = 5.0  # time between the start of a call and the headers of its answer
-# Time without a complete list or a keepalive, which discovery sends every 2 s. Discovery counts changes as
-# notified after 6 s: the other 3 s are left for the back-off (at most 1.5 s) and the next call.
+RESPONSE_TIMEOUT_S = 5.0  # from the start of a call to the headers of the response
+# Maximum time between two messages; discovery sends a keepalive every 2 s. Discovery counts a change
+# as delivered after 6 s: the other 3 s are for the backoff (at most 1.5 s) and the next call.
 IDLE_TIMEOUT_S = 3.0
 RECEIVE_BUFFER_BYTES = 16384
 
@@ -18,7 +18,7 @@
 
 
 def fetch_endpoints(address: Address) -> AsyncGenerator[EndpointSnapshot | Keepalive, None]:
-    """Call discovery for the complete list. Yield one message.
+    """Request the complete endpoint list. Yield one message.
 
     Raises the same errors as `watch_endpoints`.
     """
@@ -28,10 +28,10 @@
 def watch_endpoints(
     address: Address, after_revision: int
 ) -> AsyncGenerator[EndpointSnapshot | Keepalive, None]:
-    """Call discovery for the changes after a revision. Yield messages until the call fails.
+    """Watch the endpoint list for changes after a revision. Yield messages until the call fails.
 
-    Raises DiscoveryError, OSError or TimeoutError when the call fails. A call is idle until a message is
-    complete: bytes of a list that never ends do not prolong it.
+    Raises DiscoveryError, OSError or TimeoutError when the call fails. Only complete messages reset the idle
+    timeout, so a list that never ends does not keep the call open.
     """
     return _call(address, f"{HOSTS_PATH}?watch=1&after={after_revision}", is_stream=True)
 
@@ -52,7 +52,7 @@
             async with asyncio.timeout_at(deadline_s):
                 count = await loop.sock_recv_into(sock, buffer)
             if not count:
-                raise DiscoveryError("discovery closed the connection before the end of its answer")
+                raise DiscoveryError("discovery closed the connection before the end of its response")
             has_message = False
             for message in decoder.receive(buffer[:count]):
                 has_message = True
--- a/wheatstile/net/discovery_watcher.py
+++ b/wheatstile/net/discovery_watcher.py
@@ -1,4 +1,4 @@
-"""The watch on discovery's endpoint list, and the interface of its observers."""
+"""Watcher of discovery's endpoint list, and the interface of its observers."""
 
 import asyncio
 from collections.abc import AsyncGenerator
@@ -18,27 +18,27 @@
 
 
 class EndpointObserver(Protocol):
-    """Turns discovery's messages into the endpoint list in force, alone or merged with other sources."""
+    """Applies endpoint lists from discovery, alone or merged with other sources."""
 
     def on_update(self, result: EndpointSnapshot, kind: api.EndpointUpdateKind) -> None:
-        """Handle a complete list, or changes to the list."""
+        """Handle a complete endpoint list, or changes to it."""
 
     def on_keepalive(self) -> None:
-        """Handle a message without a change."""
+        """Handle a message without changes."""
 
     def on_failure(self) -> None:
-        """Handle the end of a call. The watcher itself reports it to the decision module."""
+        """Handle a failed watch. The watcher itself reports it to the decision module."""
 
 
 class DiscoveryOnlyObserver:
-    """Observer for a balancer without other sources: discovery's list is in force as it is."""
+    """Applies endpoint lists unchanged, for a balancer whose only endpoint source is discovery."""
 
     def __init__(self, decisions: DecisionLoop, upstreams: UpstreamPool) -> None:
         self.decisions = decisions
         self.upstreams = upstreams
 
     def on_update(self, result: EndpointSnapshot, kind: api.EndpointUpdateKind) -> None:
-        """Update the upstreams, then the decision module."""
+        """Update the upstream pool, then the decision module."""
         self.upstreams.update(result.members, kind is not api.EndpointUpdateKind.DELTA)
         self.decisions.dispatch(api.EndpointUpdate(kind, result.endpoints))
 
@@ -50,22 +50,22 @@
 
 
 class DiscoveryWatcher:
-    """Owns the watch. Passes each list to the observer, and reports each failure to the decision module."""
+    """Watches discovery. Passes each list to the observer, and reports failures to the decision module."""
 
     def __init__(self, decisions: DecisionLoop, observer: EndpointObserver, address: Address) -> None:
         self.decisions = decisions
         self.observer = observer
         self.address = address
         self.revision = 0
-        self._is_revision_foreign = False  # whether the revision is of a discovery at another address
-        self._is_failure_logged = False  # whether a failure was logged since the last message
-        self._is_first_message = True  # whether the current watch has not received a message yet
+        self._needs_complete_list = False  # set on a change of address, until the list is fetched
+        self._is_failure_logged = False  # whether a failure was logged after the last message
+        self._is_first_message = True  # whether the next message is the first one of the current watch
         self._watch: asyncio.Task[None] | None = None
 
     def on_update(self, result: EndpointSnapshot, kind: api.EndpointUpdateKind) -> None:
-        """Pass a list to the observer, and store its revision.
+        """Pass a list to the observer and store its revision.
 
-        A complete list may lower the revision, since a restarted discovery may count from the start.
+        A complete list may lower the revision, since revisions may start again when discovery restarts.
         """
         self.revision = result.revision if result.complete else max(self.revision, result.revision)
         self.observer.on_update(result, kind)
@@ -76,17 +76,17 @@
             self._watch = asyncio.create_task(self._run())
 
     def follow(self, address: Address) -> None:
-        """Watch discovery at another address from now on. The end of the old watch is not a failure.
+        """Switch to discovery at another address. Cancelling the old watch does not count as a failure.
 
-        The current list remains in force meanwhile. Its revision is not valid at the new address, and changes
-        since any revision may lack what the old discovery never sent. So the watcher fetches the complete
+        The current list stays in use meanwhile. Its revision is not valid at the new address, and changes
+        after any revision may omit some that the old address never sent. So the watcher fetches the complete
         list before it watches for changes.
         """
         if address == self.address:
             return
         self.close()
         self.address = address
-        self._is_revision_foreign = True
+        self._needs_complete_list = True
         self._watch = None
         self.decisions.dispatch(api.EndpointUpdate(api.EndpointUpdateKind.MOVED))
 
@@ -96,11 +96,11 @@
             self._watch.cancel()
 
     async def _run(self) -> None:
-        """Run one watch to its end and report the failure. The decision module requests the next watch."""
+        """Run one watch until it fails and report the failure. The decision module requests the next one."""
         try:
             await self._fetch_and_watch()
         except (DiscoveryError, OSError, TimeoutError) as error:
-            if not self._is_failure_logged:  # one log line for each outage
+            if not self._is_failure_logged:  # log once per outage
                 log.warning("endpoint_watch_ended", reason=str(error) or type(error).__name__)
             self._is_failure_logged = True
         except Exception:
@@ -110,9 +110,9 @@
         self.decisions.dispatch(api.EndpointUpdate(api.EndpointUpdateKind.FAILED))
 
     async def _fetch_and_watch(self) -> None:
-        if self._is_revision_foreign:
+        if self._needs_complete_list:
             await self._receive(fetch_endpoints(self.address))
-            self._is_revision_foreign = False
+            self._needs_complete_list = False
         self._is_first_message = True
         await self._receive(watch_endpoints(self.address, self.revision))
 
@@ -125,15 +125,15 @@
         is_first_message = self._is_first_message
         self._is_first_message = False
         self._is_failure_logged = False
-        if isinstance(message, EndpointSnapshot) and self._is_current(message):
+        if isinstance(message, EndpointSnapshot) and self._should_apply(message):
             kind = api.EndpointUpdateKind.FULL if message.complete else api.EndpointUpdateKind.DELTA
             self.on_update(message, kind)
             return
         if is_first_message:
-            # An update without endpoints reports that the watch works, which resets the back-off.
+            # An update without endpoints reports that the watch works, which resets the backoff.
             self.decisions.dispatch(api.EndpointUpdate(api.EndpointUpdateKind.DELTA))
         self.observer.on_keepalive()
 
-    def _is_current(self, snapshot: EndpointSnapshot) -> bool:
-        """Return whether to apply a list. Changes before the current revision would undo later ones."""
+    def _should_apply(self, snapshot: EndpointSnapshot) -> bool:
+        """Return whether to apply a list. Changes of an older revision would revert newer ones."""
         return snapshot.complete or snapshot.revision > self.revision
--- a/wheatstile/net/errors.py
+++ b/wheatstile/net/errors.py
@@ -1,4 +1,4 @@
-"""Errors that this package's modules raise for each other."""
+"""Exceptions of the network code."""
 
 import errno
 
@@ -6,18 +6,18 @@
 
 
 def is_out_of_descriptors(error: OSError) -> bool:
-    """Return whether a call failed because this process, or the system, may open no further descriptor."""
+    """Return whether a call failed because the process or the system is out of file descriptors."""
     return error.errno in OUT_OF_DESCRIPTORS
 
 
 class NetError(Exception):
-    """Base class of this package's errors."""
+    """Base class of the exceptions of the network code."""
 
 
 class LineTooLongError(NetError):
-    """A peer sent a line that exceeds the limit.
+    """A peer sent a line that exceeds the length limit.
 
-    `limit`: the maximum number of bytes in a line, including its end.
+    `limit`: the maximum length of a line in bytes, including the line ending.
     """
 
     def __init__(self, limit: int) -> None:
@@ -28,7 +28,7 @@
 class ProtocolError(NetError):
     """A client violated the line protocol.
 
-    `reason`: what is wrong with its input.
+    `reason`: a description of the violation.
     """
 
     def __init__(self, reason: str) -> None:
--- a/wheatstile/net/first_line_reader.py
+++ b/wheatstile/net/first_line_reader.py
@@ -1,4 +1,4 @@
-"""Reads the first line of a client's connection, and answers `PING`s before it."""
+"""Reader for the first line of a client connection. Answers any `PING` before it."""
 
 import asyncio
 from collections import Counter
@@ -6,31 +6,31 @@
 from wheatstile.net.client_stream import ClientStream
 from wheatstile.net.errors import ClientDisconnectedError, LineTooLongError, ProtocolError
 
-FIRST_LINE_TIMEOUT_S = 2.0  # clients send their first line at once, and must be answered within 3 s
+FIRST_LINE_TIMEOUT_S = 2.0  # clients send it immediately, and must be answered within 3 s
 PING_LINE = b"PING\r\n"
 PONG_LINE = b"PONG\r\n"
 
 
 class FirstLineReader:
-    """Reads the line with which a client requests a session. `stop` ends the wait for it."""
+    """Reads the line by which a client requests a session. `stop` stops waiting for it."""
 
     def __init__(self, stream: ClientStream, counters: Counter[str]) -> None:
         self._stream = stream
         self._counters = counters
-        self._timeout: asyncio.Timeout | None = None  # the time-out of the current wait
+        self._timeout: asyncio.Timeout | None = None  # timeout of the current wait
         self._stopped = False
 
     def stop(self) -> None:
-        """Stop waiting, since the balancer shuts down. A line that has already arrived is still returned."""
+        """Stop waiting, for the shutdown. A line that has already arrived is still returned."""
         if self._timeout and not self._timeout.expired():
             self._timeout.reschedule(asyncio.get_running_loop().time())
         self._stopped = True
 
     async def read(self) -> bytes:
-        """Return the first line that is not `PING`; empty if the reader was stopped before it arrived.
+        """Return the first line other than `PING`, or b"" if the reader was stopped before it arrived.
 
         Raises ProtocolError if no line arrives in time, if it is too long, or if more input follows it.
-        Raises ClientDisconnectedError at the client's end.
+        Raises ClientDisconnectedError if the client disconnects.
         """
         try:
             line = await self._read_request()
@@ -46,13 +46,13 @@
             if self._stopped:
                 return b""
             raise ClientDisconnectedError
-        if self._stream.pending:
-            raise ProtocolError("more than one line before the answer")
-        self._stream.check_waiting()
+        if self._stream.has_buffered_input:
+            raise ProtocolError("client sent more input before the answer")
+        self._stream.check_awaiting_answer()
         return line
 
     async def _read_request(self) -> bytes:
-        """Answer `PING`s and return the next other line; empty at the client's end, or if stopped."""
+        """Answer each `PING`. Return the first other line, or b"" on disconnect or when stopped."""
         line = b""
         while not self._stopped:
             try:
@@ -60,7 +60,7 @@
                     line = await self._stream.read_line(cancel_safe=True)
             finally:
                 self._timeout = None
-            if line != PING_LINE or self._stream.pending:
+            if line != PING_LINE or self._stream.has_buffered_input:
                 break
             self._counters["pings_answered"] += 1
             await self._stream.send(PONG_LINE)
@@ -69,16 +69,16 @@
         return line
 
     async def _wait_after_pong(self) -> None:
-        """Wait until a client that has been sent `PONG` sends something else, which it need not do.
+        """Wait for further input after `PONG`. Clients are not required to send any.
 
-        The input is not read here. If it arrives in the turn in which the time-out expires, the client is
-        still served.
+        The input is not read here. A client whose input arrives in the same iteration of the event loop as
+        the timeout expires is still served.
 
-        Raises ClientDisconnectedError at the time-out.
+        Raises ClientDisconnectedError if no input arrives before the timeout.
         """
         try:
             async with asyncio.timeout(FIRST_LINE_TIMEOUT_S) as self._timeout:
-                await self._stream.readable()
+                await self._stream.wait_readable()
         except TimeoutError:
             if self._stream.peek() is None:
                 raise ClientDisconnectedError from None
--- a/wheatstile/net/graceful_shutdown.py
+++ b/wheatstile/net/graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""Shutdown of the clients' connections: sessions are migrated, and all other clients get an answer."""
+"""Graceful shutdown of client connections: migrates sessions and answers all other clients."""
 
 import asyncio
 import socket
@@ -9,17 +9,17 @@
 from wheatstile.net.session import MigrationReason
 
 MAX_MIGRATION_INTERVAL_S = 0.1
-CLOSE_INTERVAL_S = 0.02
+CLOSE_POLL_INTERVAL_S = 0.02
 
 
 class GracefulShutdown:
-    """Migrates a listener's sessions, then closes the listener and all connections that are left."""
+    """Migrates a listener's sessions, then closes the listener and the remaining connections."""
 
     def __init__(self, clients: ClientListener) -> None:
         self._clients = clients
 
     async def migrate_sessions(self, duration_s: float) -> None:
-        """Migrate every session, spread evenly over `duration_s`. New clients are still served meanwhile."""
+        """Migrate all sessions, evenly over `duration_s`. New clients are still served meanwhile."""
         loop = asyncio.get_running_loop()
         end_s = loop.time() + duration_s
         while self._clients.decisions.sessions and (remaining_s := end_s - loop.time()) > 0:
@@ -29,7 +29,7 @@
             await asyncio.sleep(min(MAX_MIGRATION_INTERVAL_S, remaining_s / (len(established) + 1)))
 
     def _established(self) -> list[ClientConnection]:
-        """Return the connections with a session that can be migrated, the oldest first."""
+        """Return the connections whose session can be migrated, oldest first."""
         return [
             connection
             for connection in self._clients.connections.values()
@@ -39,11 +39,11 @@
     async def close(self, listener: socket.socket) -> None:
         """Answer all clients without an established session, including those in the backlog.
 
-        Nothing else may accept from the listener during this call. The listener is closed in the turn of the
-        event loop in which its backlog is found empty, so the kernel refuses each later client, whose request
-        then is known not to have been taken.
+        Nothing else may accept from the listener during this call. The listener is closed in the same
+        iteration of the event loop in which its backlog is found empty. The kernel refuses all later
+        connections, so those clients know that their requests were not accepted.
 
-        Returns when all connections have ended. Each peer has LINGER_S to take its last line.
+        Returns when all connections are closed. Each peer has LINGER_S to read its last line.
         """
         self._clients.decisions.dispatch(api.ShutdownStarted())
         while self._clients.accept(listener):
@@ -51,6 +51,6 @@
         listener.close()
         while self._clients.connections:
             for connection in self._clients.connections.values():
-                connection.migrate(MigrationReason.SHUTDOWN)  # its session may just have been established
+                connection.migrate(MigrationReason.SHUTDOWN)  # the session may have just been established
                 connection.reject()
-            await asyncio.wait(self._clients.connections, timeout=CLOSE_INTERVAL_S)
+            await asyncio.wait(self._clients.connections, timeout=CLOSE_POLL_INTERVAL_S)
--- a/wheatstile/net/health_checker.py
+++ b/wheatstile/net/health_checker.py
@@ -1,4 +1,4 @@
-"""Health checks: requests for a server's load, on a connection that is kept between checks."""
+"""Health checks: each requests a server's load, on a connection that is reused for later checks."""
 
 import asyncio
 
@@ -15,13 +15,13 @@
 
 log = structlog.get_logger()
 
-REQUEST_LINE = b"STATS\r\n"
-DESCRIPTOR_SHARE = 1 / 10  # upper bound for health checks, as a share of the process's descriptors
-MIN_CONNECTIONS = 4  # allowed even where DESCRIPTOR_SHARE comes to less
+HEALTH_CHECK_REQUEST = b"STATS\r\n"
+DESCRIPTOR_SHARE = 1 / 10  # maximum share of the process's descriptors for health checks
+MIN_CONNECTIONS = 4  # minimum for max_open, even if DESCRIPTOR_SHARE allows fewer
 
 
 class HealthCheckConnections:
-    """Bounds the connections of all health checkers together, and knows which of them are idle."""
+    """Limits the total number of connections of all health checkers, and tracks the idle ones."""
 
     def __init__(self, limits: UpstreamLimits) -> None:
         self.limits = limits
@@ -30,42 +30,42 @@
 
     @property
     def max_open(self) -> int:
-        """The maximum number of connections that health checks may have open."""
+        """The maximum number of open health check connections."""
         return max(MIN_CONNECTIONS, int(self.limits.descriptors * DESCRIPTOR_SHARE))
 
     def close_longest_idle(self) -> None:
-        """Have the connection that has been idle longest closed if the maximum number is open."""
+        """Request the close of the longest-idle connection if the maximum number is open."""
         if self._open_count >= self.max_open and self._idle:
             longest_idle = next(iter(self._idle))
             self.on_in_use(longest_idle)
             longest_idle.close_idle_connection()
 
     def on_opened(self) -> None:
-        """Count a connection that has been opened."""
+        """Record that a connection has been opened."""
         self._open_count += 1
 
     def on_closed(self) -> None:
-        """Count a connection that has been closed."""
+        """Record that a connection has been closed."""
         self._open_count -= 1
 
     def on_idle(self, checker: "HealthChecker") -> None:
-        """Record that this checker's connection is idle from now on."""
+        """Record that the checker's connection is now idle."""
         self._idle[checker] = None
 
     def on_in_use(self, checker: "HealthChecker") -> None:
-        """Record that this checker's connection, if it has one, is not idle any longer."""
+        """Record that the checker's connection, if any, is no longer idle."""
         self._idle.pop(checker, None)
 
 
 class HealthChecker:
-    """Checks one server when the decision module asks for it: one HealthCheckResult for each request."""
+    """Checks one server at the decision module's request. Dispatches one HealthCheckResult per request."""
 
     def __init__(
         self, upstream: Upstream, decisions: DecisionLoop, connections: HealthCheckConnections
     ) -> None:
         self.upstream = upstream
-        self._pending_checks = 0  # requested checks without a result
-        self._wake_up = asyncio.Event()  # a check is requested, or the idle connection is to be closed
+        self._pending_checks = 0  # number of requested checks without a result
+        self._wake_up = asyncio.Event()  # set to request a check or the close of the idle connection
         self._decisions = decisions
         self._connections = connections
         self._stream: LineStream | None = None
@@ -80,7 +80,7 @@
             self._task.add_done_callback(self._on_task_done)
 
     def close_idle_connection(self) -> None:
-        """Have the checker's task close its connection, unless a check is pending."""
+        """Request that the checker's task close its connection, unless a check is pending."""
         self._wake_up.set()
 
     def stop(self) -> None:
@@ -92,7 +92,7 @@
         """Dispatch a failure for each pending check.
 
         A deferred request waits for the results of its health checks, and the decision module has at most one
-        check of a server in progress. A check without a result would block all later checks of that server.
+        check per server in progress. A check without a result would block all later checks of that server.
         """
         self._task = None
         if not task.cancelled() and (error := task.exception()):
@@ -116,7 +116,7 @@
     async def _wait_for_request(self) -> None:
         """Wait until a check is requested.
 
-        The idle connection is closed at its time-out, or when another health checker needs the descriptor.
+        The idle connection is closed at its timeout, or when another health checker needs the descriptor.
         """
         self._wake_up.clear()
         if self._stream:
@@ -134,8 +134,8 @@
     async def _check(self) -> None:
         """Check the server once and dispatch the result.
 
-        A server may close an idle connection just as the check is sent on it. A check that ends by a reset on
-        a reused connection is therefore no failure: it stays pending and is repeated on a new connection.
+        A server may close an idle connection while the check is being sent on it. A reset of a reused
+        connection is therefore not a failure: the check stays pending and is repeated on a new connection.
         """
         if self._stream and self._stream.ended():
             self._close()
@@ -143,7 +143,7 @@
         start_us = self._decisions.now()
         reply = await self._exchange()
         if reply.outcome is not api.AttemptOutcome.OK:
-            self._close()  # else a late answer would be taken for the next check's
+            self._close()  # a late answer would be mistaken for that of the next check
         if reused and reply.outcome is api.AttemptOutcome.RESET:
             self._decisions.counters["health_checks_repeated"] += 1
             return
@@ -155,7 +155,7 @@
         )
 
     async def _exchange(self) -> Reply:
-        """Connect if there is no connection, send the request, and read the answer."""
+        """Connect if not connected, send the request and read the answer."""
         try:
             if self._stream is None:
                 await self._connect()
@@ -164,7 +164,7 @@
         assert self._stream
         try:
             async with asyncio.timeout(self._connections.limits.health_check_timeout_s):
-                await self._stream.send(REQUEST_LINE)
+                await self._stream.send(HEALTH_CHECK_REQUEST)
                 return parse_health_check_reply(await self._stream.read_line())
         except TimeoutError:
             return Reply(api.AttemptOutcome.TIMEOUT)
--- a/wheatstile/net/latency_monitor.py
+++ b/wheatstile/net/latency_monitor.py
@@ -1,4 +1,4 @@
-"""Monitors message latency: how long servers take to answer the lines of established sessions."""
+"""Monitor of message latency, the time that servers take to answer lines of established sessions."""
 
 import asyncio
 from statistics import median
@@ -8,12 +8,12 @@
 from wheatstile.net.upstream import Upstream
 from wheatstile.net.upstream_pool import UpstreamPool
 
-REPORT_INTERVAL_S = 1.0  # the same as the simulator's
-OBJECTIVE_DIVISOR = 3  # a latency above 1/3 of the shortest latency objective counts as slow
+REPORT_INTERVAL_S = 1.0  # the simulator uses the same interval
+OBJECTIVE_DIVISOR = 3  # latency above 1/3 of the shortest latency objective is slow
 
 
 class LatencyMonitor:
-    """Reports the message latency of slow servers to the decision module, and once more when one recovers."""
+    """Reports the message latency of slow servers to the decision module, and once after they recover."""
 
     def __init__(self, upstreams: UpstreamPool, decisions: DecisionLoop) -> None:
         self._upstreams = upstreams
@@ -29,20 +29,20 @@
                     self._report(upstream, now_us)
 
     def _report(self, upstream: Upstream, now_us: int) -> None:
-        """Dispatch the server's median latency, for one of its sessions, if it is slow or was slow before."""
+        """Dispatch the server's median latency, for one of its sessions, if the server is or was slow."""
         threshold_ms = self._upstreams.limits.message_latency_objective_ms / OBJECTIVE_DIVISOR
-        samples_ms = upstream.latency_samples_ms + _waiting_ms(upstream, now_us, threshold_ms)
+        samples_ms = upstream.latency_samples_ms + _unanswered_ms(upstream, now_us, threshold_ms)
         upstream.latency_samples_ms = []
-        if not upstream.waiting_since_us or not samples_ms:
+        if not upstream.unanswered_since_us or not samples_ms:
             return
         latency_ms = median(samples_ms)
         if latency_ms > threshold_ms or upstream.is_slow:
             upstream.is_slow = latency_ms > threshold_ms
-            session_id = next(iter(upstream.waiting_since_us))
+            session_id = next(iter(upstream.unanswered_since_us))
             self._decisions.dispatch(api.MessageLatencyChanged(session_id, upstream.name, latency_ms))
 
 
-def _waiting_ms(upstream: Upstream, now_us: int, threshold_ms: float) -> list[float]:
-    """Return the waiting times, in milliseconds, of unanswered lines that exceed the threshold."""
-    waits_ms = [(now_us - since_us) / 1000 for since_us in upstream.waiting_since_us.values() if since_us]
+def _unanswered_ms(upstream: Upstream, now_us: int, threshold_ms: float) -> list[float]:
+    """Return how long lines have been unanswered, in milliseconds, if longer than the threshold."""
+    waits_ms = [(now_us - since_us) / 1000 for since_us in upstream.unanswered_since_us.values() if since_us]
     return [wait_ms for wait_ms in waits_ms if wait_ms > threshold_ms]
--- a/wheatstile/net/line_stream.py
+++ b/wheatstile/net/line_stream.py
@@ -1,4 +1,4 @@
-"""TCP connections that carry lines of text. A line ends in CRLF and has at most 4 KiB."""
+"""TCP connections for lines of text. A line ends in CRLF and has at most 4 KiB."""
 
 import asyncio
 import socket
@@ -8,20 +8,20 @@
 
 LINE_END = b"\r\n"
 LINE_END_BYTES = len(LINE_END)
-LINE_LIMIT = 4096  # bytes, including the end of the line
-LINGER_S = 0.5  # time for a peer to take the last line and close its side
-MAX_DISCARDED_BYTES = 1 << 16  # input that is read and dropped before the close, more than the longest line
-RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER switched on with 0 seconds
+LINE_LIMIT = 4096  # bytes, including the line ending
+LINGER_S = 0.5  # time for a peer to read the last line and close its side
+MAX_DISCARDED_BYTES = 1 << 16  # limit for input discarded before the close; exceeds LINE_LIMIT
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER enabled with 0 seconds
 
 
 class LineStream:
-    """One TCP connection and the lines that arrive on it. The owner of the stream closes it.
+    """One TCP connection with buffered line input. The owner closes it.
 
-    The buffer holds one line of maximum length, so TCP flow control slows down a peer that sends faster than
-    its lines are passed on.
+    The buffer holds one line of maximum length. TCP flow control slows down a peer that sends faster than its
+    lines are relayed.
     """
 
-    __slots__ = ("_buffer", "_filled", "_loop", "sock")
+    __slots__ = ("_buffer", "_buffered_bytes", "_loop", "sock")
 
     def __init__(self, sock: socket.socket) -> None:
         self._loop = asyncio.get_running_loop()
@@ -29,82 +29,82 @@
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self._buffer = memoryview(bytearray(LINE_LIMIT))
-        self._filled = 0
+        self._buffered_bytes = 0
 
     @classmethod
     def unconnected(cls) -> "LineStream":
-        """Return a stream on a new socket, which is not connected yet. Raises OSError."""
+        """Return a stream on a new, unconnected socket. Raises OSError."""
         return cls(socket.socket(socket.AF_INET, socket.SOCK_STREAM))
 
     async def connect(self, address: tuple[str, int], timeout_s: float) -> None:
-        """Connect to the peer. Raises OSError, and TimeoutError (a subclass) after `timeout_s` seconds."""
+        """Connect to the peer. Raises OSError, including TimeoutError after `timeout_s`."""
         async with asyncio.timeout(timeout_s):
             await self._loop.sock_connect(self.sock, address)
 
     async def _fill(self, cancel_safe: bool = False) -> bool:
-        """Read available bytes into the buffer. Return False at the peer's end.
+        """Read available bytes into the buffer. Return False at end of stream.
 
         Raises LineTooLongError if the buffer is full, and OSError.
         """
-        if self._filled == LINE_LIMIT:
+        if self._buffered_bytes == LINE_LIMIT:
             raise LineTooLongError(LINE_LIMIT)
         if cancel_safe and self.peek() is None:
-            await self.readable()
-        count = await self._loop.sock_recv_into(self.sock, self._buffer[self._filled :])
-        self._filled += count
+            await self.wait_readable()
+        count = await self._loop.sock_recv_into(self.sock, self._buffer[self._buffered_bytes :])
+        self._buffered_bytes += count
         return count > 0
 
     def _take(self, end: int) -> bytes:
         """Remove the first `end` bytes from the buffer and return them."""
         taken = bytes(self._buffer[:end])
-        rest = bytes(self._buffer[end : self._filled])
+        rest = bytes(self._buffer[end : self._buffered_bytes])
         self._buffer[: len(rest)] = rest
-        self._filled = len(rest)
+        self._buffered_bytes = len(rest)
         return taken
 
     @property
-    def pending(self) -> bool:
-        """Whether the buffer holds bytes that no caller has taken."""
-        return self._filled > 0
+    def has_buffered_input(self) -> bool:
+        """Whether the buffer contains bytes that have not been returned to a caller."""
+        return self._buffered_bytes > 0
 
     async def read_line(self, cancel_safe: bool = False) -> bytes:
-        """Return one line with its end; empty when the peer has ended the connection.
+        """Return one line with its line ending, or b"" at end of stream.
 
-        With `cancel_safe`, cancelling the call loses no input: bytes stay in the kernel until they are read
-        and handled in one turn of the event loop.
+        With `cancel_safe`, cancelling the call loses no input: bytes stay in the kernel until they can be
+        read and processed in one iteration of the event loop.
 
         Raises OSError, and LineTooLongError for a line that exceeds LINE_LIMIT.
         """
-        while (end := bytes(self._buffer[: self._filled]).find(LINE_END)) < 0:
+        while (end := bytes(self._buffer[: self._buffered_bytes]).find(LINE_END)) < 0:
             if not await self._fill(cancel_safe):
                 return b""
         return self._take(end + LINE_END_BYTES)
 
     async def read_lines(self) -> bytes:
-        """Return all complete lines that have arrived, at least one; empty at the peer's end.
+        """Return all complete lines that have arrived, at least one, or b"" at end of stream.
 
-        A partial line before the peer's end is dropped: no part of a line is ever passed on.
+        A partial line at end of stream is dropped: partial lines are never relayed.
 
         Raises OSError, and LineTooLongError for a line that exceeds LINE_LIMIT.
         """
-        while (end := bytes(self._buffer[: self._filled]).rfind(LINE_END)) < 0:
+        while (end := bytes(self._buffer[: self._buffered_bytes]).rfind(LINE_END)) < 0:
             if not await self._fill():
                 return b""
         return self._take(end + LINE_END_BYTES)
 
     async def send(self, data: bytes) -> None:
-        """Send all of the data, without a time-out. Raises OSError."""
+        """Send all data, without a timeout. Raises OSError."""
         await self._loop.sock_sendall(self.sock, data)
 
     def send_now(self, data: bytes) -> bytes:
-        """Send what the kernel accepts in this turn of the event loop. Return the rest. Raises OSError."""
+        """Send as much as the kernel accepts without blocking. Return the rest. Raises OSError."""
         try:
             return data[self.sock.send(data) :]
         except BlockingIOError:
             return data
 
-    async def readable(self) -> None:
-        """Wait until input has arrived or the peer has ended. Cancelling loses no input."""
+    async def wait_readable(self) -> None:
+        """Wait for input or end of stream. Cancelling loses no input."""
         ready = asyncio.Event()
         self._loop.add_reader(self.sock, ready.set)
         try:
@@ -113,7 +113,7 @@
             self._loop.remove_reader(self.sock)
 
     def peek(self) -> bytes | None:
-        """Return the next byte of the input without taking it; empty at the peer's end, None without input.
+        """Return the next input byte without consuming it, b"" at end of stream, or None if no input.
 
         Raises OSError if the peer has reset the connection.
         """
@@ -123,25 +123,25 @@
             return None
 
     def has_pending_input(self) -> bool:
-        """Return whether the kernel holds input that has not been read."""
+        """Return whether the kernel holds unread input."""
         try:
             return bool(self.peek())
         except OSError:
             return False
 
     def ended(self) -> bool:
-        """Return whether the peer of an idle connection has ended it or has sent unexpected input."""
+        """Return whether an idle connection is unusable: closed by the peer, or with unexpected input."""
         try:
-            return self.pending or self.peek() is not None
+            return self.has_buffered_input or self.peek() is not None
         except OSError:
             return True
 
-    async def finish(self, last_line: bytes) -> None:
-        """Send a last line and give the peer LINGER_S to take it and close its side.
+    async def send_last_line(self, last_line: bytes) -> None:
+        """Send the last line and give the peer LINGER_S to read it and close its side (lingering close).
 
-        Closing the socket over unread input would reset the connection, and the reset may overtake the line.
-        So this method shuts down the sending side, then reads and drops input until the peer closes. After
-        MAX_DISCARDED_BYTES it stops reading, and TCP flow control holds the peer back until LINGER_S is over.
+        Closing a socket with unread input resets the connection, and the peer may then lose the line. So this
+        method shuts down the sending side, then reads and discards input until the peer closes. After
+        MAX_DISCARDED_BYTES it stops reading, and TCP flow control stops the peer until LINGER_S has elapsed.
         """
         try:
             async with asyncio.timeout(LINGER_S):
--- a/wheatstile/net/open_request.py
+++ b/wheatstile/net/open_request.py
@@ -1,4 +1,4 @@
-"""The line with which a client requests a session: its syntax, and its fields. It does no input or output."""
+"""Sans-I/O parser for the OPEN line, by which a client requests a session."""
 
 import re
 from dataclasses import dataclass
@@ -6,10 +6,10 @@
 from wheatstile import interface as api
 from wheatstile.net.errors import ProtocolError
 
-OPEN_LINE = re.compile(rb"OPEN (?P<id>[0-9a-f]{16}) (?P<key>[!-~]+) (?P<fields>[!-~]+)\r\n")
-FIELD = re.compile(rb"[a-z][a-z0-9_]*=[!-+\--<>-~]+")
-WAIT = re.compile("[0-9]{1,9}")
-LOAD_HINT = re.compile(r"[0-9]{1,15}(\.[0-9]{1,15})?")  # bounded, so that it converts to a finite number
+OPEN_LINE_PATTERN = re.compile(rb"OPEN (?P<id>[0-9a-f]{16}) (?P<key>[!-~]+) (?P<fields>[!-~]+)\r\n")
+FIELD_PATTERN = re.compile(rb"[a-z][a-z0-9_]*=[!-+\--<>-~]+")
+TIMEOUT_PATTERN = re.compile("[0-9]{1,9}")
+LOAD_HINT_PATTERN = re.compile(r"[0-9]{1,15}(\.[0-9]{1,15})?")  # length-limited, so that it is finite
 REQUIRED_FIELDS = {"c", "d", "g"}
 FLAGS = ("r", "again")
 FLAG_SET = "1"
@@ -17,64 +17,64 @@
 
 @dataclass(frozen=True, slots=True)
 class OpenRequest:
-    """A client's request. Its line is sent to servers unchanged, except for the time to wait.
+    """A client's request. Its line is forwarded to servers unchanged except for the timeout.
 
     Attributes:
-        wait_ms: how long the client waits for its answer.
-        reopen_at: the server of a session from before this process started; empty for a new session.
-        reconnecting: whether the client connects again after a break or a migration.
+        timeout_ms: the time that the client waits for its answer.
+        reopen_at: the server of a session established before this process started; empty for a new session.
+        reconnecting: whether the client reconnects after a connection loss or a migration.
         client_retry: whether the client marks its request as a retry.
-        line_before_wait, line_after_wait: the line without the digits of the time to wait.
+        line_before_timeout, line_after_timeout: the parts of the line before and after the timeout value.
     """
 
     id: str
     key: str
     service_class: str
     affinity_group: str
-    wait_ms: int
+    timeout_ms: int
     reopen_at: str
     reconnecting: bool
     client_retry: bool
     load_hint: float
-    line_before_wait: bytes
-    line_after_wait: bytes
+    line_before_timeout: bytes
+    line_after_timeout: bytes
 
     @classmethod
     def parse(cls, line: bytes) -> "OpenRequest":
-        """Parse a whole line with its end.
+        """Parse a complete line with its line ending.
 
-        Raises ProtocolError for any deviation: a server would blame a malformed line on the balancer.
+        Raises ProtocolError for a malformed line, which a server would treat as an error of the balancer.
         """
-        found = OPEN_LINE.fullmatch(line)
-        if not found:
-            raise ProtocolError("no open line")
-        fields = _parse_fields(found["fields"])
-        wait_start = found.start("fields") + _wait_offset(found["fields"])
-        wait_end = wait_start + len(fields["d"])
+        match = OPEN_LINE_PATTERN.fullmatch(line)
+        if not match:
+            raise ProtocolError("first line is not a valid OPEN line")
+        fields = _parse_fields(match["fields"])
+        timeout_start = match.start("fields") + _timeout_offset(match["fields"])
+        timeout_end = timeout_start + len(fields["d"])
         return cls(
-            id=found["id"].decode(),
-            key=found["key"].decode(),
+            id=match["id"].decode(),
+            key=match["key"].decode(),
             service_class=fields["c"],
             affinity_group=fields["g"],
-            wait_ms=int(fields["d"]),
+            timeout_ms=int(fields["d"]),
             reopen_at=fields.get("at", ""),
             reconnecting=fields.get("again") == FLAG_SET,
             client_retry=fields.get("r") == FLAG_SET,
             load_hint=float(fields.get("h", 0.0)),
-            line_before_wait=line[:wait_start],
-            line_after_wait=line[wait_end:],
+            line_before_timeout=line[:timeout_start],
+            line_after_timeout=line[timeout_end:],
         )
 
-    def line_with_wait(self, wait_ms: int) -> bytes:
-        """Return the line to send to a server, with the remaining milliseconds as the time to wait."""
-        return b"%b%d%b" % (self.line_before_wait, wait_ms, self.line_after_wait)
+    def line_with_timeout(self, timeout_ms: int) -> bytes:
+        """Return the line to send to a server, with `timeout_ms` as the timeout."""
+        return b"%b%d%b" % (self.line_before_timeout, timeout_ms, self.line_after_timeout)
 
-    def to_event(self, max_wait_ms: int) -> api.Request:
-        """Return the event for the decision module. The time to wait is at most `max_wait_ms`."""
+    def to_event(self, max_timeout_ms: int) -> api.Request:
+        """Return the event for the decision module, with a timeout of at most `max_timeout_ms`."""
         return api.Request(
             self.id,
             self.service_class,
-            min(self.wait_ms, max_wait_ms) * 1000,
+            min(self.timeout_ms, max_timeout_ms) * 1000,
             self.key,
             reconnecting=self.reconnecting,
             client_retry=self.client_retry,
@@ -83,25 +83,25 @@
         )
 
 
-def _wait_offset(fields: bytes) -> int:
-    """Return where the value of the field `d` starts."""
+def _timeout_offset(fields: bytes) -> int:
+    """Return the offset of the value of field `d`."""
     if fields.startswith(b"d="):
         return len(b"d=")
     return fields.index(b",d=") + len(b",d=")
 
 
 def _parse_fields(text: bytes) -> dict[str, str]:
-    """Parse `NAME=VALUE,...`. Unknown names are accepted, since servers may know them.
+    """Parse `NAME=VALUE,...`. Unknown fields are accepted, since servers may support them.
 
     Raises ProtocolError.
     """
     fields: dict[str, str] = {}
     for field in text.split(b","):
-        if not FIELD.fullmatch(field):
-            raise ProtocolError("no field")
+        if not FIELD_PATTERN.fullmatch(field):
+            raise ProtocolError("field is not NAME=VALUE")
         name, _, value = field.decode().partition("=")
         if name in fields:
-            raise ProtocolError(f"{name} twice")
+            raise ProtocolError(f"field {name} is repeated")
         fields[name] = value
     _check_fields(fields)
     return fields
@@ -110,10 +110,10 @@
 def _check_fields(fields: dict[str, str]) -> None:
     """Check that required fields are present and that known fields are valid. Raises ProtocolError."""
     if not fields.keys() >= REQUIRED_FIELDS:
-        raise ProtocolError("a field is missing")
-    if not WAIT.fullmatch(fields["d"]):
-        raise ProtocolError("d is no time to wait")
-    if "h" in fields and not LOAD_HINT.fullmatch(fields["h"]):
-        raise ProtocolError("h is no load")
+        raise ProtocolError("a required field is missing")
+    if not TIMEOUT_PATTERN.fullmatch(fields["d"]):
+        raise ProtocolError("field d is not a timeout in milliseconds")
+    if "h" in fields and not LOAD_HINT_PATTERN.fullmatch(fields["h"]):
+        raise ProtocolError("field h is not a valid load")
     if any(fields.get(flag, FLAG_SET) != FLAG_SET for flag in FLAGS):
-        raise ProtocolError("a flag that is not 1")
+        raise ProtocolError("flag has a value other than 1")
--- a/wheatstile/net/session.py
+++ b/wheatstile/net/session.py
@@ -1,4 +1,4 @@
-"""A session: one client's request, and the connection that it becomes."""
+"""State of a session: one client's request and, once established, its connection."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -15,34 +15,34 @@
 OtherT = TypeVar("OtherT")
 
 SetupAction = api.StartAttempt | api.Reject | api.Fail
-"""An action of the decision module for a session that is not established."""
+"""An action of the decision module for a session that is not yet established."""
 
 
 class MigrationReason(StrEnum):
-    """Why a client is told to connect again. The values are part of counter names."""
+    """Reason for telling a client to reconnect. The values are part of counter names."""
 
-    UPSTREAM_UNRESPONSIVE = "upstream_unresponsive"  # its server does not answer its lines
+    UPSTREAM_UNRESPONSIVE = "upstream_unresponsive"  # the server does not answer the client's lines
     SHUTDOWN = "shutdown"  # this balancer shuts down
     REBALANCE = "rebalance"  # the decision module returned Migrate
 
 
 def request_migration(migration: asyncio.Future[MigrationReason], reason: MigrationReason) -> None:
-    """Request a client's migration. The first reason counts; later requests are ignored."""
+    """Request a client's migration. Only the first request takes effect."""
     if not migration.done():
         migration.set_result(reason)
 
 
 class Session:
-    """State that the setup and the relay of one session share. The client's connection owns it.
+    """State shared by the setup and the relay of one session. Owned by the client connection.
 
     Attributes:
-        migration: done once the client is to be told to connect again.
-        attempt: the current attempt at a server, or the connection that it became.
-        established: whether the client has the server's answer; its lines are relayed from then on.
-        unsent_answer: the part of the server's first answer that is not sent to the client yet.
-        actions: the actions of the decision module that are still to be carried out.
-        answer_decided: set once the decision module has decided the final answer, even during an attempt.
-        client_reader: the task that reads from the client; it ends only when the client's side does.
+        migration: completed with the reason when the client must be told to reconnect.
+        attempt: the current attempt, or the established connection to the server.
+        established: whether the client is being sent the server's answer; its lines are then relayed.
+        unsent_answer: the part of the server's first answer that has not been sent to the client yet.
+        actions: actions of the decision module that have not been carried out yet.
+        final_answer_decided: set when the decision module decides the final answer, even during an attempt.
+        client_reader: the task that reads from the client. It ends only on a disconnect or a protocol error.
     """
 
     def __init__(
@@ -62,34 +62,34 @@
         self.established = False
         self.unsent_answer = b""
         self.actions: asyncio.Queue[SetupAction] = asyncio.Queue()
-        self.answer_decided = asyncio.Event()
+        self.final_answer_decided = asyncio.Event()
         self.client_reader: asyncio.Task[None] | None = None
 
-    def decide(self, action: SetupAction | api.Migrate) -> None:
-        """Accept an action of the decision module; the setup or the relay carries it out later."""
+    def on_action(self, action: SetupAction | api.Migrate) -> None:
+        """Queue an action of the decision module for the setup or the relay."""
         if isinstance(action, api.Migrate):
             request_migration(self.migration, MigrationReason.REBALANCE)
             return
         self.actions.put_nowait(action)
         if not isinstance(action, api.StartAttempt):
-            self.answer_decided.set()
+            self.final_answer_decided.set()
 
     @property
     def can_migrate(self) -> bool:
-        """Whether the session is established and its migration is not requested yet."""
+        """Whether the session is established and no migration has been requested."""
         return self.established and not self.migration.done()
 
     def unanswered_us(self, now_us: int) -> int:
-        """Return how many microseconds a line of the client has waited for an answer; 0: no line waits."""
+        """Return how long a line of the client has been unanswered, in microseconds, or 0 if none is."""
         if not self.established or self.attempt is None:
             return 0
-        since_us = self.attempt.upstream.waiting_since_us.get(self.id, 0)
+        since_us = self.attempt.upstream.unanswered_since_us.get(self.id, 0)
         return now_us - since_us if since_us else 0
 
-    async def unless_client_ends(self, work: Coroutine[object, object, ResultT]) -> ResultT:
-        """Run `work` and return its result. If the client's side ends first, cancel `work` instead.
+    async def run_while_client_connected(self, work: Coroutine[object, object, ResultT]) -> ResultT:
+        """Run `work` and return its result. Cancel it if the client disconnects or violates the protocol.
 
-        Raises the error with which `client_reader` ended (ClientDisconnectedError or ProtocolError).
+        In that case, raises the error of `client_reader` (ClientDisconnectedError or ProtocolError).
         """
         assert self.client_reader
         task = asyncio.create_task(work)
@@ -104,7 +104,7 @@
                 await asyncio.wait([task])
 
     async def stop_reading(self) -> None:
-        """Cancel the client's reader and wait for its end."""
+        """Cancel `client_reader` and wait until it has ended."""
         if self.client_reader:
             self.client_reader.cancel()
             await asyncio.wait([self.client_reader])
@@ -112,12 +112,12 @@
     def close_attempt(self, reset: bool = False) -> None:
         """Close the connection to the server, with a TCP reset if `reset` is true."""
         if self.attempt:
-            self.attempt.upstream.waiting_since_us.pop(self.id, None)
+            self.attempt.upstream.unanswered_since_us.pop(self.id, None)
             self.attempt.close(reset)
             self.attempt = None
 
 
 async def wait_for_either(first: asyncio.Future[ResultT], second: asyncio.Future[OtherT]) -> None:
-    """Wait until one of two futures is done. Neither is cancelled."""
+    """Wait until at least one of two futures is done. Cancels neither."""
     futures: list[asyncio.Future[ResultT] | asyncio.Future[OtherT]] = [first, second]
     await asyncio.wait(futures, return_when=asyncio.FIRST_COMPLETED)
--- a/wheatstile/net/session_relay.py
+++ b/wheatstile/net/session_relay.py
@@ -1,4 +1,4 @@
-"""The relay of an established session: lines in both directions, and how it ends."""
+"""Relay of an established session: forwards lines in both directions until the session ends."""
 
 import asyncio
 from collections.abc import Callable
@@ -19,9 +19,9 @@
 
 @dataclass(frozen=True, slots=True)
 class RelayEnd:
-    """How a relay ended, as reported to the decision module.
+    """Result of a relay, as reported to the decision module.
 
-    `reset`: whether the server reset its connection; the client's connection is then reset too.
+    `reset`: whether the server reset its connection; the client connection is then reset too.
     """
 
     outcome: api.AttemptOutcome
@@ -30,29 +30,29 @@
 
     @classmethod
     def from_final_line(cls, line: bytes) -> "RelayEnd":
-        """Return the end that the server's last line describes."""
+        """Return the result that the server's final line specifies."""
         reply = parse_final_reply(line)
         return cls(reply.outcome, reply.report)
 
 
 class SessionRelay:
-    """Relays the server's lines until either side ends, or until the client has to connect again.
+    """Relays the server's lines until either side disconnects or the client is migrated.
 
-    `release` is called once the relay has ended and the connection to the server is closed.
+    `remove_session` is called after the connection to the server is closed.
     """
 
-    def __init__(self, session: Session, release: Callable[[], None]) -> None:
+    def __init__(self, session: Session, remove_session: Callable[[], None]) -> None:
         self._session = session
         self._decisions = session.decisions
-        self._release = release
-        self._client_writes = asyncio.Lock()  # held during a write, so that MOVE is sent between two lines
-        self._final_line = b""  # the server's final line, once it has been sent to the client
+        self._remove_session = remove_session
+        self._client_write_lock = asyncio.Lock()  # held during a send, so that MOVE follows a complete line
+        self._final_line = b""  # the server's final line, set after it was sent to the client
         self._end = RelayEnd(api.AttemptOutcome.CANCELLED)
 
     async def run(self) -> bytes:
-        """Relay until the end. Return the client's last line; empty if there is none to send.
+        """Run the relay. Return the last line to send to the client, or b"" for none.
 
-        Raises ClientDisconnectedError if the client's side has ended or must be reset.
+        Raises ClientDisconnectedError if the client has disconnected or its connection must be reset.
         """
         assert self._session.attempt
         server = self._session.attempt.upstream.name
@@ -68,16 +68,16 @@
             upstream_relay.cancel()
             await asyncio.wait([upstream_relay])
             self._session.close_attempt(reset)
-            self._release()
+            self._remove_session()
             self._dispatch_end(server, self._decisions.now() - start_us)
 
     async def _run_until_end(self, upstream_relay: asyncio.Task[RelayEnd]) -> bytes:
-        """Wait for either side's end or a migration. Return the client's last line."""
+        """Wait for a disconnect or a migration. Return the last line to send to the client, or b""."""
         session = self._session
         try:
-            await session.unless_client_ends(wait_for_either(upstream_relay, session.migration))
+            await session.run_while_client_connected(wait_for_either(upstream_relay, session.migration))
         except ProtocolError:
-            return await self._end_client_lines(ERROR_LINE)
+            return await self._stop_client_writes(ERROR_LINE)
         if upstream_relay.done():
             self._end = upstream_relay.result()
             if self._end.reset:
@@ -86,24 +86,24 @@
         return await self._migrate(session.migration.result())
 
     async def _migrate(self, reason: MigrationReason) -> bytes:
-        """End the relay for a migration. Return the client's last line; empty if the server's was sent."""
+        """End the relay for a migration. Return MOVE, or b"" if the server's final line was sent."""
         if reason is MigrationReason.UPSTREAM_UNRESPONSIVE:
             self._end = RelayEnd(api.AttemptOutcome.RESET)
-        line = await self._end_client_lines(MIGRATE_LINE)
+        line = await self._stop_client_writes(MIGRATE_LINE)
         if line:
             self._decisions.counters[f"sessions_migrated_{reason}"] += 1
         return line
 
-    async def _end_client_lines(self, last_line: bytes) -> bytes:
-        """Stop relaying lines to the client. Return `last_line`; empty if the server's final line was sent.
+    async def _stop_client_writes(self, last_line: bytes) -> bytes:
+        """Stop relaying to the client. Return `last_line`, or b"" if the server's final line was sent.
 
-        The lock is acquired and never released, so that no line of the server can follow the last one.
+        The lock is acquired and never released, so that no line of the server can follow the last line.
 
-        Raises ClientDisconnectedError if the client has not taken the line being sent within LINGER_S.
+        Raises ClientDisconnectedError if a line that is being sent does not complete within LINGER_S.
         """
         try:
             async with asyncio.timeout(LINGER_S):
-                await self._client_writes.acquire()
+                await self._client_write_lock.acquire()
         except TimeoutError:
             raise ClientDisconnectedError(reset=True) from None
         if self._final_line:
@@ -128,9 +128,9 @@
         )
 
     async def relay_upstream(self) -> RelayEnd:
-        """Relay the server's lines to the client, only complete ones, and return how the server ended.
+        """Relay the server's complete lines to the client. Return how the server ended the session.
 
-        Raises ClientDisconnectedError if a write to the client fails.
+        Raises ClientDisconnectedError if a send to the client fails.
         """
         session = self._session
         assert session.attempt
@@ -146,17 +146,17 @@
                 return RelayEnd(api.AttemptOutcome.ERROR)
             if not lines:
                 return self._upstream_end(reset=False)
-            last_line = self._inspect(lines)
+            last_line = self._process_upstream_lines(lines)
             try:
-                async with self._client_writes:
+                async with self._client_write_lock:
                     await session.client.send(lines)
                     self._final_line = last_line if keyword_of(last_line) in FINAL_KEYWORDS else b""
             except OSError:
                 raise ClientDisconnectedError(reset=True) from None
             lines = b""
 
-    def _inspect(self, lines: bytes) -> bytes:
-        """Dispatch loads and record answers in the server's lines. Return the last line without its end."""
+    def _process_upstream_lines(self, lines: bytes) -> bytes:
+        """Dispatch loads and record answers. Return the last of the lines, without its line ending."""
         assert self._session.attempt
         upstream = self._session.attempt.upstream
         line = b""
@@ -169,13 +169,13 @@
         return line
 
     def _upstream_end(self, reset: bool) -> RelayEnd:
-        """Return how the server ended its connection; without a final line, that counts as a reset."""
+        """Return the result for a closed server connection. Without a final line, the outcome is RESET."""
         if self._final_line:
             return RelayEnd.from_final_line(self._final_line)
         return RelayEnd(api.AttemptOutcome.RESET, reset=reset)
 
     def _dispatch_load(self, text: bytes) -> None:
-        """Dispatch this session's load as the server reports it. Ignore an invalid number."""
+        """Dispatch the load that the server reports for this session. Ignore an invalid number."""
         assert self._session.attempt
         try:
             load = float(text)
@@ -187,23 +187,23 @@
 
 
 def keyword_of(line: bytes) -> bytes:
-    """Return the first word of a line, which gives its meaning."""
+    """Return the keyword of a line, which is its first word."""
     return line.partition(b" ")[0]
 
 
 async def relay_client(session: Session) -> None:
-    """Relay the client's lines to the server once the session is established, until the client's side ends.
+    """Relay the client's lines to the server once the session is established.
 
-    Never returns. Raises ClientDisconnectedError at the client's end, and ProtocolError for a line that
-    arrives before the answer or is too long.
+    Never returns. Raises ClientDisconnectedError when the client disconnects, and ProtocolError for a line
+    that is too long or arrives before the answer.
     """
     try:
         while lines := await session.client.read_lines():
             if not session.established:
-                raise ProtocolError("more than one line before the answer")
+                raise ProtocolError("client sent more input before the answer")
             if session.attempt and session.attempt.stream:
                 session.attempt.upstream.on_client_line(session.id, session.decisions.now())
-                with suppress(OSError):  # relay_upstream handles the server's end
+                with suppress(OSError):  # relay_upstream handles a server disconnect
                     await session.attempt.stream.send(lines)
     except LineTooLongError as error:
         raise ProtocolError(str(error)) from None
--- a/wheatstile/net/session_setup.py
+++ b/wheatstile/net/session_setup.py
@@ -1,4 +1,4 @@
-"""The setup of a session: attempts at the servers that the decision module names, until one succeeds."""
+"""Setup of a session: runs attempts at the servers that the decision module selects."""
 
 import asyncio
 from math import ceil
@@ -12,47 +12,47 @@
 from wheatstile.net.upstream_attempt import AttemptResult, OpenLineProvider
 from wheatstile.net.upstream_pool import UpstreamPool
 
-REOPEN_TIMEOUT_S = 40.0  # time limit for a session that was established before this process started
-ANSWER_GRACE_S = 0.02  # after the client's time to wait; a request without an answer is then failed here
+REOPEN_TIMEOUT_S = 40.0  # for a session that was established before this process started
+ANSWER_GRACE_S = 0.02  # a request without an answer fails this long after the client's timeout
 
 
 class SetupContext(Protocol):
-    """The listener, as the setup of a session uses it."""
+    """Interface of the listener that the setup of a session uses."""
 
     upstreams: UpstreamPool
 
-    def max_wait_ms(self, request: OpenRequest) -> int:
-        """Return how many milliseconds the request's client waits at most."""
+    def max_timeout_ms(self, request: OpenRequest) -> int:
+        """Return the lower of the request's timeout and the deadline of its class."""
 
     def rejection_line(self, retry_after_ms: int) -> bytes:
-        """Return the line that rejects a client. With 0 it names no time to retry after."""
+        """Return the line that rejects a client. With 0 it has no retry-after time."""
 
 
 class SessionSetup:
-    """Runs one attempt after another, as the decision module decides."""
+    """Runs the attempts of one session, one at a time, as the decision module decides."""
 
     def __init__(self, session: Session, context: SetupContext) -> None:
         self._session = session
         self._decisions = session.decisions
         self._context = context
-        # Read once, since a reload may remove the class later.
-        self._max_wait_ms = context.max_wait_ms(session.request)
+        # Read once, since a configuration reload may remove the class later.
+        self._max_timeout_ms = context.max_timeout_ms(session.request)
 
     async def run(self) -> bytes | None:
         """Return the client's final answer, or None once the session is established.
 
-        Raises ClientDisconnectedError and ProtocolError when the client's side ends.
+        Raises ClientDisconnectedError or ProtocolError if the client disconnects or violates the protocol.
         """
         request = self._session.request
         self._decisions.counters["sessions_requested"] += 1
-        max_setup_s = REOPEN_TIMEOUT_S if request.reopen_at else self._max_wait_ms / 1000
+        max_setup_s = REOPEN_TIMEOUT_S if request.reopen_at else self._max_timeout_ms / 1000
         try:
-            async with asyncio.timeout(min(request.wait_ms / 1000, max_setup_s) + ANSWER_GRACE_S):
+            async with asyncio.timeout(min(request.timeout_ms / 1000, max_setup_s) + ANSWER_GRACE_S):
                 if request.reopen_at:
                     return await self._reopen(request.reopen_at)
                 return await self._run_attempts()
         except TimeoutError:
-            # The decision module answers within the client's time to wait; this is a safeguard.
+            # Safeguard: the decision module should have decided an answer within the client's timeout.
             self._decisions.counters["sessions_overdue"] += 1
             self._decisions.dispatch(api.ClientDisconnected(self._session.id))
             return ERROR_LINE
@@ -62,15 +62,15 @@
             raise
 
     async def _run_attempts(self) -> bytes | None:
-        """Carry out the module's actions until the session is established or has its final answer."""
+        """Carry out the module's actions until the session is established or has a final answer."""
         session = self._session
-        self._decisions.dispatch(session.request.to_event(self._max_wait_ms))
+        self._decisions.dispatch(session.request.to_event(self._max_timeout_ms))
         while True:
-            action = await session.unless_client_ends(session.actions.get())
+            action = await session.run_while_client_connected(session.actions.get())
             if not isinstance(action, api.StartAttempt):
                 return self._final_answer(action)
-            if session.answer_decided.is_set():
-                continue  # the module has withdrawn the attempt, and the final answer is the next action
+            if session.final_answer_decided.is_set():
+                continue  # the module has withdrawn the attempt; the final answer follows
             result = await self._start_attempt(action)
             if result.established:
                 return None
@@ -86,9 +86,9 @@
         return ERROR_LINE
 
     async def _start_attempt(self, action: api.StartAttempt) -> AttemptResult:
-        """Run one attempt, answer the client if it succeeds, and report its end to the decision module."""
-        timeout_us = action.timeout_us or self._max_wait_ms * 1000
-        open_line = self._session.request.line_with_wait
+        """Run one attempt and report its result. If the session is established, answer the client first."""
+        timeout_us = action.timeout_us or self._max_timeout_ms * 1000
+        open_line = self._session.request.line_with_timeout
         start_us = self._decisions.now()
         result = await self._run_attempt(action.server, open_line, timeout_us / 1e6, action.send_before_us)
         elapsed_us = self._decisions.now() - start_us
@@ -102,8 +102,8 @@
         """Answer the client and report the established session."""
         session = self._session
         self._send_answer(result.line)
-        if session.answer_decided.is_set():
-            # The module has decided a final answer in the same turn and forgotten the request.
+        if session.final_answer_decided.is_set():
+            # The module decided a final answer in the same event loop iteration and dropped the request.
             session.attempt_number = 0
             self._dispatch_existing(server)
         else:
@@ -111,7 +111,7 @@
             self._decisions.dispatch(event)
 
     def _on_attempt_ended(self, server: str, result: AttemptResult, elapsed_us: int) -> None:
-        """Close the attempt, then report its end, after which the module may start the next one."""
+        """Close the attempt, then report its end. The module may start the next attempt in response."""
         session = self._session
         closed = result.outcome is api.AttemptOutcome.OK
         session.close_attempt()
@@ -124,22 +124,22 @@
             session.attempt_number += 1
 
     async def _reopen(self, server: str) -> bytes | None:
-        """Establish a session again that was established before this process started.
+        """Reopen a session that was established before this process started.
 
         After a restart all balancers reopen all their connections at once, and a lost packet is retransmitted
-        after 1 s. So connecting may take all of the time. The success is reported to the decision module.
+        after 1 s. Connecting may therefore take the whole timeout. The decision module is told of a success.
 
         Returns the client's final answer, or None once the session is established.
         """
         request = self._session.request
-        timeout_s = min(request.wait_ms / 1000, REOPEN_TIMEOUT_S)
-        unchanged_line = request.line_with_wait(request.wait_ms)
+        timeout_s = min(request.timeout_ms / 1000, REOPEN_TIMEOUT_S)
+        unchanged_line = request.line_with_timeout(request.timeout_ms)
         result = await self._run_attempt(server, lambda _: unchanged_line, timeout_s, reopening=True)
         if result.established:
             self._send_answer(result.line)
             self._dispatch_existing(server)
             return None
-        # Counted and not logged, since any client can name a server to reopen its session at.
+        # Counted but not logged, since any client can request to reopen a session at any server.
         self._decisions.counters[f"session_reopens_failed_{result.outcome}"] += 1
         return ERROR_LINE
 
@@ -157,60 +157,60 @@
         send_before_us: int | None = None,
         reopening: bool = False,
     ) -> AttemptResult:
-        """Run one attempt. The attempt before it was closed when it ended, so that there are never two.
+        """Run one attempt. The previous attempt has already been closed, so there are never two at once.
 
-        Nothing is sent at or after `send_before_us`, however long the connect takes.
+        The open line is not sent at or after `send_before_us`, however long the connect takes.
 
-        Raises ClientDisconnectedError and ProtocolError when the client's side ends.
+        Raises ClientDisconnectedError or ProtocolError if the client disconnects or violates the protocol.
         """
         session = self._session
-        session.client.check_waiting()
+        session.client.check_awaiting_answer()
         session.attempt = self._context.upstreams.new_attempt(server)
         if session.attempt is None:
             return AttemptResult(api.AttemptOutcome.CONNECT_FAILED)
 
-        def line_if_still_wanted(wait_ms: int) -> bytes | None:
-            session.client.check_waiting()
-            return open_line(wait_ms) if self._may_send(send_before_us) else None
+        def open_line_if_allowed(timeout_ms: int) -> bytes | None:
+            session.client.check_awaiting_answer()
+            return open_line(timeout_ms) if self._may_send(send_before_us) else None
 
         attempt = asyncio.create_task(
-            session.attempt.connect_and_open(line_if_still_wanted, timeout_s, reopening)
+            session.attempt.connect_and_open(open_line_if_allowed, timeout_s, reopening)
         )
-        result = await self._unless_answered(attempt)
-        self._decisions.counters[f"attempts_{result.label}"] += 1
+        result = await self._wait_for_attempt(attempt)
+        self._decisions.counters[f"attempts_{result.counter_suffix}"] += 1
         return result
 
     def _may_send(self, send_before_us: int | None) -> bool:
-        """Return whether the open line may be sent: no final answer is decided, and it is not too late."""
-        if self._session.answer_decided.is_set():
+        """Return whether the open line may be sent: before the limit, and no final answer is decided."""
+        if self._session.final_answer_decided.is_set():
             return False
         return send_before_us is None or self._decisions.now() < send_before_us
 
-    async def _unless_answered(self, attempt: asyncio.Task[AttemptResult]) -> AttemptResult:
-        """Return the attempt's result. If the module decides the final answer first, cancel the attempt.
+    async def _wait_for_attempt(self, attempt: asyncio.Task[AttemptResult]) -> AttemptResult:
+        """Return the attempt's result. Cancel the attempt if the module decides the final answer first.
 
-        Raises ClientDisconnectedError and ProtocolError when the client's side ends.
+        Raises ClientDisconnectedError or ProtocolError if the client disconnects or violates the protocol.
         """
-        answer_decided = asyncio.create_task(self._session.answer_decided.wait())
+        final_answer_decided = asyncio.create_task(self._session.final_answer_decided.wait())
         try:
-            await self._session.unless_client_ends(wait_for_either(attempt, answer_decided))
+            await self._session.run_while_client_connected(wait_for_either(attempt, final_answer_decided))
             return attempt.result() if attempt.done() else AttemptResult(api.AttemptOutcome.CANCELLED)
         finally:
             attempt.cancel()
-            answer_decided.cancel()
-            await asyncio.wait([attempt, answer_decided])
+            final_answer_decided.cancel()
+            await asyncio.wait([attempt, final_answer_decided])
             if not attempt.cancelled():
-                attempt.exception()  # marks it as retrieved; the client's reader may have raised the same
+                attempt.exception()  # marks it as retrieved; client_reader may have raised the same error
 
     def _send_answer(self, line: bytes) -> None:
-        """Send the server's answer to the client, and relay the client's lines from now on.
+        """Send the server's answer to the client and mark the session as established.
 
-        Both happen in one turn of the event loop. Otherwise the client's time to wait could end between them,
-        and the client would get a second final answer.
+        Both happen in one iteration of the event loop. Otherwise the client's timeout could expire in
+        between, and the client would get a second final answer.
         """
         session = self._session
         assert session.attempt
-        session.attempt.upstream.waiting_since_us[session.id] = 0
+        session.attempt.upstream.unanswered_since_us[session.id] = 0
         session.established = True
         try:
             session.unsent_answer = session.client.send_now(line)
--- a/wheatstile/net/unresponsive_upstream_detector.py
+++ b/wheatstile/net/unresponsive_upstream_detector.py
@@ -1,4 +1,4 @@
-"""Detects servers that do not answer their clients' lines. TCP does not report a server that is cut off."""
+"""Detector of servers that do not answer their clients' lines. TCP does not report a network partition."""
 
 import asyncio
 
@@ -6,13 +6,13 @@
 from wheatstile.net.session import MigrationReason
 
 CHECK_INTERVAL_S = 0.5
-# A client sends a line every 2 s, and its connection must end within 7 s after a server falls silent.
+# A client sends a line every 2 s, and must be migrated within 7 s after its server stops answering.
 # 2 s + UNRESPONSIVE_AFTER_US + CHECK_INTERVAL_S is 6.5 s.
-UNRESPONSIVE_AFTER_US = 4_000_000  # time without an answer to a client's line
+UNRESPONSIVE_AFTER_US = 4_000_000  # maximum time that a client's line may be unanswered
 
 
 class UnresponsiveUpstreamDetector:
-    """Migrates the clients whose server does not answer their lines."""
+    """Migrates clients whose server does not answer their lines."""
 
     def __init__(self, clients: ClientListener) -> None:
         self._clients = clients
--- a/wheatstile/net/upstream_attempt.py
+++ b/wheatstile/net/upstream_attempt.py
@@ -1,4 +1,4 @@
-"""One attempt to open a session at a server, and the connection that it becomes."""
+"""Attempt to open a session at a server. If it succeeds, its connection becomes the session's."""
 
 import asyncio
 from collections.abc import Callable
@@ -12,23 +12,23 @@
 from wheatstile.net.upstream_reply import parse_final_reply
 
 ESTABLISHED_PREFIX = b"UP "
-MIN_WAIT_MS = 1  # shortest wait that an open line can name
+MIN_TIMEOUT_MS = 1  # smallest timeout that an open line can carry
 
 OpenLineProvider = Callable[[int], bytes | None]
-"""Returns the open line for the remaining milliseconds, or None if nothing may be sent.
+"""Returns the open line for a timeout in milliseconds, or None if nothing may be sent.
 
-It is called in the turn of the event loop in which the line is sent.
+It is called in the same iteration of the event loop in which the line is sent.
 """
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptResult:
-    """How an attempt ended.
+    """Result of an attempt.
 
     Attributes:
-        outcome: OK if the session is established, and also if the server ended it at once with a final line.
-        line: the server's answer; empty if there is none.
-        report: the load report in the answer, if there is one.
+        outcome: OK if the session is established, or if the server ended it immediately with a final line.
+        line: the server's answer, or b"" if there is none.
+        report: the load report in the answer, if any.
         established: whether the session is established.
     """
 
@@ -38,13 +38,13 @@
     established: bool = False
 
     @property
-    def label(self) -> str:
-        """The result's part of a counter name."""
+    def counter_suffix(self) -> str:
+        """The last part of the counter name for this result."""
         return "established" if self.established else self.outcome.value
 
 
 class UpstreamAttempt:
-    """One attempt to open a session, and the connection that it becomes. The session closes it."""
+    """One attempt to open a session, with its connection to the server. The session closes it."""
 
     __slots__ = ("_limits", "stream", "upstream")
 
@@ -56,16 +56,16 @@
     async def connect_and_open(
         self, open_line: OpenLineProvider, timeout_s: float, reopening: bool = False
     ) -> AttemptResult:
-        """Connect, send the open line, and wait for the server's answer.
+        """Connect, send the open line and wait for the server's answer.
 
-        An attempt may have run on the server once the last byte of its line has been sent. Any failure before
-        that is reported as CONNECT_FAILED or NOT_SENT.
+        The server may have processed the request once the last byte of the line has been sent. Any failure
+        before that is reported as CONNECT_FAILED or NOT_SENT.
 
         Args:
-            open_line: provides the line to send.
-            timeout_s: time for the whole attempt.
-            reopening: whether the session was established before this process started. Only its old server
-                can serve it, so connecting may take all of `timeout_s`, and the server may be draining.
+            open_line: returns the line to send.
+            timeout_s: timeout of the whole attempt.
+            reopening: whether the session was established before this process started. Only its previous
+                server can serve it, so connecting may take all of `timeout_s`, and it may be draining.
         """
         deadline_s = asyncio.get_running_loop().time() + timeout_s
         connect_timeout_s = timeout_s if reopening else min(self._limits.connect_timeout_s, timeout_s)
@@ -90,31 +90,32 @@
     ) -> api.AttemptOutcome | None:
         """Send the open line. Return None on success, else the outcome of the attempt.
 
-        Whether to send it is decided in the turn in which it is sent: during the connect the client may have
-        left, the server may have begun to drain, and the time may have run out.
+        All conditions are checked in the same iteration of the event loop as the send: during the connect,
+        the client may have disconnected, the server may have started draining, or the timeout may have
+        expired.
         """
         assert self.stream
         remaining_s = deadline_s - asyncio.get_running_loop().time()
         if remaining_s <= 0:
             return api.AttemptOutcome.NOT_SENT
-        if self.upstream.leaving and not reopening:
+        if self.upstream.draining_or_gone and not reopening:
             return api.AttemptOutcome.NOT_SENT
-        line = open_line(max(MIN_WAIT_MS, int(remaining_s * 1000)))
+        line = open_line(max(MIN_TIMEOUT_MS, int(remaining_s * 1000)))
         if line is None:
             return api.AttemptOutcome.NOT_SENT
         try:
-            unsent = self.stream.send_now(line)  # the send buffer of a new connection takes a whole line
+            unsent = self.stream.send_now(line)  # the send buffer of a new connection holds a whole line
             if unsent:
                 async with asyncio.timeout_at(deadline_s):
                     await self.stream.send(unsent)
         except TimeoutError:
-            return api.AttemptOutcome.TIMEOUT  # the last byte may have been sent in the same turn
+            return api.AttemptOutcome.TIMEOUT  # the last byte may have been sent as the timeout expired
         except OSError:
             return api.AttemptOutcome.CONNECT_FAILED
         return None
 
     async def _read_answer(self, deadline_s: float) -> AttemptResult:
-        """Wait for the server's first line and return what it means for the attempt."""
+        """Wait for the server's first line and return the attempt's result."""
         assert self.stream
         try:
             async with asyncio.timeout_at(deadline_s):
@@ -142,7 +143,7 @@
 def connect_failure_outcome(error: OSError) -> api.AttemptOutcome:
     """Return the outcome of an attempt or a health check whose connect failed with `error`.
 
-    The server has not failed if this process ran out of descriptors.
+    If this process is out of file descriptors, that is not a failure of the server.
     """
     if is_out_of_descriptors(error):
         return api.AttemptOutcome.NOT_SENT
--- a/wheatstile/net/upstream_pool.py
+++ b/wheatstile/net/upstream_pool.py
@@ -1,4 +1,4 @@
-"""The servers of the endpoint list, with their health checkers."""
+"""Pool of the servers in the endpoint list, with their health checkers."""
 
 from collections.abc import Collection
 
@@ -12,7 +12,7 @@
 
 
 class UpstreamPool:
-    """All servers by name. Creates attempts and starts health checks."""
+    """Holds all servers by name, creates attempts and starts health checks."""
 
     def __init__(self, decisions: DecisionLoop, limits: UpstreamLimits) -> None:
         self.by_name: dict[str, Upstream] = {}
@@ -22,7 +22,7 @@
 
     @property
     def limits(self) -> UpstreamLimits:
-        """The limits for connections to servers. A reload replaces them; open connections are kept."""
+        """The limits for connections to servers. A reload replaces them and keeps open connections."""
         return self._health_check_connections.limits
 
     @limits.setter
@@ -31,38 +31,38 @@
 
     @property
     def max_health_check_connections(self) -> int:
-        """The maximum number of connections that health checks may have open."""
+        """The maximum number of open health check connections."""
         return self._health_check_connections.max_open
 
     def update(self, members: Collection[ResolvedEndpoint], complete: bool) -> None:
-        """Apply an endpoint list. A new address is used for connections that are opened from now on.
+        """Apply an endpoint list. A changed address applies to new connections only.
 
-        Servers without an address are removed, and those that a complete list does not contain.
+        Removes servers without an address, and servers that a complete list does not contain.
         """
         addresses = {member.endpoint.name: member.address for member in members}
         for member in members:
             if member.address is not None:
-                self._set(member.endpoint, member.address)
+                self._add_or_update(member.endpoint, member.address)
         for name in list(self.by_name) if complete else addresses:
             if addresses.get(name) is None and name in self.by_name:
                 self._remove(name)
 
-    def _set(self, endpoint: api.Endpoint, address: tuple[str, int]) -> None:
-        """Add a server, or update the one of this name."""
+    def _add_or_update(self, endpoint: api.Endpoint, address: tuple[str, int]) -> None:
+        """Add a server, or update the existing one with this name."""
         if endpoint.name not in self.by_name:
             self.by_name[endpoint.name] = Upstream(endpoint.name, address)
         upstream = self.by_name[endpoint.name]
         upstream.address = address
-        upstream.leaving = endpoint.state != api.EndpointState.READY
+        upstream.draining_or_gone = endpoint.state != api.EndpointState.READY
 
     def _remove(self, name: str) -> None:
         upstream = self.by_name.pop(name)
-        upstream.leaving = True
+        upstream.draining_or_gone = True
         if checker := self._health_checkers.pop(upstream, None):
             checker.stop()
 
     def new_attempt(self, server: str) -> UpstreamAttempt | None:
-        """Return an attempt to open a session at this server, or None if the server is not in the list."""
+        """Return a new attempt at this server, or None if the server is not in the endpoint list."""
         upstream = self.by_name.get(server)
         return UpstreamAttempt(upstream, self.limits) if upstream else None
 
--- a/wheatstile/net/upstream_reply.py
+++ b/wheatstile/net/upstream_reply.py
@@ -1,11 +1,11 @@
-"""Parser for the lines of servers: outcomes and load reports. It does no input or output."""
+"""Sans-I/O parser for outcomes and load reports in the lines of servers."""
 
 from dataclasses import dataclass
 
 from wheatstile import interface as api
 from wheatstile.config import reports
 
-# Names of load metrics: those on the wire, and the code's own.
+# Load metric names on the wire, mapped to internal names.
 LOAD_METRICS: dict[str, str] = {
     "inflight": api.LoadMetric.IN_FLIGHT.value,
     "queue": api.LoadMetric.QUEUE_LENGTH.value,
@@ -16,7 +16,7 @@
     "x0": api.LoadMetric.LOAD.value,
     "x1": api.LoadMetric.BACKLOG_S.value,
 }
-# Outcomes by the keywords of the lines that end an attempt or a session.
+# Outcomes by keyword, for lines that end an attempt or a session.
 FINAL_OUTCOMES = {
     b"BYE": api.AttemptOutcome.OK,
     b"MOVE": api.AttemptOutcome.CANCELLED,
@@ -28,25 +28,25 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """The meaning of a server's line: an outcome, and the load report in the line, if there is one."""
+    """A parsed line of a server: the outcome and, if present, the load report."""
 
     outcome: api.AttemptOutcome
     report: api.LoadReport | None = None
 
 
 def parse_load_report(text: bytes) -> api.LoadReport | None:
-    """Parse the load report at the end of a line. Return None if it holds no usable metric."""
+    """Parse the load report at the end of a line. Return None if it contains no valid metric."""
     return reports.parse_load_report(text.decode("latin-1"), "=", LOAD_METRICS) or None
 
 
 def parse_final_reply(line: bytes) -> Reply:
-    """Parse a line that ends an attempt or a session. An unknown keyword counts as an error."""
+    """Parse a line that ends an attempt or a session. An unknown keyword has the outcome ERROR."""
     keyword, _, rest = line.strip().partition(b" ")
     return Reply(FINAL_OUTCOMES.get(keyword, api.AttemptOutcome.ERROR), parse_load_report(rest))
 
 
 def parse_health_check_reply(line: bytes) -> Reply:
-    """Parse the answer to a health check. An empty line means that the connection has ended."""
+    """Parse the answer to a health check. b"" means that the connection was closed."""
     if not line:
         return Reply(api.AttemptOutcome.RESET)
     keyword, _, rest = line.strip().partition(b" ")
