--- a/tests/net/test_connection_close.py
+++ b/tests/net/test_connection_close.py
@@ -121,7 +121,7 @@
 
 
 def test_request_in_the_backlog_is_answered_without_a_descriptor(balancer: Balancer) -> None:
-    """The client is rejected by the spare descriptor, without a reset because of its unread request."""
+    """The client is rejected using the spare descriptor, without a reset because of its unread request."""
     balancer.settings = balancer.settings | {"discovery": "pushed"}
     balancer.start()
     watch, _ = balancer.discovery.watch()
--- a/wheatstile/net/client_connection.py
+++ b/wheatstile/net/client_connection.py
@@ -49,7 +49,7 @@
         self._owner = owner
         self._decisions = owner.decisions
         self._stream = ClientStream(sock)
-        self._first_line = FirstLineReader(self._stream, owner.decisions.counters)
+        self._first_line_reader = FirstLineReader(self._stream, owner.decisions.counters)
         self._migration: asyncio.Future[MigrationReason] = asyncio.get_running_loop().create_future()
 
     def has_pending_input(self) -> bool:
@@ -62,7 +62,7 @@
 
     def reject(self) -> None:
         """Reject the client unless its first line has already arrived."""
-        self._first_line.stop()
+        self._first_line_reader.stop()
 
     async def run(self) -> None:
         """Serve the client, then close both connections. The client's socket is closed only here."""
@@ -92,7 +92,7 @@
 
         Raises ProtocolError and ClientDisconnectedError.
         """
-        line = await self._first_line.read()
+        line = await self._first_line_reader.read()
         if not line:
             self._decisions.counters["clients_rejected_at_shutdown"] += 1
             return self._owner.rejection_line(RETRY_AFTER_MS)
--- a/wheatstile/net/client_listener.py
+++ b/wheatstile/net/client_listener.py
@@ -62,7 +62,10 @@
         return True
 
     def max_timeout_ms(self, request: OpenRequest) -> int:
-        """Return the lower of the request's timeout and the deadline of its class. Raises KeyError."""
+        """Return the lower of the request's timeout and the deadline of its class.
+
+        Raises KeyError for an unknown class.
+        """
         return min(request.timeout_ms, self.limits.deadlines_ms[request.service_class])
 
     def add_session(self, connection: ClientConnection, session: Session) -> None:
@@ -144,12 +147,12 @@
     def _on_accept_error(self, listener: socket.socket, error: OSError) -> None:
         self.decisions.counters[f"accepts_failed_{errno.errorcode.get(error.errno or 0, '?')}"] += 1
         if is_out_of_descriptors(error):
-            self._reject_on_spare_descriptor(listener)
+            self._reject_with_spare_descriptor(listener)
 
-    def _reject_on_spare_descriptor(self, listener: socket.socket) -> None:
+    def _reject_with_spare_descriptor(self, listener: socket.socket) -> None:
         """Free the spare descriptor, and use it to accept and reject one client.
 
-        Otherwise clients in the backlog would get no answer while the process is out of descriptors.
+        Otherwise clients in the backlog would get no answer, and every retry of `serve` would fail.
         """
         os.close(self._spare_descriptor)
         try:
