--- a/tests/descriptions/fuzz_reader.py
+++ b/tests/descriptions/fuzz_reader.py
@@ -1,6 +1,7 @@
-"""Fuzzes the reader, guided by coverage: `make fuzz`. Runs until it is stopped.
+"""Coverage-guided fuzzing of the reader: `make fuzz`. Runs until it is stopped.
 
-Any error other than InvalidDescriptionError ends it. The input that caused the error is kept in a file.
+The only exception that an input may cause is InvalidDescriptionError. Any other exception ends the program,
+and the input is saved to a file.
 """
 
 import atexit
@@ -27,7 +28,7 @@
 
 
 def read_fuzzed_file(data: bytes) -> None:
-    """Read a description with a valid start and fuzzed bytes after it."""
+    """Read a description that consists of a valid start and fuzzed bytes."""
     provider = atheris.FuzzedDataProvider(data)
     start = VALID_STARTS[provider.ConsumeIntInRange(0, len(VALID_STARTS) - 1)]
     path = FOLDER / ("a.json" if provider.ConsumeBool() else "a.yaml")
--- a/tests/descriptions/test_compile.py
+++ b/tests/descriptions/test_compile.py
@@ -1,4 +1,4 @@
-"""Compilation of several descriptions: the order of the files, and the effect of one more file."""
+"""Compilation of several descriptions: the order of the files, and the effect of an additional file."""
 
 import random
 from dataclasses import replace
@@ -29,14 +29,14 @@
     service_class: str  # empty: none
 
 
-class Retry(NamedTuple):
+class RetryPolicy(NamedTuple):
     """The retry policy of a class."""
 
     idempotency: Idempotency
     window_us: int
 
 
-Outcome = dict[str, Retry] | list[str]  # policies by class, or the reasons for the rejection
+Outcome = dict[str, RetryPolicy] | list[str]  # policies by class, or the reasons for the rejection
 
 WINDOW_US = 5_000_000
 OPTIONS = CompileOptions(max_attempts=5)
@@ -76,13 +76,13 @@
 
 
 def outcome(descriptions: list[Description], classes: ClassPolicies = CLASSES) -> Outcome:
-    """Return the policies that the descriptions compile to, or the reasons for their rejection."""
+    """Return the class policies after compilation, or the reasons for the rejection."""
     try:
         compiled = compile_descriptions(descriptions, [], classes, OPTIONS)
     except InvalidDescriptionError as error:
         return error.lines()
     return {
-        name: Retry(policy.idempotency, policy.deduplication_window_us)
+        name: RetryPolicy(policy.idempotency, policy.deduplication_window_us)
         for name, policy in compiled.classes.items()
     }
 
@@ -93,7 +93,9 @@
 
 
 @given(st.lists(OPERATIONS, max_size=4), st.randoms(use_true_random=False))
-def test_order_of_files_does_not_matter(files: list[list[Declared]], generator: random.Random) -> None:
+def test_order_of_files_does_not_affect_the_result(
+    files: list[list[Declared]], generator: random.Random
+) -> None:
     descriptions = descriptions_of(files)
     shuffled = list(descriptions)
     generator.shuffle(shuffled)
@@ -101,17 +103,17 @@
 
 
 @given(st.lists(OPERATIONS, min_size=1, max_size=4))
-def test_additional_file_never_loosens_a_class(files: list[list[Declared]]) -> None:
+def test_additional_file_never_makes_a_class_less_strict(files: list[list[Declared]]) -> None:
     descriptions = descriptions_of(files)
     complete = outcome(descriptions)
     if isinstance(complete, dict):
         fewer = outcome(descriptions[:-1])
-        assert isinstance(fewer, dict)  # descriptions that are valid with another file are valid without it
-        for name, retry in fewer.items():
-            assert not is_stricter(retry.idempotency, complete[name].idempotency)
+        assert isinstance(fewer, dict)  # valid descriptions remain valid if a file is removed
+        for name, retry_policy in fewer.items():
+            assert not is_stricter(retry_policy.idempotency, complete[name].idempotency)
 
 
-def test_unknown_scope_of_the_platform_is_kept() -> None:
+def test_unknown_scope_in_the_platform_settings_is_not_overridden() -> None:
     policy = replace(CLASSES["web"], deduplication_scope=DeduplicationScope.UNKNOWN)
     descriptions = [description_of("f", [Declared("a", Idempotency.IDEMPOTENCY_KEY, "web")])]
     compiled = compile_descriptions(descriptions, [], {"web": policy}, OPTIONS)
--- a/tests/descriptions/test_corpus.py
+++ b/tests/descriptions/test_corpus.py
@@ -1,4 +1,4 @@
-"""The cases of the corpus. A new case is added to its files and needs no code."""
+"""Compilation of the cases in the corpus. New cases are added to the corpus files and need no code."""
 
 from collections.abc import Iterable
 from pathlib import Path
@@ -21,7 +21,7 @@
 
 
 def parameters(cases: Iterable[Case]) -> list[Any]:
-    """Return the cases as parameters of a test, with their names as identifiers."""
+    """Return the cases as test parameters, with their names as identifiers."""
     return [pytest.param(case, id=case.name) for case in cases]
 
 
@@ -31,13 +31,13 @@
 
 @pytest.fixture
 def working_folder(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Path:
-    """Return an empty folder, which is the current folder during the test."""
+    """Return an empty folder that is the current folder during the test."""
     monkeypatch.chdir(tmp_path)
     return tmp_path
 
 
 @pytest.mark.parametrize("case", REJECTED)
-def test_rejected_case_has_the_findings_that_it_states(case: Case, working_folder: Path) -> None:
+def test_rejected_case_has_the_expected_findings(case: Case, working_folder: Path) -> None:
     with pytest.raises(InvalidDescriptionError) as error:
         compile_case(case, working_folder)
     lines = [line.replace(f" {working_folder}", "") for line in error.value.lines()]
@@ -45,7 +45,7 @@
 
 
 @pytest.mark.parametrize("case", ACCEPTED)
-def test_accepted_case_compiles_to_what_it_states(case: Case, working_folder: Path) -> None:
+def test_accepted_case_has_the_expected_result(case: Case, working_folder: Path) -> None:
     compiled = compile_case(case, working_folder)
     if case.routes is not None:
         assert sorted(map(route_text, compiled.routes)) == case.routes
@@ -67,5 +67,5 @@
 
 
 @pytest.mark.parametrize("case", ACCEPTED)
-def test_accepted_case_states_a_result(case: Case) -> None:
+def test_accepted_case_has_at_least_one_expectation(case: Case) -> None:
     assert any(result is not None for result in (case.routes, case.classes, case.match, case.stream))
--- a/tests/descriptions/test_descriptions_section.py
+++ b/tests/descriptions/test_descriptions_section.py
@@ -1,4 +1,4 @@
-"""Descriptions in a running balancer: the attempts that follow a reset, and changes of the files."""
+"""Descriptions in a running balancer: retries after a connection reset, and changes of the files."""
 
 import asyncio
 import signal
@@ -30,7 +30,7 @@
 
 @pytest.fixture
 def balancer() -> Iterator[DescribedBalancer]:
-    """Provide a balancer with descriptions, not started yet. It is ended with the test."""
+    """Provide a balancer with descriptions that is not started yet. It is closed after the test."""
     balancer = DescribedBalancer()
     try:
         yield balancer
@@ -40,7 +40,7 @@
 
 @pytest.fixture
 def started(balancer: DescribedBalancer) -> DescribedBalancer:
-    """Return a balancer that was started on the description of one operation, in the class `reads`."""
+    """Return a balancer that was started with a description of one operation, of the class `reads`."""
     balancer.write_description(operation("s", "get", "reads"))
     balancer.start_with_two_zones()
     balancer.logged("descriptions_applied")
@@ -49,42 +49,42 @@
 
 @pytest.fixture
 def changed(started: DescribedBalancer) -> DescribedBalancer:
-    """Return a balancer whose description was changed to THREE_OPERATIONS after its start."""
+    """Return a balancer whose description was changed to THREE_OPERATIONS after the start."""
     started.write_description(THREE_OPERATIONS)
     started.logged("descriptions_applied")
     return started
 
 
 def check_retries_of_every_class(balancer: DescribedBalancer) -> None:
-    """Check that `reads` is retried, `writes` is tried once, and `orders` is retried in one zone only."""
+    """Check that `reads` is retried, `writes` is not retried, and `orders` is retried in one zone only."""
     check_idempotent_class_is_retried(balancer)
-    check_non_idempotent_class_is_tried_once(balancer)
-    check_class_with_key_is_retried_in_one_zone(balancer)
+    check_non_idempotent_class_is_not_retried(balancer)
+    check_keyed_class_is_retried_in_one_zone(balancer)
 
 
 def check_idempotent_class_is_retried(balancer: DescribedBalancer) -> None:
-    """Check that a request of `reads` has several attempts before it is rejected."""
+    """Check that a request of the class `reads` has several attempts before it is rejected."""
     zones, answer = balancer.attempts("reads")
     assert len(zones) > 1
     assert answer == "BUSY"
 
 
-def check_non_idempotent_class_is_tried_once(balancer: DescribedBalancer) -> None:
-    """Check that a request of `writes` has one attempt, and is answered long before its deadline."""
-    begin_s = time.monotonic()
+def check_non_idempotent_class_is_not_retried(balancer: DescribedBalancer) -> None:
+    """Check that a request of the class `writes` has one attempt and is answered long before its deadline."""
+    start_s = time.monotonic()
     zones, answer = balancer.attempts("writes")
     assert (len(zones), answer) == (1, "ERR")
-    assert time.monotonic() - begin_s < IMMEDIATE_S
+    assert time.monotonic() - start_s < IMMEDIATE_S
 
 
-def check_class_with_key_is_retried_in_one_zone(balancer: DescribedBalancer) -> None:
-    """Check that all attempts of each request of `orders` go to one zone."""
+def check_keyed_class_is_retried_in_one_zone(balancer: DescribedBalancer) -> None:
+    """Check that all attempts of a request of the class `orders` go to one zone."""
     for _ in range(3):
         zones, answer = balancer.attempts("orders")
         assert (len(set(zones)), answer) == (1, "ERR"), zones
 
 
-def test_each_class_is_retried_as_its_descriptions_allow(balancer: DescribedBalancer) -> None:
+def test_each_class_is_retried_according_to_its_descriptions(balancer: DescribedBalancer) -> None:
     balancer.write_description(THREE_OPERATIONS)
     balancer.start_with_two_zones()
     classes = balancer.logged("descriptions_applied")["classes"]
@@ -92,7 +92,7 @@
     check_retries_of_every_class(balancer)
 
 
-def test_class_without_described_operations_keeps_the_platform_settings(started: DescribedBalancer) -> None:
+def test_class_without_described_operations_has_the_platform_settings(started: DescribedBalancer) -> None:
     zones, _ = started.attempts("writes")
     assert len(zones) > 1
 
@@ -101,14 +101,14 @@
     check_retries_of_every_class(changed)
 
 
-def test_rejected_descriptions_leave_the_earlier_ones_in_force(changed: DescribedBalancer) -> None:
+def test_rejected_descriptions_do_not_replace_the_current_ones(changed: DescribedBalancer) -> None:
     changed.write_description(THREE_OPERATIONS + UNKNOWN_CLASS)
     reasons = changed.logged("descriptions_rejected")["reasons"]
     assert 'the class "nobody" is not in the settings' in reasons[0]
     check_retries_of_every_class(changed)
 
 
-def test_reloaded_platform_settings_are_tightened_again(changed: DescribedBalancer) -> None:
+def test_descriptions_still_apply_after_a_reload_of_the_platform_settings(changed: DescribedBalancer) -> None:
     changed.write_description(THREE_OPERATIONS + UNKNOWN_CLASS)
     changed.logged("descriptions_rejected")
     changed.process.send_signal(signal.SIGHUP)
@@ -137,7 +137,7 @@
     assert "No such file" in reasons[0]
 
 
-def test_invalid_descriptions_at_the_start_end_the_process(balancer: DescribedBalancer) -> None:
+def test_invalid_descriptions_at_startup_end_the_process(balancer: DescribedBalancer) -> None:
     balancer.write_description(operation("u", "post", "wrong"))
     balancer.write_config()
     balancer.launch()
@@ -145,20 +145,22 @@
     assert 'the class "wrong" is not in the settings' in balancer.stop()
 
 
-def test_change_keeps_the_platform_settings_that_were_read_last(balancer: DescribedBalancer) -> None:
+def test_changed_descriptions_are_applied_to_the_latest_platform_settings(
+    balancer: DescribedBalancer,
+) -> None:
     balancer.write_description(operation("s", "get", "reads"))
     balancer.write_config()
-    asyncio.run(check_that_a_change_keeps_other_settings(balancer))
+    asyncio.run(check_that_a_change_preserves_other_settings(balancer))
 
 
-async def check_that_a_change_keeps_other_settings(balancer: DescribedBalancer) -> None:
-    """Change a platform setting that the worker does not need, then the description."""
+async def check_that_a_change_preserves_other_settings(balancer: DescribedBalancer) -> None:
+    """Change a platform setting that is not part of the request to the worker, then the description."""
     operator = operator_file.read(str(balancer.operator_file))
     config = Config.read({"RELAY_CONFIG": str(balancer.path)})
     decisions = DecisionLoop(config.settings, config.seed)
     section = DescriptionsSection(decisions, None)
     section.follow(operator, config)
-    await wait_until(lambda: "reads" in section.learned)
+    await wait_until(lambda: "reads" in section.compiled_classes)
 
     fleet_size = config.settings.fleet_size + 1
     changed = replace(config, settings=replace(config.settings, fleet_size=fleet_size))
@@ -166,7 +168,7 @@
     section.follow(operator, changed)
 
     balancer.write_description(operation("s", "post", "reads"))
-    await wait_until(lambda: section.learned["reads"].idempotency is Idempotency.NON_IDEMPOTENT)
+    await wait_until(lambda: section.compiled_classes["reads"].idempotency is Idempotency.NON_IDEMPOTENT)
     section.close()
     assert decisions.balancer.settings.fleet_size == fleet_size
     assert decisions.balancer.settings.classes["reads"].idempotency is Idempotency.NON_IDEMPOTENT
--- a/tests/descriptions/test_file_states.py
+++ b/tests/descriptions/test_file_states.py
@@ -1,4 +1,4 @@
-"""States of files, by which changes are detected."""
+"""States of files, which are compared to detect changes."""
 
 import os
 from pathlib import Path
@@ -32,7 +32,7 @@
     assert names(file_states([folder / "a.yaml"], referenced)) == ["a.yaml", "b.yaml"]
 
 
-def test_replaced_file_of_the_same_size_and_time_has_another_state(folder: Path) -> None:
+def test_replaced_file_of_the_same_size_and_time_has_a_different_state(folder: Path) -> None:
     path = folder / "a.yaml"
     before = file_states([path])
     status = path.stat()
--- a/tests/descriptions/test_keywords.py
+++ b/tests/descriptions/test_keywords.py
@@ -1,4 +1,4 @@
-"""Keywords of idempotency and deduplication scope, and their independence of the enumerations' values."""
+"""Keywords for idempotencies and deduplication scopes, which do not depend on the enumerations' values."""
 
 import os
 import subprocess
@@ -53,8 +53,8 @@
 RUN_WORKER_MESSAGES = """
 from wheatstile.descriptions import worker_protocol as protocol
 from wheatstile.interface import DeduplicationScope, Idempotency
-learned = protocol.LearnedClass(Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.UNKNOWN, 60)
-summary = protocol.CompilationSummary(classes={"web": learned}, route_count=1, files=[], warnings=[])
+compiled = protocol.CompiledClass(Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.UNKNOWN, 60)
+summary = protocol.CompilationSummary(classes={"web": compiled}, route_count=1, files=[], warnings=[])
 encoded = protocol.encode_result(summary)
 assert protocol.decode_result(encoded) == summary
 print(encoded.decode())
@@ -62,7 +62,7 @@
 
 
 def run(folder: Path, program: str) -> str:
-    """Run a program in a Python process of its own and return what it prints."""
+    """Run a program in a separate Python process and return its standard output."""
     result = subprocess.run(
         [sys.executable, "-c", program],
         cwd=folder,
@@ -85,18 +85,18 @@
     return tmp_path
 
 
-def test_idempotency_has_the_keywords_of_files() -> None:
+def test_idempotency_has_the_keywords_that_files_use() -> None:
     assert IDEMPOTENCY_KEYWORDS.keywords == ("safe", "keyed", "unsafe")
     assert IDEMPOTENCY_KEYWORDS.keyword(Idempotency.IDEMPOTENT) == "safe"
     assert IDEMPOTENCY_KEYWORDS.keyword(Idempotency.IDEMPOTENCY_KEY) == "keyed"
     assert IDEMPOTENCY_KEYWORDS.keyword(Idempotency.NON_IDEMPOTENT) == "unsafe"
 
 
-def test_operator_file_allows_exactly_the_keywords() -> None:
+def test_operator_file_allows_exactly_the_idempotency_keywords() -> None:
     assert get_args(Repeat) == IDEMPOTENCY_KEYWORDS.keywords
 
 
-def test_scope_has_the_keywords_of_files() -> None:
+def test_scope_has_the_keywords_that_files_use() -> None:
     assert SCOPE_KEYWORDS.keywords == ("all", "zone", "cell", "unknown")
     assert SCOPE_KEYWORDS.keyword(DeduplicationScope.ALL) == "all"
     assert SCOPE_KEYWORDS.keyword(DeduplicationScope.ZONE) == "zone"
@@ -111,24 +111,24 @@
 
 
 @pytest.mark.parametrize("idempotency", Idempotency)
-def test_keyword_names_its_idempotency(idempotency: Idempotency) -> None:
+def test_idempotency_round_trips_through_its_keyword(idempotency: Idempotency) -> None:
     assert IDEMPOTENCY_KEYWORDS.member(IDEMPOTENCY_KEYWORDS.keyword(idempotency)) is idempotency
 
 
 @pytest.mark.parametrize("scope", DeduplicationScope)
-def test_keyword_names_its_scope(scope: DeduplicationScope) -> None:
+def test_scope_round_trips_through_its_keyword(scope: DeduplicationScope) -> None:
     assert SCOPE_KEYWORDS.member(SCOPE_KEYWORDS.keyword(scope)) is scope
 
 
 @pytest.mark.parametrize("value", ["Safe", "", None, 1, True, [], {}])
 def test_value_that_is_not_a_keyword_is_rejected_with_the_allowed_ones(value: object) -> None:
-    with pytest.raises(UnknownKeywordError, match="is none of safe, keyed, unsafe") as error:
+    with pytest.raises(UnknownKeywordError, match="is not one of safe, keyed, unsafe") as error:
         IDEMPOTENCY_KEYWORDS.member(value)
     assert error.value.allowed == ("safe", "keyed", "unsafe")
 
 
 @pytest.mark.parametrize("program", [RUN_COMMANDS, RUN_WORKER_MESSAGES], ids=["commands", "worker messages"])
-def test_output_does_not_depend_on_the_values_of_the_enumerations(folder: Path, program: str) -> None:
+def test_output_does_not_depend_on_the_enumeration_values(folder: Path, program: str) -> None:
     output = run(folder, program)
     assert "keyed" in output
     assert run(folder, REPLACE_VALUES + program) == output
--- a/tests/descriptions/test_language.py
+++ b/tests/descriptions/test_language.py
@@ -1,4 +1,4 @@
-"""The language of conditions in the operator's rules."""
+"""Parsing of the conditions of the operator's rules."""
 
 from hypothesis import given
 from hypothesis import strategies as st
--- a/tests/descriptions/test_reader.py
+++ b/tests/descriptions/test_reader.py
@@ -1,4 +1,4 @@
-"""Malicious and malformed files. Each is rejected with its reason."""
+"""Malicious and malformed files. Each is rejected with a reason."""
 
 import os
 from pathlib import Path
@@ -20,22 +20,26 @@
 @pytest.mark.parametrize(
     ("name", "data", "reason"),
     [
-        ("a.yaml", b"openapi: 3.1.0\nx: \0", "a.yaml:2: /: a NUL byte"),
-        ("a.yaml", b"openapi: \xff", "no UTF-8"),
-        ("a.yaml", b"a: [1, 2", "a.yaml:2: /: no YAML"),
-        ("a.yaml", ALIAS_BOMB.encode(), "aliases counted each time"),
-        ("a.yaml", b"a: &a [*a]", "the alias *a stands for nothing, or for itself"),
+        ("a.yaml", b"openapi: 3.1.0\nx: \0", "a.yaml:2: /: contains a NUL byte"),
+        ("a.yaml", b"openapi: \xff", "not valid UTF-8"),
+        ("a.yaml", b"a: [1, 2", "a.yaml:2: /: not valid YAML"),
+        ("a.yaml", ALIAS_BOMB.encode(), "values with aliases expanded"),
+        ("a.yaml", b"a: &a [*a]", "the alias *a refers to an undefined anchor or to itself"),
         ("a.yaml", b"[" * 10_000, "exceeded maximum nesting depth"),
-        ("a.yaml", b"- " * 300 + b"a", "nested deeper than 200"),
+        ("a.yaml", b"- " * 300 + b"a", "nested deeper than 200 levels"),
         ("a.json", b"[" * 100_000, "nested too deeply"),
-        ("a.json", b"[" * 300 + b"]" * 300, "nested deeper than 200"),
+        ("a.json", b"[" * 300 + b"]" * 300, "nested deeper than 200 levels"),
         ("a.json", b'{"a": "' + b'\\"' * 200_000, "no JSON"),
-        ("a.yaml", b"a: !!python/object:os.system x", "the tag tag:yaml.org,2002:python/object:os.system"),
-        ("a.yaml", b"b: &b {}\na: {<<: *b}", "a merge key"),
-        ("a.yaml", b"? [a]\n: b", "a key that is no text"),
+        (
+            "a.yaml",
+            b"a: !!python/object:os.system x",
+            "the tag tag:yaml.org,2002:python/object:os.system is not allowed",
+        ),
+        ("a.yaml", b"b: &b {}\na: {<<: *b}", "merge keys"),
+        ("a.yaml", b"? [a]\n: b", "a mapping key is not a string"),
         ("a.yaml", b"a: 1\n---\nb: 2", "more than one document"),
-        ("a.yaml", b"#" * (MAX_FILE_BYTES + 1), "at most"),
-        ("a.yaml", b"", "is no description"),
+        ("a.yaml", b"#" * (MAX_FILE_BYTES + 1), "bytes; the limit is"),
+        ("a.yaml", b"", "is not a description"),
     ],
 )
 def test_malicious_file_is_rejected(tmp_path: Path, name: str, data: bytes, reason: str) -> None:
@@ -57,13 +61,13 @@
 
 
 def test_folder_without_descriptions_is_rejected(tmp_path: Path) -> None:
-    with pytest.raises(InvalidDescriptionError, match="no file ends in"):
+    with pytest.raises(InvalidDescriptionError, match="contains no file with a suffix of"):
         read_descriptions([tmp_path])
 
 
-def test_symbolic_link_out_of_the_folder_is_rejected(tmp_path: Path) -> None:
+def test_symbolic_link_to_a_file_outside_the_folder_is_rejected(tmp_path: Path) -> None:
     (tmp_path / "a.yaml").symlink_to("/etc/hostname")
-    with pytest.raises(InvalidDescriptionError, match="leaves the folder"):
+    with pytest.raises(InvalidDescriptionError, match="is a link to a file outside the folder"):
         read_descriptions([tmp_path])
 
 
--- a/tests/descriptions/test_references.py
+++ b/tests/descriptions/test_references.py
@@ -12,7 +12,7 @@
 
 
 def document(root: str, part: str = "{}") -> DocumentNode:
-    """Return the root document, which may refer to `part.yaml`."""
+    """Return the root node of a document that may refer to `part.yaml`."""
     texts = {ROOT: root, PART: part}
 
     def retrieve(uri: str) -> ParsedFile:
@@ -23,14 +23,14 @@
     return DocumentStore(retrieve).root(ROOT)
 
 
-def test_reference_to_another_file_is_resolved_with_its_location() -> None:
+def test_target_of_a_reference_to_another_file_has_the_location_in_that_file() -> None:
     node = document("a: {$ref: 'part.yaml#/b'}", "x: 1\nb: 2").get("a")
     assert node
     assert node.value == 2
     assert str(node.location) == f"{PART}:2: /b"
 
 
-def test_unresolved_member_stays_a_reference() -> None:
+def test_unresolved_member_is_still_a_reference() -> None:
     node = document("a: {$ref: '#/b'}\nb: 2").get_unresolved("a")
     assert node
     assert node.reference == "#/b"
@@ -47,14 +47,14 @@
 @pytest.mark.parametrize(
     ("reference", "reason"),
     [
-        ("#/missing", "points to nothing"),
-        ("#anchor", "names an anchor"),
-        ("#/a", "without an end"),
+        ("#/missing", 'the target of "#/missing" does not exist'),
+        ("#anchor", "refers to an anchor"),
+        ("#/a", "leads to a reference cycle"),
         ("missing.yaml", "no such file"),
-        ("https://example.com/x.yaml", "names a network address"),
+        ("https://example.com/x.yaml", "is a network address"),
     ],
 )
-def test_unusable_reference_is_found_at_its_location(reference: str, reason: str) -> None:
+def test_unresolvable_reference_is_reported_with_its_location(reference: str, reason: str) -> None:
     root = document(f"x: 1\na: {{$ref: '{reference}'}}")
     (finding,) = reference_findings(root)
     assert reason in finding.reason
--- a/tests/descriptions/test_route_matcher.py
+++ b/tests/descriptions/test_route_matcher.py
@@ -1,4 +1,4 @@
-"""The matcher, compared with a plain loop over all routes."""
+"""Results of the matcher, compared with those of a linear search through all routes."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -17,7 +17,7 @@
 
 
 def route_matches(tokens: tuple[Token, ...], target: list[str]) -> bool:
-    """Return whether a route matches, by a plain loop over its tokens."""
+    """Return whether a route matches, by comparing it with the target token by token."""
     for index, token in enumerate(tokens):
         if token.kind is TokenKind.REST:
             return len(target) > index
@@ -40,7 +40,7 @@
 
 @settings(max_examples=400)
 @given(ROUTES, TARGET)
-def test_matches_are_those_of_a_loop_with_the_most_specific_first(
+def test_matches_equal_those_of_a_linear_search_and_more_specific_routes_come_first(
     routes: list[tuple[Token, ...]], target: list[str]
 ) -> None:
     matched = matcher_of(routes).matches(target)
@@ -53,14 +53,14 @@
 
 @settings(max_examples=400)
 @given(ROUTES, ROUTE, TARGET)
-def test_overlapping_routes_are_all_found_and_relations_agree_with_matches(
+def test_all_overlapping_routes_are_found_and_relations_agree_with_matches(
     routes: list[tuple[Token, ...]], route: tuple[Token, ...], target: list[str]
 ) -> None:
     overlapping = {number for _, number in matcher_of(routes).overlapping(route)}
     for number, tokens in enumerate(routes):
-        kind = relation(route, tokens)
+        route_relation = relation(route, tokens)
         both_match = route_matches(route, target) and route_matches(tokens, target)
-        assert (kind is Relation.DISJOINT) <= (not both_match)
-        assert (number in overlapping) >= (kind is not Relation.DISJOINT)
-        if kind in (Relation.SAME, Relation.NARROWER) and route_matches(route, target):
+        assert (route_relation is Relation.DISJOINT) <= (not both_match)
+        assert (number in overlapping) >= (route_relation is not Relation.DISJOINT)
+        if route_relation in (Relation.SAME, Relation.NARROWER) and route_matches(route, target):
             assert route_matches(tokens, target)
--- a/tests/descriptions/test_schema_size.py
+++ b/tests/descriptions/test_schema_size.py
@@ -1,4 +1,4 @@
-"""Discriminators of messages and bounds on their size, by their schemas."""
+"""Discriminators and maximum sizes of messages, derived from their schemas."""
 
 import pytest
 
@@ -10,7 +10,7 @@
 
 
 def schema_of(text: str) -> DocumentNode:
-    """Return the schema in this YAML."""
+    """Return the root node of a schema in YAML."""
     return DocumentStore(lambda uri: parse(uri, text.encode())).root(URI)
 
 
@@ -38,7 +38,7 @@
         ("{type: object, additionalProperties: false, properties: {a: {$ref: '#'}}}", None),
     ],
 )
-def test_size_is_bounded_by_the_schema(schema: str, max_bytes: int | None) -> None:
+def test_maximum_size_is_derived_from_the_schema(schema: str, max_bytes: int | None) -> None:
     assert max_json_bytes(schema_of(schema)) == max_bytes
 
 
@@ -55,6 +55,6 @@
     assert discriminator_of(schema_of(schema)) == discriminator
 
 
-def test_missing_schema_has_neither_discriminator_nor_bound() -> None:
+def test_missing_schema_has_no_discriminator_and_no_maximum_size() -> None:
     assert discriminator_of(None) == ""
     assert max_json_bytes(None) is None
--- a/tests/descriptions/test_tightening.py
+++ b/tests/descriptions/test_tightening.py
@@ -1,11 +1,11 @@
-"""Settings of classes tightened by descriptions."""
+"""Tightening of the platform's class settings by descriptions."""
 
 from typing import NamedTuple
 
 import pytest
 
 from wheatstile.descriptions.tightening import tighten_settings
-from wheatstile.descriptions.worker_protocol import LearnedClass
+from wheatstile.descriptions.worker_protocol import CompiledClass
 from wheatstile.interface import DeduplicationScope, Idempotency, ServiceClass, Settings
 
 KEY = Idempotency.IDEMPOTENCY_KEY
@@ -26,7 +26,7 @@
 
 
 def settings_of(policy: Policy) -> Settings:
-    """Return settings with one class, `web`."""
+    """Return settings with one class, `web`, that has this policy."""
     service_class = ServiceClass("web", 300_000, *policy)
     return Settings(
         fleet_size=1,
@@ -40,7 +40,7 @@
 
 
 @pytest.mark.parametrize(
-    ("platform", "learned", "expected"),
+    ("platform", "compiled", "expected"),
     [
         (Policy(SAFE, ALL, 0), Policy(UNSAFE, ALL, 0), Policy(UNSAFE, ALL, 0)),
         (Policy(UNSAFE, ALL, 0), Policy(SAFE, ALL, 0), Policy(UNSAFE, ALL, 0)),
@@ -50,13 +50,13 @@
         (Policy(KEY, UNKNOWN, 60), Policy(KEY, CELL, 30), Policy(KEY, UNKNOWN, 30)),
     ],
 )
-def test_stricter_of_platform_and_descriptions_applies(
-    platform: Policy, learned: Policy, expected: Policy
+def test_stricter_of_platform_settings_and_descriptions_applies(
+    platform: Policy, compiled: Policy, expected: Policy
 ) -> None:
-    tightened = tighten_settings(settings_of(platform), {"web": LearnedClass(*learned)})
+    tightened = tighten_settings(settings_of(platform), {"web": CompiledClass(*compiled)})
     assert tightened == settings_of(expected)
 
 
-def test_class_that_the_settings_lack_is_ignored() -> None:
+def test_compiled_class_that_is_not_in_the_settings_is_ignored() -> None:
     settings = settings_of(Policy(SAFE, ALL, 0))
-    assert tighten_settings(settings, {"slow": LearnedClass(UNSAFE, ALL, 0)}) == settings
+    assert tighten_settings(settings, {"slow": CompiledClass(UNSAFE, ALL, 0)}) == settings
--- a/tests/descriptions/test_yaml_scalars.py
+++ b/tests/descriptions/test_yaml_scalars.py
@@ -1,4 +1,4 @@
-"""Values of plain YAML scalars."""
+"""Conversion of plain YAML scalars to values."""
 
 import pytest
 
--- a/wheatstile/descriptions/__init__.py
+++ b/wheatstile/descriptions/__init__.py
@@ -1,7 +1,7 @@
-"""OpenAPI and AsyncAPI descriptions, compiled to routes and to the retry policies of service classes.
+"""Compiles OpenAPI and AsyncAPI descriptions to routes and to the retry policies of service classes.
 
-A balancer imports this package only if its operator's file names descriptions. `reader.compile_paths` reads
-and compiles descriptions; `section.DescriptionsSection` keeps a running balancer up to date with them. Only
-`reader`, `document_folder`, `operator_rules`, `worker`, `worker_client`, `file_states` and `section` do input
-or output.
+The balancer imports this package only if the operator's file lists descriptions. `reader.compile_paths` reads
+and compiles descriptions. `section.DescriptionsSection` applies changed descriptions to a running balancer.
+Only the modules `reader`, `document_folder`, `operator_rules`, `worker`, `worker_client`, `file_states` and
+`section` do I/O.
 """
--- a/wheatstile/descriptions/asyncapi.py
+++ b/wheatstile/descriptions/asyncapi.py
@@ -1,7 +1,7 @@
-"""Reads the operations of AsyncAPI 2.6 and 3.0 documents, and whether each may be retried. Pure.
+"""Reads the operations of AsyncAPI 2.6 and 3.0 documents, with the retry safety of each. Does no I/O.
 
-`send` and `receive` are actions of the application that the document describes, as in AsyncAPI 3.0. In
-AsyncAPI 2.6 the keys are actions of its peers: `publish` (peers may publish) is read as `receive`, and
+As in AsyncAPI 3.0, `send` and `receive` are actions of the application that the document describes. In
+AsyncAPI 2.6, the keys are actions of its peers: `publish` (peers may publish) is read as `receive`, and
 `subscribe` as `send`.
 """
 
@@ -40,12 +40,12 @@
 PARAMETER = re.compile(r"\{([^{}]*)\}")
 ANY_TOKEN = "*"
 SUBJECT_SEPARATOR = "."
-PATH_SEPARATOR = "/"  # separator of an address that is a path
+PATH_SEPARATOR = "/"  # separates the tokens of an address that is a path
 
 
 @dataclass(frozen=True, slots=True)
 class _OperationSource:
-    """The nodes of one operation in a document of either version."""
+    """The nodes and names of one operation, independent of the AsyncAPI version."""
 
     action: str
     address: str
@@ -53,7 +53,7 @@
     channel: DocumentNode
     operation: DocumentNode
     messages: list[DocumentNode]
-    reply: str = ""  # address of the channel for replies
+    reply: str = ""  # address of the channel for replies; empty: none
 
 
 def read_asyncapi(root: DocumentNode, version: str) -> Description:
@@ -96,7 +96,7 @@
 def _operations_of_version_3(root: DocumentNode) -> Iterator[_OperationSource]:
     for name, node in _members(root, "operations"):
         channel = node.get("channel")
-        if channel is None:  # possible for a referenced operation, which the schema does not check
+        if channel is None:  # possible if the operation is a reference: the schema does not check its target
             raise InvalidDescriptionError.at(node.location, "has no channel")
         messages = node.get("messages") or channel.get("messages")
         reply = node.get("reply")
@@ -119,7 +119,7 @@
 
 
 def _address(channel: DocumentNode) -> str:
-    """Return a channel's address. The name of the channel is used if its address is set only at run time."""
+    """Return the address of a channel, or its name if the address is only known at run time."""
     return channel.get_text("address") or channel.name
 
 
@@ -164,7 +164,7 @@
     """Yield the URLs of the channel's servers, or of all servers if the channel lists none."""
     references = [reference for _, reference in _members(channel, "servers")]
     for name, server in _members(root, "servers"):
-        # A channel lists the names of its servers in 2.6, and references to them in 3.0.
+        # In AsyncAPI 2.6, a channel lists the names of its servers; in 3.0, it lists references to them.
         is_named = any(
             reference.value == name or reference.pointer == server.pointer for reference in references
         )
@@ -186,9 +186,9 @@
 
 
 def _retry_safety(source: _OperationSource, root: DocumentNode) -> RetrySafety:
-    """Return the retry safety that the extension declares, else NON_IDEMPOTENT.
+    """Return the retry safety that the extension declares; NON_IDEMPOTENT if there is no extension.
 
-    AsyncAPI itself has no notion of idempotency.
+    AsyncAPI itself does not define idempotency.
     """
     location = source.operation.location
     extension = retry_extension_of(source.operation, source.channel, root)
@@ -197,15 +197,18 @@
         return RetrySafety(Idempotency.NON_IDEMPOTENT, reason, location)
     if extension.lacks_reason:
         safe = IDEMPOTENCY_KEYWORDS.keyword(Idempotency.IDEMPOTENT)
-        reason = f"says {safe}, which nothing in AsyncAPI bears out: say why in {Extension.BECAUSE}"
+        reason = (
+            f"declares {safe}, but AsyncAPI does not define idempotency: "
+            f"give the reason in {Extension.BECAUSE}"
+        )
         raise InvalidDescriptionError.at(extension.location, reason, location)
     return extension.retry_safety()
 
 
 def subject_of(address: str, location: SourceLocation) -> str:
-    """Return the address as a subject pattern, in which each parameter is the token `*`.
+    """Convert an address to a subject pattern, in which each parameter is the token `*`.
 
-    Raises InvalidDescriptionError at the location if a token is empty or only partly a parameter.
+    Raises InvalidDescriptionError if a token is empty, or if a parameter is only a part of a token.
     """
     separator = PATH_SEPARATOR if PATH_SEPARATOR in address else SUBJECT_SEPARATOR
     tokens = []
@@ -213,7 +216,10 @@
         if PARAMETER.fullmatch(token):
             tokens.append(ANY_TOKEN)
         elif PARAMETER.search(token) or not token:
-            reason = f'"{address}": a parameter is a whole token between "{separator}", and no token is empty'
+            reason = (
+                f'"{address}" is not a valid address: a parameter must be a whole token between '
+                f'"{separator}" separators, and no token may be empty'
+            )
             raise InvalidDescriptionError.at(location, reason)
         else:
             tokens.append(token)
--- a/wheatstile/descriptions/asyncapi_schema.py
+++ b/wheatstile/descriptions/asyncapi_schema.py
@@ -1,4 +1,7 @@
-"""JSON Schemas of AsyncAPI documents. They cover the parts that are read; anything else is allowed. Pure."""
+"""JSON Schemas of AsyncAPI documents. Does no I/O.
+
+They constrain only the parts that this package reads, and allow any other content.
+"""
 
 from collections.abc import Mapping
 from enum import StrEnum
@@ -11,7 +14,7 @@
 
 
 class AsyncApiVersion(StrEnum):
-    """A version of AsyncAPI that is read. The value is its major and minor number."""
+    """A supported version of AsyncAPI. The value is the major and minor version number."""
 
     VERSION_2 = "2.6"
     VERSION_3 = "3.0"
@@ -113,4 +116,4 @@
         },
     },
 }
-"""Schemas by the version of the document."""
+"""Schemas by AsyncAPI version."""
--- a/wheatstile/descriptions/class_compiler.py
+++ b/wheatstile/descriptions/class_compiler.py
@@ -1,4 +1,4 @@
-"""Derives the retry policy of each service class from the routes that belong to it. Pure."""
+"""Derives the retry policy of each service class from the routes of the class. Does no I/O."""
 
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass, replace
@@ -14,39 +14,39 @@
 
 @dataclass(frozen=True, slots=True)
 class ClassCompiler:
-    """Compiles class policies from the platform's classes and their routes."""
+    """Compiles the policies of classes from the platform's settings and the routes of each class."""
 
     classes: ClassPolicies | None  # None: the platform's classes are not known
     options: CompileOptions
     findings: FindingCollector
 
     def compile(self, routes: Iterable[Route]) -> dict[str, ClassPolicy]:
-        """Return the policy of each class that has routes, tightened by them."""
+        """Return the policy of each class that has routes. The routes can only make it stricter."""
         routes_by_class: dict[str, list[Route]] = {}
         for route in routes:
             if route.service_class:
                 routes_by_class.setdefault(route.service_class, []).append(route)
         policies = {}
-        for name, members in routes_by_class.items():
+        for name, class_routes in routes_by_class.items():
             policy = (self.classes or {}).get(name) or ClassPolicy(name)
-            self._check(policy, members)
-            policies[name] = tightened(policy, members)
+            self._check(policy, class_routes)
+            policies[name] = tightened(policy, class_routes)
         return policies
 
-    def _check(self, policy: ClassPolicy, members: Sequence[Route]) -> None:
-        """Report routes that contradict their class or each other."""
-        strictest = max(members, key=_strictness)
-        loosest = min(members, key=_strictness)
+    def _check(self, policy: ClassPolicy, class_routes: Sequence[Route]) -> None:
+        """Report routes that contradict the class's policy or each other."""
+        strictest = max(class_routes, key=_strictness)
+        loosest = min(class_routes, key=_strictness)
         idempotency = strictest.retry_safety.idempotency
         if policy.override and is_stricter(idempotency, policy.override):
             self._report_loose_override(policy, policy.override, strictest)
-        elif self._mixes_unsafe(policy, strictest, loosest):
-            self._report_mixture(policy, strictest, loosest)
+        elif self._is_mixed(policy, strictest, loosest):
+            self._report_mixed_class(policy, strictest, loosest)
         elif is_stricter(idempotency, policy.idempotency):
             self._report_tightening(policy, strictest)
 
-    def _mixes_unsafe(self, policy: ClassPolicy, strictest: Route, loosest: Route) -> bool:
-        """Return whether one non-idempotent route would forbid the retries of other routes of the class."""
+    def _is_mixed(self, policy: ClassPolicy, strictest: Route, loosest: Route) -> bool:
+        """Return whether a non-idempotent route would disable retries for the class's other routes."""
         return (
             self.options.max_attempts > 1
             and policy.override is not Idempotency.NON_IDEMPOTENT
@@ -57,19 +57,19 @@
     def _report_loose_override(self, policy: ClassPolicy, override: Idempotency, strictest: Route) -> None:
         safety = strictest.retry_safety
         reason = (
-            f"{strictest.operation.name} is {_keyword(safety.idempotency)} ({safety.reason}), and the "
-            f'class "{policy.name}" is told to be {_keyword(override)}'
+            f"{strictest.operation.name} is {_keyword(safety.idempotency)} ({safety.reason}), but the "
+            f'operator overrides the class "{policy.name}" as {_keyword(override)}'
         )
-        self.findings.conflict(safety.location, reason, policy.override_location)
+        self.findings.add_conflict(safety.location, reason, policy.override_location)
 
-    def _report_mixture(self, policy: ClassPolicy, strictest: Route, loosest: Route) -> None:
+    def _report_mixed_class(self, policy: ClassPolicy, strictest: Route, loosest: Route) -> None:
         reason = (
             f'the class "{policy.name}" mixes {strictest.operation.name} '
             f"({_keyword(strictest.retry_safety.idempotency)}) with {loosest.operation.name} "
-            f"({_keyword(loosest.retry_safety.idempotency)}), and attempts after a possible run are on: "
-            f"give them two classes, or say that the class is {_keyword(Idempotency.NON_IDEMPOTENT)}"
+            f"({_keyword(loosest.retry_safety.idempotency)}), and retries are enabled: "
+            f"assign them to two classes, or override the class as {_keyword(Idempotency.NON_IDEMPOTENT)}"
         )
-        self.findings.conflict(strictest.operation.location, reason, loosest.operation.location)
+        self.findings.add_conflict(strictest.operation.location, reason, loosest.operation.location)
 
     def _report_tightening(self, policy: ClassPolicy, strictest: Route) -> None:
         safety = strictest.retry_safety
@@ -77,16 +77,19 @@
             f'{strictest.operation.name} changes the class "{policy.name}" '
             f"from {_keyword(policy.idempotency)} to {_keyword(safety.idempotency)}"
         )
-        self.findings.warn(safety.location, reason)
+        self.findings.add_warning(safety.location, reason)
 
 
 def _strictness(route: Route) -> tuple[int, SourceLocation]:
-    """Return a key that is greater for stricter routes, and by location among equals."""
+    """Return a sort key: first the strictness of the route, then its location."""
     return IDEMPOTENCY_STRICTNESS[route.retry_safety.idempotency], route.operation.location
 
 
-def tightened(policy: ClassPolicy, members: Iterable[Route]) -> ClassPolicy:
-    """Return the policy with the strictest idempotency, the narrowest scope and the shortest window."""
+def tightened(policy: ClassPolicy, class_routes: Iterable[Route]) -> ClassPolicy:
+    """Return the policy with the strictest idempotency, the narrowest scope and the shortest window.
+
+    The policy, its override and the routes of the class are taken into account.
+    """
     idempotency = policy.idempotency
     if policy.override:
         idempotency = stricter(idempotency, policy.override)
@@ -94,7 +97,7 @@
     windows_us = []
     if idempotency is Idempotency.IDEMPOTENCY_KEY:
         windows_us.append(policy.deduplication_window_us)
-    for route in members:
+    for route in class_routes:
         safety = route.retry_safety
         idempotency = stricter(idempotency, safety.idempotency)
         if safety.idempotency is Idempotency.IDEMPOTENCY_KEY:
--- a/wheatstile/descriptions/compile.py
+++ b/wheatstile/descriptions/compile.py
@@ -1,8 +1,8 @@
-"""Compiles descriptions with the operator's rules and the platform's classes. Pure.
+"""Compiles descriptions with the operator's rules and the platform's classes. Does no I/O.
 
-If two sources contradict each other, the compilation is rejected with both locations. If one source is only
-stricter than the other, the stricter one applies: the idempotency that allows fewer retries, the narrower
-deduplication scope, the shorter deduplication window.
+If two sources contradict each other, the descriptions are rejected with a finding that names both locations.
+If one source is only stricter than the other, the stricter one applies: the idempotency that allows fewer
+retries, the narrower deduplication scope, and the shorter deduplication window.
 """
 
 from collections.abc import Iterable
@@ -19,7 +19,7 @@
     FindingCollector,
     InvalidDescriptionError,
     Severity,
-    by_location,
+    sorted_by_location,
 )
 from wheatstile.descriptions.model import Description
 from wheatstile.descriptions.route_compiler import RouteCompiler
@@ -34,8 +34,8 @@
 ) -> CompiledDescriptions:
     """Compile all descriptions together.
 
-    classes: the platform's classes; None if they are not known, so that class names are not checked.
-    Raises InvalidDescriptionError with every conflict, in the order of their locations.
+    classes: the platform's classes; None if they are not known. Class names are then not checked.
+    Raises InvalidDescriptionError with every conflict, sorted by location.
     """
     findings = FindingCollector()
     route_compiler = RouteCompiler(list(rules), classes, options, findings)
@@ -49,7 +49,7 @@
     if options.strict:
         findings.promote_warnings()
     if conflicts := findings.with_severity(Severity.CONFLICT):
-        raise InvalidDescriptionError(by_location(conflicts))
+        raise InvalidDescriptionError(sorted_by_location(conflicts))
     return CompiledDescriptions(
         tuple(routes), policies, tuple(findings.with_severity(Severity.WARNING)), matchers
     )
--- a/wheatstile/descriptions/compile_types.py
+++ b/wheatstile/descriptions/compile_types.py
@@ -1,4 +1,4 @@
-"""Input and output of the compilation of descriptions. Pure."""
+"""Types for the input and the output of the compilation of descriptions. Does no I/O."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -20,7 +20,7 @@
     idempotency: Idempotency = Idempotency.IDEMPOTENT
     deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
     deduplication_window_us: int = 0
-    client_deadline_us: int = 0  # longest wait of a client for its answer
+    client_deadline_us: int = 0  # time after which a client stops waiting for its answer
     override: Idempotency | None = None  # None: the operator's file has no override
     override_location: SourceLocation | None = None
 
@@ -41,20 +41,20 @@
 
 @dataclass(frozen=True, slots=True)
 class CompileOptions:
-    """Options of a compilation, set by the operator and the platform."""
+    """Options of a compilation, from the operator's file, the platform's settings and the command line."""
 
-    max_attempts: int
-    require_class: bool = False  # an operation without a class is a conflict
-    strict: bool = False  # warnings are conflicts
+    max_attempts: int  # per request; 1: no retries
+    require_class: bool = False  # whether an operation without a class is a conflict
+    strict: bool = False  # whether warnings are treated as conflicts
 
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """One route of an operation, with the class and the retry safety that apply to it."""
+    """A route of an operation, with its service class and retry safety after compilation."""
 
     operation: Operation
     tokens: tuple[Token, ...]
-    template: str  # includes the path of the server's URL
+    template: str  # path template, including the path of the server's URL; or subject pattern
     service_class: str  # empty: neither the description nor a rule assigns one
     class_location: SourceLocation | None
     retry_safety: RetrySafety
@@ -70,7 +70,7 @@
     matchers: Mapping[str, Matcher[Route]]  # key: the action of an operation
 
     def match(self, action: str, target: str) -> list[Route]:
-        """Return the routes that match a concrete path or subject, the most specific one first.
+        """Return the routes that match a path or subject, with the most specific one first.
 
         action: an HttpMethod or a MessageAction.
         """
--- a/wheatstile/descriptions/document.py
+++ b/wheatstile/descriptions/document.py
@@ -1,4 +1,4 @@
-"""Functions for both formats, OpenAPI and AsyncAPI: versions, operations and schema errors. Pure."""
+"""Functions for documents of both formats, OpenAPI and AsyncAPI. Does no I/O."""
 
 import re
 from collections.abc import Callable, Iterable, Sequence
@@ -9,13 +9,13 @@
 from wheatstile.descriptions.model import Description, JsonValue, Operation
 from wheatstile.descriptions.references import DocumentNode
 
-MAX_SCHEMA_FINDINGS = 100  # findings about one document
+MAX_SCHEMA_FINDINGS = 100  # per document
 MAX_REASON_CHARACTERS = 300
-VALIDATOR_DETAILS = "Failed validating"  # start of the details that follow a validator's message
+VALIDATOR_DETAILS = "Failed validating"  # begins the details after the message of a validator's error
 
 
 class SchemaError(Protocol):
-    """A validator's error, as jsonschema and openapi-spec-validator report it."""
+    """The interface of the errors of jsonschema and openapi-spec-validator."""
 
     @property
     def message(self) -> str:
@@ -27,13 +27,13 @@
 
     @property
     def context(self) -> "Sequence[SchemaError] | None":
-        """The errors of each alternative, if the schema allows several and all failed."""
+        """The errors of all alternatives, if the schema has alternatives and none of them is valid."""
 
 
 def version_of(document: JsonValue, key: str, versions: Iterable[str]) -> str | None:
-    """Return the version in a document's key without its patch number: `3.1` for `3.1.0` or `3.1.0-rc1`.
+    """Return the version in a member of the document, without its patch number; None if it is unsupported.
 
-    None if it is not one of the versions.
+    The version is `3.1` for `3.1.0` and for `3.1.0-rc1`.
     """
     version = document.get(key) if isinstance(document, dict) else None
     if not isinstance(version, str):
@@ -46,7 +46,7 @@
 def build_description(
     root: DocumentNode, format_name: str, builders: Iterable[Callable[[], Operation]]
 ) -> Description:
-    """Return the description that consists of the operations that the builders return.
+    """Return a description with the operations that the builders return.
 
     Raises InvalidDescriptionError with the findings of all operations.
     """
@@ -65,21 +65,21 @@
 
 
 def schema_finding(error: SchemaError, locate: Callable[[str], SourceLocation]) -> Finding:
-    """Return a validator's error as a finding.
+    """Convert a validator's error to a finding.
 
-    If several alternatives failed, the finding is about the one whose error is deepest in the document.
+    If no alternative is valid, report the error of the alternative that came closest to matching.
     """
-    nearest = error
-    while nearest.context:
-        nearest = max(nearest.context, key=_closeness)
-    message = str(nearest.message).partition(VALIDATOR_DETAILS)[0]
+    closest = error
+    while closest.context:
+        closest = max(closest.context, key=_closeness)
+    message = str(closest.message).partition(VALIDATOR_DETAILS)[0]
     reason = " ".join(message.split())[:MAX_REASON_CHARACTERS]
-    return Finding(locate(pointer(*nearest.absolute_path)), reason)
+    return Finding(locate(pointer(*closest.absolute_path)), reason)
 
 
 def _closeness(error: SchemaError) -> tuple[int, bool]:
-    """Return a key that is greater the closer an alternative came to matching.
+    """Return a sort key that is greater for errors deeper in the document.
 
-    An alternative that requires a `$ref` is less likely to be the intended one.
+    At the same depth, it is smaller for an error about `$ref`: authors rarely intend that alternative.
     """
     return len(error.absolute_path), "'$ref'" not in error.message
--- a/wheatstile/descriptions/document_folder.py
+++ b/wheatstile/descriptions/document_folder.py
@@ -14,10 +14,10 @@
 
 
 class DocumentFolder:
-    """The documents below one folder. Each file is read once.
+    """The documents below one folder. Each file is read only once.
 
-    The path of each file that was read is added to read_files, which all folders of one call of
-    `reader.read_descriptions` share.
+    read_files: the paths of all files that have been read, shared by all folders of one call of
+    `reader.read_descriptions`.
     """
 
     def __init__(self, root: Path, read_files: set[str]) -> None:
@@ -29,7 +29,7 @@
         """Return the document in this file. Raises ValueError or InvalidDescriptionError."""
         real_path = Path(os.path.realpath(path))
         if not real_path.is_relative_to(self.root):
-            raise ValueError(f"{path} is a link that leaves the folder {self.root}")
+            raise ValueError(f"{path} is a link to a file outside the folder {self.root}")
         return self._store.root(real_path.as_uri())
 
     def value_at(self, uri: str) -> JsonValue:
@@ -39,11 +39,11 @@
     def _retrieve(self, uri: str) -> ParsedFile:
         path = Path(os.path.realpath(unquote(urlsplit(uri).path)))
         if not path.is_relative_to(self.root):
-            raise ValueError(f"leaves the folder {self.root}")
+            raise ValueError(f"is outside the folder {self.root}")
         return self._read(path)
 
     def _read(self, path: Path) -> ParsedFile:
-        name = _shown_name(path)
+        name = _display_name(path)
         if len(self._read_files) >= MAX_FILES:
             raise ValueError(f"more than {MAX_FILES} files")
         try:
@@ -55,7 +55,7 @@
         return parse(name, data)
 
 
-def _shown_name(path: Path) -> str:
-    """Return the name of a file in findings: a relative path if the file is below the current folder."""
+def _display_name(path: Path) -> str:
+    """Return the file name for findings: a relative path if the file is below the current folder."""
     relative = os.path.relpath(path)
     return str(path) if relative.startswith("..") else relative
--- a/wheatstile/descriptions/extensions.py
+++ b/wheatstile/descriptions/extensions.py
@@ -1,8 +1,8 @@
-"""Reads the extensions (`x-wheatstile-...`) in OpenAPI and AsyncAPI documents. Pure.
+"""Reads the extensions (`x-wheatstile-...`) in OpenAPI and AsyncAPI documents. Does no I/O.
 
-The functions take the nodes that may hold an extension, innermost first: operation, path or channel,
-document. The first node that has the extension counts. They raise InvalidDescriptionError for an invalid
-value.
+An extension may be set on an operation, on its path or channel, and on the whole document. The functions take
+these nodes as `holders`, innermost first, and read the extension from the first node that has it. They raise
+InvalidDescriptionError for an invalid value.
 """
 
 from collections.abc import Sequence
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Deduplication:
-    """The servers that discard a repeat, and for how long they do."""
+    """The servers that discard the duplicate of a request, and the time for which they do so."""
 
     scope: DeduplicationScope
     window_us: int  # 0: not declared
@@ -46,16 +46,16 @@
 
 @dataclass(frozen=True, slots=True)
 class RetryExtension:
-    """The retry extension of an operation, with the extensions that qualify it."""
+    """The retry extension of an operation, with the related extensions."""
 
     idempotency: Idempotency
-    because: str  # the author's reason; empty: none given
+    because: str  # reason that the author of the description gives; empty: none
     deduplication: Deduplication
     location: SourceLocation
 
     @property
     def lacks_reason(self) -> bool:
-        """Whether it declares an operation idempotent without a reason."""
+        """Whether the extension declares an operation idempotent without giving a reason."""
         return self.idempotency is Idempotency.IDEMPOTENT and not self.because
 
     def retry_safety(self) -> RetrySafety:
@@ -63,7 +63,7 @@
         because = f": {self.because}" if self.because else ""
         return RetrySafety(
             self.idempotency,
-            f"{Extension.RETRY} says {IDEMPOTENCY_KEYWORDS.keyword(self.idempotency)}{because}",
+            f"{Extension.RETRY} is {IDEMPOTENCY_KEYWORDS.keyword(self.idempotency)}{because}",
             self.location,
             self.deduplication.scope,
             self.deduplication.window_us,
@@ -71,7 +71,7 @@
 
 
 def nearest_extension(extension: Extension, holders: Sequence[DocumentNode]) -> DocumentNode | None:
-    """Return the extension at the first of the holders that has it."""
+    """Return the extension of the first holder that has it; None if there is none."""
     for holder in holders:
         if (node := holder.get_unresolved(extension)) is not None:
             return node
@@ -84,7 +84,7 @@
     if node is None:
         return NO_CLASS
     if not isinstance(node.value, str) or not node.value:
-        raise InvalidDescriptionError.at(node.location, "is no name of a class")
+        raise InvalidDescriptionError.at(node.location, "is not the name of a class")
     return AssignedClass(node.value, node.location)
 
 
@@ -109,7 +109,7 @@
 
 
 def deduplication_of(*holders: DocumentNode) -> Deduplication:
-    """Return the declared deduplication. The defaults are all servers and no window."""
+    """Return the declared deduplication. The defaults are the scope ALL and no window."""
     scope_node = nearest_extension(Extension.SCOPE, holders)
     window_node = nearest_extension(Extension.WINDOW_S, holders)
     scope = DeduplicationScope.ALL
@@ -122,17 +122,17 @@
 
 
 def _keyword_member(node: DocumentNode, table: KeywordTable[Member]) -> Member:
-    """Return the member that a node's keyword names."""
+    """Return the member whose keyword is the value of the node."""
     try:
         return table.member(node.value)
     except UnknownKeywordError as error:
-        reason = f"is none of {', '.join(error.allowed)}"
+        reason = f"is not one of {', '.join(error.allowed)}"
         raise InvalidDescriptionError.at(node.location, reason) from None
 
 
 def _positive_number(node: DocumentNode, limit: float, unit: str) -> int | float:
-    """Return a node's number, which has to be above 0 and below the limit."""
+    """Return the value of the node, which must be a number greater than 0 and less than the limit."""
     value = node.value
     if isinstance(value, bool) or not isinstance(value, int | float) or not 0 < value < limit:
-        raise InvalidDescriptionError.at(node.location, f"is no number of {unit} over 0")
+        raise InvalidDescriptionError.at(node.location, f"is not a number of {unit} greater than 0")
     return value
--- a/wheatstile/descriptions/file_states.py
+++ b/wheatstile/descriptions/file_states.py
@@ -1,4 +1,4 @@
-"""Detects changes of files by their identity, size and modification time."""
+"""Reads the states of files, so that changes are detected by inode, size and modification time."""
 
 import os
 from collections.abc import Iterable
@@ -6,11 +6,11 @@
 from pathlib import Path
 from typing import NamedTuple
 
-MAX_FILES = 5000  # files that are checked for changes
+MAX_FILES = 5000  # further files are not checked for changes
 
 
 class FileState(NamedTuple):
-    """The state of a file on disk. A file whose state is unchanged is taken to have the same content."""
+    """The state of a file on disk. The content of a file is assumed to be unchanged if its state is."""
 
     path: str
     inode: int
@@ -19,14 +19,14 @@
 
 
 def file_states(paths: Iterable[Path], referenced_files: Iterable[str] = ()) -> list[FileState]:
-    """Return the states of the files at or below the paths and of the referenced files.
+    """Return the states of the files at or below the paths, and of the referenced files.
 
-    Missing files are left out.
+    Missing files are omitted.
     """
     files = {os.path.realpath(file) for file in referenced_files}
     for path in paths:
         files.add(os.path.realpath(path))
-        for folder, _, names in os.walk(path):  # yields nothing if the path is a file
+        for folder, _, names in os.walk(path):  # does not iterate if the path is a file
             files.update(os.path.realpath(os.path.join(folder, name)) for name in names)
     states = []
     for file in sorted(files)[:MAX_FILES]:
--- a/wheatstile/descriptions/findings.py
+++ b/wheatstile/descriptions/findings.py
@@ -1,15 +1,15 @@
-"""Problems in descriptions, with their location and severity, and the errors that carry them. Pure."""
+"""Findings, which are problems in descriptions, and the errors of this package. Does no I/O."""
 
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass, replace
 from enum import StrEnum
 
-MAX_FINDINGS_IN_MESSAGE = 20  # limit for the text of an exception; its `findings` has all of them
+MAX_FINDINGS_IN_MESSAGE = 20  # in the text of an InvalidDescriptionError; its `findings` contains all
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class SourceLocation:
-    """A position in a file: its line (from 1) and its JSON pointer (RFC 6901)."""
+    """A location in a file: the line, starting at 1, and the JSON pointer (RFC 6901)."""
 
     file: str
     line: int
@@ -19,24 +19,24 @@
         return f"{self.file}:{self.line}: {self.pointer or '/'}"
 
     def short(self) -> str:
-        """Return `FILE:LINE`, for a location that is only mentioned."""
+        """Return the location without its JSON pointer: `FILE:LINE`."""
         return f"{self.file}:{self.line}"
 
 
 class Severity(StrEnum):
-    """The effect of a finding on the use of the descriptions."""
+    """The severity of a finding. It decides whether the descriptions are accepted."""
 
     CONFLICT = "conflict"  # the descriptions are rejected
-    WARNING = "warning"  # the descriptions are used, with the stricter of two statements
+    WARNING = "warning"  # the descriptions are accepted; of two declarations, the stricter one applies
 
 
 @dataclass(frozen=True, slots=True)
 class Finding:
-    """One problem, with the location of the contradicting statement if there is one."""
+    """One problem in a description or in the operator's rules."""
 
     location: SourceLocation
     reason: str
-    related: SourceLocation | None = None
+    related: SourceLocation | None = None  # location of the declaration that this one contradicts
     severity: Severity = Severity.CONFLICT
 
     def __str__(self) -> str:
@@ -45,8 +45,8 @@
         return f"{self.location}: {prefix}{self.reason}{related}"
 
 
-def by_location(findings: Iterable[Finding]) -> list[Finding]:
-    """Return the distinct findings, in the order of their locations."""
+def sorted_by_location(findings: Iterable[Finding]) -> list[Finding]:
+    """Return the findings without duplicates, sorted by location."""
     return sorted(set(findings), key=lambda finding: (finding.location, finding.reason))
 
 
@@ -55,7 +55,7 @@
 
 
 class InvalidDescriptionError(DescriptionError):
-    """Raised for descriptions that cannot be used. `findings` has every reason."""
+    """Raised for invalid descriptions. `findings` contains every problem."""
 
     def __init__(self, findings: list[Finding]) -> None:
         self.findings = findings
@@ -82,12 +82,16 @@
     def __iter__(self) -> Iterator[Finding]:
         return iter(self._findings)
 
-    def conflict(self, location: SourceLocation, reason: str, related: SourceLocation | None = None) -> None:
-        """Add a finding that makes the descriptions unusable."""
+    def add_conflict(
+        self, location: SourceLocation, reason: str, related: SourceLocation | None = None
+    ) -> None:
+        """Add a finding that causes the descriptions to be rejected."""
         self._findings.append(Finding(location, reason, related))
 
-    def warn(self, location: SourceLocation, reason: str, related: SourceLocation | None = None) -> None:
-        """Add a finding that leaves the descriptions usable."""
+    def add_warning(
+        self, location: SourceLocation, reason: str, related: SourceLocation | None = None
+    ) -> None:
+        """Add a finding with which the descriptions are still accepted."""
         self._findings.append(Finding(location, reason, related, Severity.WARNING))
 
     def promote_warnings(self) -> None:
@@ -95,5 +99,5 @@
         self._findings = [replace(finding, severity=Severity.CONFLICT) for finding in self._findings]
 
     def with_severity(self, severity: Severity) -> list[Finding]:
-        """Return the findings of one severity, in the order in which they were added."""
+        """Return the findings with this severity, in the order in which they were added."""
         return [finding for finding in self._findings if finding.severity is severity]
--- a/wheatstile/descriptions/graph.py
+++ b/wheatstile/descriptions/graph.py
@@ -1,4 +1,4 @@
-"""Draws services, routes and service classes as a picture of three columns."""
+"""Draws services, routes and service classes as an SVG image with three columns."""
 
 from collections.abc import Mapping, Sequence
 
@@ -21,8 +21,8 @@
 CLASS_X = 980
 SERVICE_WIDTH = 200
 ROUTE_WIDTH = 560
-LINE_GAP = 8  # distance between the end of a line and a text
-TEXT_MIDDLE = 4  # height of the middle of a text above its baseline
+LINE_GAP = 8  # distance between the end of a line and the adjacent text
+TEXT_MIDDLE = 4  # distance from the baseline of a text to its vertical middle
 MAX_SERVICE_CHARACTERS = 30
 MAX_ROUTE_CHARACTERS = 80
 MAX_CLASS_CHARACTERS = 25
@@ -36,65 +36,65 @@
 
 
 def draw(routes: Sequence[Route], titles: Mapping[str, str]) -> drawsvg.Drawing:
-    """Return a picture with a line from each service to its routes, and from each route to its class.
+    """Return a drawing with a line from each service to its routes, and from each route to its class.
 
-    Routes are coloured by their idempotency. titles: the title of each description, by its file.
+    The colour of a route depends on its idempotency. titles: the title of each description, by file.
     """
-    ordered = sorted(routes, key=_by_file_and_route)
-    picture = _blank_picture(len(ordered))
-    service_positions = _vertical_positions([route.operation.location.file for route in ordered])
-    class_positions = _vertical_positions([route.service_class or NO_CLASS for route in ordered])
-    for index, route in enumerate(ordered):
+    sorted_routes = sorted(routes, key=_sort_key)
+    drawing = _empty_drawing(len(sorted_routes))
+    service_positions = _vertical_positions([route.operation.location.file for route in sorted_routes])
+    class_positions = _vertical_positions([route.service_class or NO_CLASS for route in sorted_routes])
+    for index, route in enumerate(sorted_routes):
         service_y = service_positions[route.operation.location.file]
         class_y = class_positions[route.service_class or NO_CLASS]
-        _draw_route(picture, route, FIRST_BASELINE + index * ROW_HEIGHT, service_y, class_y)
+        _draw_route(drawing, route, FIRST_BASELINE + index * ROW_HEIGHT, service_y, class_y)
     for file, middle in service_positions.items():
         title = titles.get(file, file)[:MAX_SERVICE_CHARACTERS]
-        picture.append(drawsvg.Text(title, FONT_SIZE, SERVICE_X, middle + TEXT_MIDDLE))
+        drawing.append(drawsvg.Text(title, FONT_SIZE, SERVICE_X, middle + TEXT_MIDDLE))
     for name, middle in class_positions.items():
-        picture.append(drawsvg.Text(name[:MAX_CLASS_CHARACTERS], FONT_SIZE, CLASS_X, middle + TEXT_MIDDLE))
-    return picture
+        drawing.append(drawsvg.Text(name[:MAX_CLASS_CHARACTERS], FONT_SIZE, CLASS_X, middle + TEXT_MIDDLE))
+    return drawing
 
 
-def _by_file_and_route(route: Route) -> tuple[str, str, str]:
+def _sort_key(route: Route) -> tuple[str, str, str]:
     return route.operation.location.file, route.template, route.operation.action
 
 
-def _blank_picture(rows: int) -> drawsvg.Drawing:
-    """Return a white picture with column headings and room for these rows."""
-    height = max(1, rows) * ROW_HEIGHT + VERTICAL_PADDING
-    picture = drawsvg.Drawing(WIDTH, height, id_prefix="w")
-    picture.append(drawsvg.Rectangle(0, 0, WIDTH, height, fill="white"))
-    for left, heading in ((SERVICE_X, "service"), (ROUTE_X, "route"), (CLASS_X, "class")):
-        picture.append(drawsvg.Text(heading, HEADING_FONT_SIZE, left, MARGIN, font_weight="bold"))
-    return picture
+def _empty_drawing(row_count: int) -> drawsvg.Drawing:
+    """Return a drawing with column headings on a white background, sized for this number of rows."""
+    height = max(1, row_count) * ROW_HEIGHT + VERTICAL_PADDING
+    drawing = drawsvg.Drawing(WIDTH, height, id_prefix="w")
+    drawing.append(drawsvg.Rectangle(0, 0, WIDTH, height, fill="white"))
+    for x, heading in ((SERVICE_X, "service"), (ROUTE_X, "route"), (CLASS_X, "class")):
+        drawing.append(drawsvg.Text(heading, HEADING_FONT_SIZE, x, MARGIN, font_weight="bold"))
+    return drawing
 
 
 def _draw_route(
-    picture: drawsvg.Drawing, route: Route, baseline: int, service_y: float, class_y: float
+    drawing: drawsvg.Drawing, route: Route, baseline: int, service_y: float, class_y: float
 ) -> None:
     idempotency = route.retry_safety.idempotency
     colour = ROUTE_COLOURS[idempotency]
     middle = baseline - TEXT_MIDDLE
     text = f"{route.operation.action} {route.template} ({IDEMPOTENCY_KEYWORDS.keyword(idempotency)})"
-    picture.append(
+    drawing.append(
         drawsvg.Line(
             SERVICE_X + SERVICE_WIDTH, service_y, ROUTE_X - LINE_GAP, middle, stroke=SERVICE_LINE_COLOUR
         )
     )
-    picture.append(drawsvg.Line(ROUTE_X + ROUTE_WIDTH, middle, CLASS_X - LINE_GAP, class_y, stroke=colour))
-    picture.append(drawsvg.Text(text[:MAX_ROUTE_CHARACTERS], FONT_SIZE, ROUTE_X, baseline, fill=colour))
+    drawing.append(drawsvg.Line(ROUTE_X + ROUTE_WIDTH, middle, CLASS_X - LINE_GAP, class_y, stroke=colour))
+    drawing.append(drawsvg.Text(text[:MAX_ROUTE_CHARACTERS], FONT_SIZE, ROUTE_X, baseline, fill=colour))
 
 
 def _vertical_positions(names: Sequence[str]) -> dict[str, float]:
-    """Return the vertical position of each name: the middle of its rows, moved down to avoid overlaps."""
+    """Return the vertical position of each name: the middle of its rows, or lower to avoid overlaps."""
     rows_by_name: dict[str, list[int]] = {}
     for row, name in enumerate(names):
         rows_by_name.setdefault(name, []).append(row)
     positions: dict[str, float] = {}
-    previous = 0.0
+    position = 0.0
     for name, rows in sorted(rows_by_name.items(), key=lambda item: sum(item[1]) / len(item[1])):
         middle = FIRST_BASELINE + ROW_HEIGHT * sum(rows) / len(rows) - TEXT_MIDDLE
-        previous = max(middle, previous + ROW_HEIGHT)
-        positions[name] = previous
+        position = max(middle, position + ROW_HEIGHT)
+        positions[name] = position
     return positions
--- a/wheatstile/descriptions/keywords.py
+++ b/wheatstile/descriptions/keywords.py
@@ -1,7 +1,7 @@
-"""Keywords of idempotency and deduplication scope. Pure.
+"""Keywords for idempotencies and deduplication scopes. Does no I/O.
 
-Files, extensions, JSON schemas, worker messages, logs and the output of commands spell the members of these
-enumerations by the tables below, and never by the enumerations' own values.
+Files, extensions, JSON schemas, worker messages, logs and command output represent the members of these
+enumerations by the keywords in the tables below, never by the values of the members.
 """
 
 from collections.abc import Iterable, Mapping
@@ -15,12 +15,12 @@
 
 
 class UnknownKeywordError(DescriptionError):
-    """A value that is none of the keywords allowed in its place."""
+    """Raised for a value that is not one of the allowed keywords."""
 
     def __init__(self, value: object, allowed: Iterable[str]) -> None:
         self.value = value
         self.allowed = tuple(allowed)
-        super().__init__(f"{value!r} is none of {', '.join(self.allowed)}")
+        super().__init__(f"{value!r} is not one of {', '.join(self.allowed)}")
 
 
 class KeywordTable(Generic[Member]):
@@ -40,14 +40,16 @@
         return self._keywords[member]
 
     def member(self, keyword: object) -> Member:
-        """Return the member that a keyword names. Raises UnknownKeywordError for any other value."""
+        """Return the member that has this keyword. Raises UnknownKeywordError if there is none."""
         if not isinstance(keyword, str) or keyword not in self._members:
             raise UnknownKeywordError(keyword, self.keywords)
         return self._members[keyword]
 
     def without(self, excluded: Member) -> "KeywordTable[Member]":
-        """Return a table with all members but one."""
-        return KeywordTable({member: word for member, word in self._keywords.items() if member != excluded})
+        """Return a table of all members except one."""
+        return KeywordTable(
+            {member: keyword for member, keyword in self._keywords.items() if member != excluded}
+        )
 
 
 IDEMPOTENCY_KEYWORDS = KeywordTable(
--- a/wheatstile/descriptions/language.py
+++ b/wheatstile/descriptions/language.py
@@ -1,11 +1,13 @@
-"""The language of conditions in the operator's rules. A condition selects operations. Pure.
+"""Parses the conditions of the operator's rules. A condition selects operations. Does no I/O.
+
+This is an example of a condition:
 
     method == "POST" and path ~ "/orders/**" and not tag in ["internal", "test"]
 
-Fields: method, path, tag, operationId, channel, message, server, action, kind, file. A field with several
-values (tag, message, server) satisfies a comparison if one of its values does; `!=` is true if none is equal.
-In a glob (`~`), `*` matches any text without a separator, `**` any text, `?` one character. The separator is
-`/`, and also `.` in a glob without `/`.
+Fields: method, path, tag, operationId, channel, message, server, action, kind, file. If a field has several
+values (tag, message, server), a comparison is true if it is true for one of them; `!=` is true if no value is
+equal. The operator `~` matches a glob: `*` stands for any text without a separator, `**` for any text, and
+`?` for one character. The separator is `/`, and also `.` if the glob contains no `/`.
 """
 
 import re
@@ -20,15 +22,15 @@
 from wheatstile.descriptions.model import Operation, OperationKind
 
 MAX_CHARACTERS = 2000
-MAX_NESTING_DEPTH = 40  # parentheses and negations within each other
-MAX_QUOTED_CHARACTERS = 20  # length of an excerpt in an error
-END_OF_INPUT = "$END"  # lark's token type for the end of the text
+MAX_NESTING_DEPTH = 40  # levels of parentheses and negations
+MAX_QUOTED_CHARACTERS = 20  # length of the excerpt of a condition in an error message
+END_OF_INPUT = "$END"  # type of lark's token at the end of the text
 
 Condition: TypeAlias = Callable[[Operation], bool]
 Field: TypeAlias = Callable[[Operation], tuple[str, ...]]
 
 
-def _present(value: str) -> tuple[str, ...]:
+def _nonempty(value: str) -> tuple[str, ...]:
     return (value,) if value else ()
 
 
@@ -41,8 +43,8 @@
     "action": lambda operation: (operation.action,),
     "path": lambda operation: _if_http(operation, operation.route),
     "tag": lambda operation: operation.tags,
-    "operationId": lambda operation: _present(operation.id),
-    "channel": lambda operation: _present(operation.channel),
+    "operationId": lambda operation: _nonempty(operation.id),
+    "channel": lambda operation: _nonempty(operation.channel),
     "message": lambda operation: tuple(message.name for message in operation.messages),
     "server": lambda operation: operation.servers,
     "kind": lambda operation: (operation.kind,),
@@ -63,14 +65,14 @@
 %ignore /[ \t\n]+/
 """
 PARSER = Lark(GRAMMAR, parser="lalr", maybe_placeholders=False)
-NESTING_MARK = re.compile(r'"(?:[^"\\]|\\.)*"|[()]|\bnot\b')
-NESTING_STEP = {"(": 1, "not": 1, ")": -1}
+NESTING_TOKEN = re.compile(r'"(?:[^"\\]|\\.)*"|[()]|\bnot\b')
+DEPTH_CHANGE = {"(": 1, "not": 1, ")": -1}
 ESCAPE = re.compile(r"\\(.)")
 GLOB_PART = re.compile(r"\*\*|\*|\?|[^*?]+")
 
 
 class RuleSyntaxError(DescriptionError):
-    """Raised for a condition that cannot be parsed. `column` counts from 1."""
+    """Raised for a condition that cannot be parsed. `column` starts at 1."""
 
     def __init__(self, reason: str, column: int) -> None:
         self.reason = reason
@@ -79,7 +81,7 @@
 
 
 def parse_condition(text: str) -> Condition:
-    """Return the condition as a function of an operation. Raises RuleSyntaxError with the column."""
+    """Return the condition as a predicate on operations. Raises RuleSyntaxError."""
     if len(text) > MAX_CHARACTERS:
         raise RuleSyntaxError(f"the condition has {len(text)} characters; the limit is {MAX_CHARACTERS}", 1)
     _check_nesting(text)
@@ -87,7 +89,7 @@
         return _ConditionBuilder().transform(PARSER.parse(text))
     except UnexpectedInput as error:
         if isinstance(error, UnexpectedToken) and error.token.type == END_OF_INPUT:
-            raise RuleSyntaxError("ends where more has to come", len(text) + 1) from None
+            raise RuleSyntaxError("the condition is incomplete", len(text) + 1) from None
         position = error.pos_in_stream or 0
         excerpt = text[position : position + MAX_QUOTED_CHARACTERS]
         raise RuleSyntaxError(f"unexpected {excerpt!r}", position + 1) from None
@@ -98,16 +100,16 @@
 
 
 def _check_nesting(text: str) -> None:
-    """Limit the recursion in evaluating the condition. Raises RuleSyntaxError."""
+    """Raise RuleSyntaxError for a condition whose evaluation would recurse too deeply."""
     depth = 0
-    for mark in NESTING_MARK.finditer(text):
-        depth += NESTING_STEP.get(mark.group(), 0)
+    for token in NESTING_TOKEN.finditer(text):
+        depth += DEPTH_CHANGE.get(token.group(), 0)
         if depth > MAX_NESTING_DEPTH:
-            raise RuleSyntaxError(f"nested deeper than {MAX_NESTING_DEPTH}", mark.start() + 1)
+            raise RuleSyntaxError(f"nested deeper than {MAX_NESTING_DEPTH} levels", token.start() + 1)
 
 
 def compile_glob(pattern: str) -> re.Pattern[str]:
-    """Return the regular expression of a glob."""
+    """Return a regular expression that is equivalent to the glob."""
     wildcards = {"**": ".*", "*": "[^/]*" if "/" in pattern else "[^/.]*", "?": "."}
     parts = [wildcards.get(part) or re.escape(part) for part in GLOB_PART.findall(pattern)]
     return re.compile("".join(parts), re.DOTALL)
@@ -116,19 +118,19 @@
 class _ConditionBuilder(Transformer[Token, Condition]):
     """Converts a parse tree to a condition.
 
-    lark calls the method of each grammar rule with the converted children.
+    lark calls the method that is named like the grammar rule, with the converted children.
     """
 
     def any_of(self, parts: list[Condition]) -> Condition:
-        """Combine conditions by `or`."""
+        """Build `A or B ...`."""
         return lambda operation: any(part(operation) for part in parts)
 
     def all_of(self, parts: list[Condition]) -> Condition:
-        """Combine conditions by `and`."""
+        """Build `A and B ...`."""
         return lambda operation: all(part(operation) for part in parts)
 
     def negation(self, parts: list[Condition]) -> Condition:
-        """Negate a condition."""
+        """Build `not A`."""
         return lambda operation: not parts[0](operation)
 
     def equal(self, parts: list[Token]) -> Condition:
@@ -157,7 +159,7 @@
 
 
 def _field(token: Token) -> Field:
-    """Return the function that reads a field's values. Raises RuleSyntaxError for an unknown field."""
+    """Return the function that reads the values of a field. Raises RuleSyntaxError for an unknown field."""
     if token.value not in FIELDS:
         reason = f'unknown field "{token.value}"{nearest(token.value, FIELDS)}'
         raise RuleSyntaxError(reason, token.column or 1)
@@ -165,5 +167,5 @@
 
 
 def _text(token: Token) -> str:
-    """Return the content of a quoted text, unescaped."""
+    """Return the content of a quoted string, with escapes resolved."""
     return ESCAPE.sub(r"\1", token.value[1:-1])
--- a/wheatstile/descriptions/model.py
+++ b/wheatstile/descriptions/model.py
@@ -1,4 +1,4 @@
-"""The content of OpenAPI and AsyncAPI descriptions in one form, with source locations. Pure."""
+"""A common model of OpenAPI and AsyncAPI descriptions, with source locations. Does no I/O."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -19,37 +19,37 @@
 
     CLASS = "x-wheatstile-class"  # name of a service class
     RETRY = "x-wheatstile-repeat"  # a keyword of IDEMPOTENCY_KEYWORDS
-    BECAUSE = "x-wheatstile-because"  # why an operation is safe although its format does not imply it
+    BECAUSE = "x-wheatstile-because"  # reason for declaring an operation safe if its format does not imply it
     SCOPE = "x-wheatstile-scope"  # a keyword of DECLARABLE_SCOPE_KEYWORDS
     WINDOW_S = "x-wheatstile-window-s"
     TIMEOUT_MS = "x-wheatstile-timeout-ms"
 
 
 def seconds_text(duration_us: int) -> str:
-    """Return a duration as findings and commands show it, such as `2.5 s`."""
+    """Return a duration in seconds as text, such as `2.5 s`."""
     return f"{duration_us / MICROSECONDS_PER_SECOND:g} s"
 
 
 @dataclass(frozen=True, slots=True)
 class RetrySafety:
-    """Whether an operation may be retried, why, and where that was declared."""
+    """The idempotency of an operation, the reason for it, and the location that declares it."""
 
     idempotency: Idempotency
     reason: str
     location: SourceLocation
-    deduplication_scope: DeduplicationScope = DeduplicationScope.ALL  # used with IDEMPOTENCY_KEY only
-    deduplication_window_us: int = 0  # used with IDEMPOTENCY_KEY only; 0: not declared
+    deduplication_scope: DeduplicationScope = DeduplicationScope.ALL  # applies to IDEMPOTENCY_KEY only
+    deduplication_window_us: int = 0  # applies to IDEMPOTENCY_KEY only; 0: not declared
 
 
 class AssignedClass(NamedTuple):
-    """A service class, and the location that assigns it to an operation."""
+    """The service class of an operation, and the location that assigns it."""
 
     name: str  # empty: no class is assigned
     location: SourceLocation | None
 
 
 class DeclaredTimeout(NamedTuple):
-    """A time-out, and the location that declares it for an operation."""
+    """The time-out of an operation, and the location that declares it."""
 
     timeout_us: int  # 0: no time-out is declared
     location: SourceLocation | None
@@ -60,7 +60,7 @@
 
 
 class OperationKind(StrEnum):
-    """The kind of description that an operation comes from."""
+    """The kind of an operation. It depends on the format of the description."""
 
     HTTP = "http"  # OpenAPI: a method on a path
     MESSAGE = "message"  # AsyncAPI: messages on a channel
@@ -84,7 +84,7 @@
 
 
 class MessageAction(StrEnum):
-    """What the described application itself does with a message. The value is AsyncAPI 3.0's word."""
+    """An action of the described application itself. The values are the keywords of AsyncAPI 3.0."""
 
     SEND = "send"
     RECEIVE = "receive"
@@ -95,18 +95,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Message:
-    """A message of a channel, or a body of an HTTP request."""
+    """A message of a channel, or the body of an HTTP request."""
 
     name: str
     location: SourceLocation
-    discriminator: str = ""  # name of the property that selects an alternative of the schema
-    max_bytes: int | None = None  # size of the longest JSON; None: the schema sets no bound
+    discriminator: str = ""  # name of the property that selects an alternative of the schema; empty: none
+    max_bytes: int | None = None  # maximum size as compact JSON; None: the schema sets no limit
     content_type: str = ""
 
 
 @dataclass(frozen=True, slots=True)
 class Operation:
-    """One operation: an HTTP method on a path, or sending or receiving on a channel."""
+    """One operation: an HTTP method on a path, or a MessageAction on a channel."""
 
     kind: OperationKind
     action: str  # an HttpMethod or a MessageAction
@@ -117,9 +117,9 @@
     tags: tuple[str, ...] = ()
     channel: str = ""
     servers: tuple[str, ...] = ()  # URLs
-    queue_group: str = ""  # from the NATS binding
+    queue_group: str = ""  # queue group in the NATS binding; empty: none
     messages: tuple[Message, ...] = ()
-    reply: str = ""  # address of the channel for replies
+    reply: str = ""  # address of the channel for replies; empty: none
     service_class: str = ""  # empty: the description declares none
     class_location: SourceLocation | None = None
     timeout_us: int = 0  # 0: the description declares none
@@ -128,15 +128,15 @@
 
     @property
     def name(self) -> str:
-        """The name of the operation in findings, such as `GET /orders`."""
+        """The name of the operation in error messages, such as `GET /orders`."""
         return f"{self.action} {self.route}"
 
 
 @dataclass(frozen=True, slots=True)
 class Description:
-    """One description file."""
+    """The content of one description file."""
 
     file: str
     title: str
-    format: str  # name and version, such as "openapi 3.1"
+    format: str  # name and version of the format, such as "openapi 3.1"
     operations: tuple[Operation, ...]
--- a/wheatstile/descriptions/openapi.py
+++ b/wheatstile/descriptions/openapi.py
@@ -1,4 +1,4 @@
-"""Reads the operations of OpenAPI 3.0, 3.1 and 3.2 documents, and whether each may be retried. Pure."""
+"""Reads the operations of OpenAPI 3.0, 3.1 and 3.2 documents, with the retry safety of each. Does no I/O."""
 
 from collections.abc import Iterator, Mapping
 from enum import StrEnum
@@ -32,7 +32,7 @@
 
 
 class MethodProperty(StrEnum):
-    """A property of an HTTP method by which it may be repeated. The value is RFC 9110's word."""
+    """A property of an HTTP method that allows retries. The values are the terms of RFC 9110."""
 
     SAFE = "safe"
     IDEMPOTENT = "idempotent"
@@ -43,13 +43,13 @@
     HttpMethod.HEAD: MethodProperty.SAFE,
     HttpMethod.OPTIONS: MethodProperty.SAFE,
     HttpMethod.TRACE: MethodProperty.SAFE,
-    HttpMethod.QUERY: MethodProperty.SAFE,  # defined by the draft of the QUERY method
+    HttpMethod.QUERY: MethodProperty.SAFE,  # according to the draft standard of the QUERY method
     HttpMethod.PUT: MethodProperty.IDEMPOTENT,
     HttpMethod.DELETE: MethodProperty.IDEMPOTENT,
 }
-"""Methods whose repetition has no further effect (RFC 9110, sections 9.2.1 and 9.2.2)."""
+"""Methods that are safe or idempotent (RFC 9110, sections 9.2.1 and 9.2.2)."""
 
-IDEMPOTENCY_KEY_HEADER = "idempotency-key"  # lower case; names of headers are compared without case
+IDEMPOTENCY_KEY_HEADER = "idempotency-key"  # in lower case, because header names are case-insensitive
 HEADER_PARAMETER = "header"  # value of a parameter's "in"
 
 
@@ -101,14 +101,15 @@
 def _retry_safety(
     method: HttpMethod, path_item: DocumentNode, operation: DocumentNode, root: DocumentNode
 ) -> RetrySafety:
-    """Return the retry safety by the first of: extension, method, required Idempotency-Key parameter.
+    """Return the retry safety of an operation.
 
-    The name of an operation is not considered.
+    It is taken from the first of these that applies: the extension, the method, an Idempotency-Key parameter.
+    The name of the operation is not considered.
     """
     method_property = METHOD_PROPERTIES.get(method)
     if extension := retry_extension_of(operation, path_item, root):
         if extension.lacks_reason and method_property is None:
-            raise _missing_reason(method, extension, operation)
+            raise _missing_reason_error(method, extension, operation)
         return extension.retry_safety()
     if method_property:
         reason = f"{method} is {method_property} (RFC 9110)"
@@ -116,19 +117,19 @@
     for parameter in _parameters(path_item, operation):
         if _is_idempotency_key(parameter):
             return _keyed_retry_safety(parameter, operation)
-    reason = f"{method} is not idempotent (RFC 9110), and nothing else is said"
+    reason = f"{method} is not idempotent (RFC 9110), and the description declares nothing else"
     return RetrySafety(Idempotency.NON_IDEMPOTENT, reason, operation.location)
 
 
-def _missing_reason(
+def _missing_reason_error(
     method: HttpMethod, extension: RetryExtension, operation: DocumentNode
 ) -> InvalidDescriptionError:
     """Return the error for an extension that contradicts the method without giving a reason."""
     safe = IDEMPOTENCY_KEYWORDS.keyword(Idempotency.IDEMPOTENT)
     alternatives = IDEMPOTENCY_KEYWORDS.without(Idempotency.IDEMPOTENT).keywords
     reason = (
-        f"says {safe}, but {method} has an effect each time (RFC 9110): say why in "
-        f"{Extension.BECAUSE}, or say {' or '.join(alternatives)}"
+        f"declares {safe}, but {method} is not idempotent (RFC 9110): give the reason in "
+        f"{Extension.BECAUSE}, or declare {' or '.join(alternatives)}"
     )
     return InvalidDescriptionError.at(extension.location, reason, operation.location)
 
@@ -139,9 +140,9 @@
 
 
 def _keyed_retry_safety(parameter: DocumentNode, operation: DocumentNode) -> RetrySafety:
-    """Return the retry safety by an Idempotency-Key parameter.
+    """Return the retry safety of an operation with an Idempotency-Key parameter.
 
-    The operation is NON_IDEMPOTENT if the key is optional, since a request may then lack it.
+    It is NON_IDEMPOTENT if the parameter is optional, because a request may then lack the key.
     """
     deduplication = deduplication_of(parameter, operation)
     required = parameter.get("required")
@@ -150,7 +151,7 @@
         return RetrySafety(Idempotency.NON_IDEMPOTENT, reason, parameter.location)
     return RetrySafety(
         Idempotency.IDEMPOTENCY_KEY,
-        "it carries an Idempotency-Key",
+        "it requires an Idempotency-Key",
         parameter.location,
         deduplication.scope,
         deduplication.window_us,
--- a/wheatstile/descriptions/openapi_validation.py
+++ b/wheatstile/descriptions/openapi_validation.py
@@ -1,4 +1,7 @@
-"""Validates OpenAPI documents with openapi-spec-validator. Pure: the caller passes the reader of files."""
+"""Validates OpenAPI documents with openapi-spec-validator.
+
+Does no I/O: the caller passes the function that reads files.
+"""
 
 from collections.abc import Callable, Iterator, Mapping
 from typing import TypeAlias
@@ -11,13 +14,13 @@
 ReadFile: TypeAlias = Callable[[str], JsonValue]
 """Returns the document at a URI. Raises ValueError or InvalidDescriptionError."""
 
-URI_SCHEMES = ("", "file", "http", "https")  # schemes that the validator would otherwise read itself
+URI_SCHEMES = ("", "file", "http", "https")  # the validator would read these without a handler of its caller
 
 
 def validate_openapi(root: DocumentNode, version: str, read_file: ReadFile) -> list[Finding]:
-    """Return the violations of the OpenAPI specification, MAX_SCHEMA_FINDINGS at most.
+    """Return the violations of the OpenAPI specification, at most MAX_SCHEMA_FINDINGS.
 
-    The validator reads other documents by read_file only.
+    read_file: the only means by which the validator reads other documents.
     """
     findings: list[Finding] = []
     try:
@@ -25,7 +28,7 @@
             findings.append(schema_finding(error, root.file.locate))
             if len(findings) >= MAX_SCHEMA_FINDINGS:
                 break
-    except Exception as error:  # the validator continues in invalid documents, and may raise anything there
+    except Exception as error:  # the validator continues after an error, and may then raise any exception
         if not findings:
             reason = f"the validator failed: {type(error).__name__} {error}"
             findings.append(Finding(root.location, reason))
@@ -34,7 +37,7 @@
 
 def _schema_errors(root: DocumentNode, version: str, read_file: ReadFile) -> Iterator[SchemaError]:
     """Yield the validator's errors. version: one of openapi.VERSIONS."""
-    import openapi_spec_validator  # imported here because it is slow, and AsyncAPI does not need it
+    import openapi_spec_validator  # imported here because its import is slow, and AsyncAPI does not need it
 
     validators = {
         "3.0": openapi_spec_validator.OpenAPIV30SpecValidator,
@@ -43,7 +46,7 @@
     }
 
     class LocalValidator(validators[version]):  # type: ignore[misc, valid-type]
-        """The validator of this version, which reads documents by read_file."""
+        """The validator of this version, which reads documents only with read_file."""
 
         resolver_handlers: Mapping[str, ReadFile] = dict.fromkeys(URI_SCHEMES, read_file)
 
--- a/wheatstile/descriptions/operator_rules.py
+++ b/wheatstile/descriptions/operator_rules.py
@@ -10,13 +10,13 @@
 from wheatstile.descriptions.findings import Finding, InvalidDescriptionError, SourceLocation
 from wheatstile.descriptions.keywords import IDEMPOTENCY_KEYWORDS
 from wheatstile.descriptions.language import RuleSyntaxError, parse_condition
-from wheatstile.descriptions.route_compiler import unknown_class
+from wheatstile.descriptions.route_compiler import unknown_class_reason
 from wheatstile.interface import Idempotency
 
 
 @dataclass(frozen=True, slots=True)
 class LocatedOverride:
-    """The idempotency that the operator's file sets for a class, and where it does so."""
+    """The idempotency that the operator's file sets for a class, and its location in the file."""
 
     idempotency: Idempotency
     location: SourceLocation
@@ -33,10 +33,10 @@
     def override(self, policies: ClassPolicies) -> ClassPolicies:
         """Return the policies with the overrides applied.
 
-        Raises InvalidDescriptionError for every class that does not exist.
+        Raises InvalidDescriptionError with a finding for each override of an unknown class.
         """
         unknown = [
-            Finding(override.location, unknown_class(name, policies))
+            Finding(override.location, unknown_class_reason(name, policies))
             for name, override in self.overrides.items()
             if name not in policies
         ]
@@ -50,9 +50,9 @@
 
 
 def read_operator_rules(operator: OperatorFile | None) -> OperatorRules:
-    """Return the rules and overrides of the operator's file; none if there is no file.
+    """Return the rules and class overrides of the operator's file. Both are empty if there is no file.
 
-    Raises InvalidDescriptionError for rules that cannot be parsed.
+    Raises InvalidDescriptionError with a finding for each rule that cannot be parsed.
     """
     if operator is None:
         return OperatorRules()
@@ -73,7 +73,7 @@
 def _parse_rules(
     rules: Sequence[DescriptionRule], locations: Sequence[SourceLocation]
 ) -> list[ClassificationRule]:
-    """Return the rules parsed. Raises InvalidDescriptionError with a finding for each invalid rule."""
+    """Return the parsed rules. Raises InvalidDescriptionError with a finding for each invalid rule."""
     parsed = []
     findings = []
     for rule, location in zip(rules, locations, strict=True):
@@ -87,16 +87,16 @@
 
 
 def _parse_rule(rule: DescriptionRule, location: SourceLocation) -> ClassificationRule:
-    """Return one rule parsed. Raises RuleSyntaxError."""
+    """Return the parsed rule. Raises RuleSyntaxError."""
     condition = parse_condition(rule.when)
     idempotency = IDEMPOTENCY_KEYWORDS.member(rule.repeat) if rule.repeat else None
     return ClassificationRule(condition, rule.service_class, location, idempotency)
 
 
 def _locations(file: Path, pointers: Sequence[str]) -> dict[str, SourceLocation]:
-    """Return the locations of these pointers in the operator's file.
+    """Return the locations of these JSON pointers in the operator's file.
 
-    The line is 1 for all of them if the file can no longer be read or is no longer valid JSON.
+    If the file can no longer be read or is no longer valid JSON, the line of each location is 1.
     """
     name = str(file)
     try:
@@ -105,5 +105,5 @@
         text, _ = load(name, data, MAX_OPERATOR_FILE_BYTES)
     except (OSError, ConfigurationError):
         return {missing: SourceLocation(name, 1, missing) for missing in pointers}
-    located = locate(text, [Violation(wanted, "") for wanted in pointers])
+    located = locate(text, [Violation(requested, "") for requested in pointers])
     return {found.pointer: SourceLocation(name, found.line, found.pointer) for found in located}
--- a/wheatstile/descriptions/parsed_file.py
+++ b/wheatstile/descriptions/parsed_file.py
@@ -1,4 +1,4 @@
-"""A parsed file with the line of every value, and the limits on files. Pure."""
+"""A parsed file with the line of each value, and the limits for files. Does no I/O."""
 
 from dataclasses import dataclass
 
@@ -6,20 +6,23 @@
 from wheatstile.descriptions.model import JsonValue
 
 MAX_FILE_BYTES = 16 << 20
-MAX_NESTING_DEPTH = 200  # objects and lists inside one another
-MAX_VALUES = 2_000_000  # values of one file, with aliases expanded
+MAX_NESTING_DEPTH = 200  # levels of objects and lists
+MAX_VALUES = 2_000_000  # per file, with aliases expanded
 
 
 @dataclass(frozen=True, slots=True)
 class ParsedFile:
-    """The value of a file, and the line of each part of it."""
+    """The value of a file, and the line of each value in it."""
 
     name: str
     value: JsonValue
     lines: dict[str, int]  # key: JSON pointer
 
     def locate(self, pointer: str) -> SourceLocation:
-        """Return the location of a JSON pointer; with the line of its nearest parent if it names no value."""
+        """Return the location of a JSON pointer.
+
+        If there is no value at the pointer, the line is the one of the nearest parent that exists.
+        """
         known = pointer
         while known and known not in self.lines:
             known = known.rpartition("/")[0]
@@ -27,5 +30,5 @@
 
 
 def parse_error(file: str, line: int, reason: str, pointer: str = "") -> InvalidDescriptionError:
-    """Return the error for a file that cannot be parsed."""
+    """Return an error with one finding, for a file that cannot be parsed."""
     return InvalidDescriptionError.at(SourceLocation(file, line, pointer), reason)
--- a/wheatstile/descriptions/parser.py
+++ b/wheatstile/descriptions/parser.py
@@ -1,4 +1,7 @@
-"""Parses description files, JSON or YAML, with the line of every value. Pure; bounded in time and memory."""
+"""Parses JSON and YAML files and records the line of each value.
+
+Does no I/O. Time and memory are bounded.
+"""
 
 from contextlib import suppress
 
@@ -18,41 +21,41 @@
 
 
 def parse(file: str, data: bytes) -> ParsedFile:
-    """Parse the bytes of a file, as JSON or YAML. Raises InvalidDescriptionError.
+    """Parse the content of a file as JSON or YAML. Raises InvalidDescriptionError.
 
-    A file that does not end in .json but begins with `{` is parsed as YAML only if it is not valid JSON.
+    A file without the suffix .json that begins with `{` is parsed as YAML only if it is not valid JSON.
     """
     text = _decode(file, data)
     if file.endswith(JSON_SUFFIX):
         return parse_json(file, text)
-    if text.lstrip().startswith("{"):  # JSON first: YAML interprets some escapes of JSON differently
+    if text.lstrip().startswith("{"):  # try JSON first, because YAML interprets some JSON escapes differently
         with suppress(InvalidDescriptionError):
             return parse_json(file, text)
     return parse_yaml(file, text)
 
 
 def _decode(file: str, data: bytes) -> str:
-    """Return the text in UTF-8, without a byte order mark. Raises InvalidDescriptionError."""
+    """Decode UTF-8 and remove a byte order mark. Raises InvalidDescriptionError."""
     if len(data) > MAX_FILE_BYTES:
-        raise parse_error(file, 1, f"{len(data)} bytes; {MAX_FILE_BYTES} at most")
+        raise parse_error(file, 1, f"the file has {len(data)} bytes; the limit is {MAX_FILE_BYTES}")
     if NUL in data:
-        raise parse_error(file, _line_at(data, data.index(NUL)), "a NUL byte")
+        raise parse_error(file, _line_at(data, data.index(NUL)), "contains a NUL byte")
     try:
         return data.decode("utf-8-sig")
     except UnicodeDecodeError as error:
-        reason = f"no UTF-8: {error.reason} at byte {error.start}"
+        reason = f"not valid UTF-8: {error.reason} at byte {error.start}"
         raise parse_error(file, _line_at(data, error.start), reason) from None
 
 
 def _line_at(data: bytes, offset: int) -> int:
-    """Return the number of the line, from 1, that contains the byte at an offset."""
+    """Return the number of the line that contains the byte at this offset. The first line is 1."""
     return data.count(b"\n", 0, offset) + 1
 
 
 def parse_json(file: str, text: str) -> ParsedFile:
-    """Parse JSON. Raises InvalidDescriptionError, also for a duplicate key in an object."""
+    """Parse JSON. Raises InvalidDescriptionError for invalid JSON, and for duplicate keys in an object."""
     try:
-        # `_decode` has checked the size; the text may be longer when it is encoded again.
+        # `_decode` has checked the size of the file. The text may be longer after it is encoded again.
         _, value = violations.load(file, text.encode(), 2 * MAX_FILE_BYTES)
     except violations.ConfigurationError as error:
         findings = [
@@ -65,5 +68,5 @@
         raise parse_error(file, 1, f"more than {MAX_VALUES} values")
     for pointer, line in lines.items():
         if pointer.count("/") > MAX_NESTING_DEPTH:
-            raise parse_error(file, line, f"nested deeper than {MAX_NESTING_DEPTH}")
+            raise parse_error(file, line, f"nested deeper than {MAX_NESTING_DEPTH} levels")
     return ParsedFile(file, value, lines)
--- a/wheatstile/descriptions/reader.py
+++ b/wheatstile/descriptions/reader.py
@@ -20,7 +20,7 @@
     Finding,
     InvalidDescriptionError,
     SourceLocation,
-    by_location,
+    sorted_by_location,
 )
 from wheatstile.descriptions.model import Description, JsonValue
 from wheatstile.descriptions.openapi_validation import validate_openapi
@@ -32,28 +32,28 @@
 SWAGGER_KEY = "swagger"
 FORMAT_KEYS = (openapi.VERSION_KEY, asyncapi.VERSION_KEY, SWAGGER_KEY)
 DEFAULT_MAX_ATTEMPTS = 5
-MAX_SHOWN_CHARACTERS = 60  # longest quoted value in a finding
+MAX_SHOWN_CHARACTERS = 60  # length of a quoted value in a finding
 ELLIPSIS = "..."
 
 
 @dataclass(slots=True)
 class DescriptionSet:
-    """Descriptions as read, and the paths of all files that were read for them."""
+    """Descriptions before compilation, and the paths of all files that were read."""
 
     descriptions: list[Description] = field(default_factory=list)
-    files: set[str] = field(default_factory=set)
+    files: set[str] = field(default_factory=set)  # includes referenced files
 
 
 @dataclass(frozen=True, slots=True)
 class Compilation:
-    """Compiled descriptions, and the descriptions that they were compiled from."""
+    """Compiled descriptions, and the descriptions before compilation."""
 
     descriptions: CompiledDescriptions
     source: DescriptionSet
 
 
 def read_descriptions(paths: Iterable[str | Path]) -> DescriptionSet:
-    """Read the descriptions at these paths. For a folder, read all files below it.
+    """Read the descriptions at these paths. For a folder, read all description files below it.
 
     Raises InvalidDescriptionError with every finding.
     """
@@ -65,7 +65,7 @@
         files = _description_files(path) if is_folder else [path]
         if not files:
             location = SourceLocation(str(path), 1, "")
-            findings.append(Finding(location, f"no file ends in {', '.join(SUFFIXES)}"))
+            findings.append(Finding(location, f"contains no file with a suffix of {', '.join(SUFFIXES)}"))
         for file in files:
             try:
                 description = _read_description(folder, file, may_be_part=is_folder)
@@ -78,7 +78,7 @@
                 if description:
                     result.descriptions.append(description)
     if findings:
-        raise InvalidDescriptionError(by_location(findings))
+        raise InvalidDescriptionError(sorted_by_location(findings))
     return result
 
 
@@ -87,18 +87,19 @@
 
 
 def _read_description(folder: DocumentFolder, path: Path, *, may_be_part: bool) -> Description | None:
-    """Return the description in a file; None for a file without a format key if `may_be_part` allows it.
+    """Return the description in a file; None if the file is only a part that other files refer to.
 
-    Raises InvalidDescriptionError and ValueError.
+    may_be_part: whether a file without a format key is taken for a part; if not, it is an error.
+    Raises InvalidDescriptionError or ValueError.
     """
     root = folder.document(path)
     document = root.value
     if not isinstance(document, dict) or not any(key in document for key in FORMAT_KEYS):
         if may_be_part:
             return None
-        reason = f"is no description: none of the keys {', '.join(FORMAT_KEYS)} is there"
+        reason = f"is not a description: it has none of the keys {', '.join(FORMAT_KEYS)}"
         raise InvalidDescriptionError.at(SourceLocation(root.file.name, 1, ""), reason)
-    # References are checked before the validator follows them, since its errors are less specific.
+    # References are checked before validation, because the validator's errors for them are less specific.
     if findings := reference_findings(root):
         raise InvalidDescriptionError(findings)
     if (version := version_of(document, openapi.VERSION_KEY, openapi.VERSIONS)) is not None:
@@ -107,23 +108,25 @@
         return openapi.read_openapi(root, version)
     if (version := version_of(document, asyncapi.VERSION_KEY, asyncapi.VERSIONS)) is not None:
         return asyncapi.read_asyncapi(root, version)
-    raise _unsupported(root, document)
+    raise _unsupported_format_error(root, document)
 
 
-def _unsupported(root: DocumentNode, document: Mapping[str, JsonValue]) -> InvalidDescriptionError:
+def _unsupported_format_error(
+    root: DocumentNode, document: Mapping[str, JsonValue]
+) -> InvalidDescriptionError:
     """Return the error for a description of an unsupported format or version."""
     if SWAGGER_KEY in document:
         key = SWAGGER_KEY
-        reason = "is Swagger 2.0, which is not read: convert it to OpenAPI 3.0 (swagger2openapi does)"
+        reason = "Swagger 2.0 is not supported: convert it to OpenAPI 3.0, for example with swagger2openapi"
     else:
         key = next(key for key in FORMAT_KEYS if key in document)
         version = _abbreviated(document[key])
-        reason = f"{key} {version} is not read: OpenAPI 3.0, 3.1 and 3.2, AsyncAPI 2.6 and 3.0 are"
+        reason = f"{key} {version} is not supported: use OpenAPI 3.0, 3.1 or 3.2, or AsyncAPI 2.6 or 3.0"
     return InvalidDescriptionError.at(root.file.locate(f"/{key}"), reason)
 
 
 def _abbreviated(value: JsonValue) -> str:
-    """Return a value as JSON on one line, shortened for a finding."""
+    """Return a value as JSON on one line, truncated for a finding."""
     text = json.dumps(value, ensure_ascii=False, default=str)
     if len(text) <= MAX_SHOWN_CHARACTERS:
         return text
@@ -153,7 +156,7 @@
 ) -> Compilation:
     """Read the descriptions at these paths and compile them with the operator's rules.
 
-    classes: the platform's classes; None if they are not known, so that class names are not checked.
+    classes: the platform's classes; None if they are not known. Class names are then not checked.
     strict: treat warnings as conflicts.
     Raises InvalidDescriptionError with every conflict.
     """
--- a/wheatstile/descriptions/references.py
+++ b/wheatstile/descriptions/references.py
@@ -1,4 +1,7 @@
-"""Nodes of documents, and references (`$ref`) between them. Pure: the caller passes the reader of files."""
+"""Nodes of documents, and references (`$ref`) between them.
+
+Does no I/O: the caller passes the function that reads files.
+"""
 
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
@@ -13,14 +16,19 @@
     Finding,
     InvalidDescriptionError,
     SourceLocation,
-    by_location,
+    sorted_by_location,
 )
 from wheatstile.descriptions.model import JsonValue
 from wheatstile.descriptions.parsed_file import ParsedFile
 
 REFERENCE_KEY = "$ref"
-LITERAL_MEMBERS = ("example", "default", "enum", "const")  # plain data, where $ref is not a reference
-MAX_REFERENCE_CHAIN = 50  # references followed from one node to its value
+LITERAL_MEMBERS = (
+    "example",
+    "default",
+    "enum",
+    "const",
+)  # members with plain data: $ref has no meaning there
+MAX_REFERENCE_CHAIN = 50  # number of references from a node to its value
 FILE_SCHEME = "file"
 
 
@@ -41,7 +49,7 @@
 
     @property
     def name(self) -> str:
-        """The key or index of the node in its parent, unescaped."""
+        """The key or index of the node in its parent, without JSON pointer escapes."""
         return self.pointer.rpartition("/")[2].replace("~1", "/").replace("~0", "~")
 
     @property
@@ -51,27 +59,27 @@
         return target if isinstance(target, str) else None
 
     def get(self, key: str) -> "DocumentNode | None":
-        """Return the member of this name, references resolved; None if there is none."""
+        """Return the member with this name, with references resolved; None if there is none."""
         member = self.get_unresolved(key)
         return member.resolved() if member else None
 
     def get_unresolved(self, key: str) -> "DocumentNode | None":
-        """Return the member of this name without resolving references; None if there is none."""
+        """Return the member with this name, without resolving references; None if there is none."""
         if not isinstance(self.value, dict) or key not in self.value:
             return None
         return self._child(key, self.value[key])
 
     def get_text(self, key: str) -> str:
-        """Return the member of this name if it is a string, else the empty string."""
+        """Return the member with this name if it is a string, else an empty string."""
         member = self.get(key)
         return member.value if member and isinstance(member.value, str) else ""
 
     def items(self) -> "list[tuple[str, DocumentNode]]":
-        """Return the members of an object or the elements of a list, references resolved."""
+        """Return the members of an object or the elements of a list, with references resolved."""
         return [(key, child.resolved()) for key, child in self.unresolved_items()]
 
     def unresolved_items(self) -> "list[tuple[str, DocumentNode]]":
-        """Return the members of an object or the elements of a list without resolving references."""
+        """Return the members of an object or the elements of a list, without resolving references."""
         pairs: Iterable[tuple[str | int, JsonValue]] = ()
         if isinstance(self.value, dict):
             pairs = self.value.items()
@@ -83,23 +91,28 @@
         return DocumentNode(self.store, self.uri, self.file, self.pointer + pointer_to(key), value)
 
     def resolved(self) -> "DocumentNode":
-        """Return the node, or the target of its references. Raises InvalidDescriptionError."""
+        """Return the node, or the node that its chain of references leads to.
+
+        Raises InvalidDescriptionError.
+        """
         node = self
         length = 0
         while (reference := node.reference) is not None:
             length += 1
             if length > MAX_REFERENCE_CHAIN:
-                reason = f'"{self.reference}" leads from reference to reference without an end'
+                reason = (
+                    f'"{self.reference}" leads to a reference cycle or to a reference chain that is too long'
+                )
                 raise InvalidDescriptionError.at(self.location, reason)
             node = self.store.resolve(node, reference)
         return node
 
 
 class DocumentStore:
-    """The files of one set of descriptions, by URI. Identifiers in schemas (`$id`) are ignored.
+    """Loads files by URI and resolves the references in them. Ignores the identifiers (`$id`) of schemas.
 
-    retrieve reads and parses the file at a URI. It raises ValueError for a file that cannot be read or that
-    is outside the folder.
+    retrieve: reads and parses the file at a URI. Raises ValueError for a file that cannot be read or that is
+    outside the folder.
     """
 
     def __init__(self, retrieve: Callable[[URI], ParsedFile]) -> None:
@@ -111,13 +124,13 @@
         return Resource.opaque(self.file_at(uri).value)
 
     def file_at(self, uri: URI) -> ParsedFile:
-        """Return the file at this URI, read once. Raises ValueError."""
+        """Return the file at this URI. It is read only once. Raises ValueError."""
         if uri not in self._files:
             self._files[uri] = self._retrieve(uri)
         return self._files[uri]
 
     def root(self, uri: URI) -> DocumentNode:
-        """Return the whole document at this URI. Raises ValueError."""
+        """Return the root node of the document at this URI. Raises ValueError."""
         file = self.file_at(uri)
         return DocumentNode(self, uri, file, "", file.value)
 
@@ -131,7 +144,9 @@
             file = self.file_at(uri)
             value = self._registry.resolver(base_uri=node.uri).lookup(reference).contents
         except Unresolvable:
-            raise InvalidDescriptionError.at(node.location, f'"{reference}" points to nothing') from None
+            raise InvalidDescriptionError.at(
+                node.location, f'the target of "{reference}" does not exist'
+            ) from None
         except InvalidDescriptionError:
             raise
         except ValueError as error:
@@ -140,23 +155,23 @@
 
 
 def _split_reference(node: DocumentNode, reference: str) -> tuple[URI, str]:
-    """Return the URI of the file and the JSON pointer that a reference names.
+    """Return the URI of the file and the JSON pointer of a reference.
 
-    Raises InvalidDescriptionError for a network address or an anchor.
+    Raises InvalidDescriptionError for a reference to a network address or to an anchor.
     """
     uri, fragment = urldefrag(urljoin(node.uri, reference))
     if urlsplit(uri).scheme != FILE_SCHEME:
-        reason = f'"{reference}" names a network address; references stay within the folder'
+        reason = f'"{reference}" is a network address; references must stay within the folder'
         raise InvalidDescriptionError.at(node.location, reason)
     pointer = unquote(fragment)
     if pointer and not pointer.startswith("/"):
-        reason = f'"{reference}" names an anchor; only JSON pointers are supported'
+        reason = f'"{reference}" refers to an anchor; only JSON pointers are supported'
         raise InvalidDescriptionError.at(node.location, reason)
     return uri, pointer
 
 
 def reference_findings(root: DocumentNode) -> list[Finding]:
-    """Return every unresolvable reference of this document and of all documents that it refers to."""
+    """Return a finding for each unresolvable reference in this document and in all documents it refers to."""
     findings: list[Finding] = []
     visited: set[tuple[URI, str]] = set()
     pending = [root]
@@ -171,4 +186,4 @@
             except InvalidDescriptionError as error:
                 findings += error.findings
         pending += [child for key, child in node.unresolved_items() if key not in LITERAL_MEMBERS]
-    return by_location(findings)
+    return sorted_by_location(findings)
--- a/wheatstile/descriptions/route_compiler.py
+++ b/wheatstile/descriptions/route_compiler.py
@@ -1,4 +1,4 @@
-"""Compiles one operation to its routes, with its class and retry safety, and reports contradictions. Pure."""
+"""Compiles operations to routes with a class and a retry safety, and reports conflicts. Does no I/O."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -27,14 +27,14 @@
 from wheatstile.interface import Idempotency
 
 
-def unknown_class(name: str, classes: ClassPolicies) -> str:
-    """Return the reason given for a class that the platform's settings do not have."""
+def unknown_class_reason(name: str, classes: ClassPolicies) -> str:
+    """Return the reason in a finding about a class that is not in the platform's settings."""
     return f'the class "{name}" is not in the settings{nearest(name, classes)}'
 
 
 @dataclass(frozen=True, slots=True)
 class RouteCompiler:
-    """Compiles operations by the operator's rules and the platform's classes."""
+    """Compiles operations with the operator's rules and the platform's classes."""
 
     rules: Sequence[ClassificationRule]
     classes: ClassPolicies | None  # None: the platform's classes are not known
@@ -42,15 +42,17 @@
     findings: FindingCollector
 
     def check_rules(self) -> None:
-        """Report each rule whose class the platform does not have."""
+        """Report each rule whose class is not in the platform's settings."""
         if self.classes is None:
             return
         for rule in self.rules:
             if rule.service_class not in self.classes:
-                self.findings.conflict(rule.location, unknown_class(rule.service_class, self.classes))
+                self.findings.add_conflict(
+                    rule.location, unknown_class_reason(rule.service_class, self.classes)
+                )
 
     def routes_of(self, operation: Operation) -> list[Route]:
-        """Return the routes of an operation, one for each path of its servers."""
+        """Return the routes of an operation, one for each base path of its servers."""
         rule = next((rule for rule in self.rules if rule.matches(operation)), None)
         assigned = self._assigned_class(operation, rule)
         retry_safety = self._require_window(operation, self._apply_rule(operation, rule))
@@ -63,7 +65,7 @@
             try:
                 tokens = _tokens(operation.kind, template)
             except RouteSyntaxError as error:
-                self.findings.conflict(operation.location, str(error))
+                self.findings.add_conflict(operation.location, str(error))
                 continue
             routes.append(Route(operation, tokens, template, assigned.name, assigned.location, retry_safety))
         return routes
@@ -76,30 +78,38 @@
         name = operation.service_class
         location = operation.class_location
         if rule and name and rule.service_class != name:
-            reason = f'{operation.name}: the description says class "{name}", the rule "{rule.service_class}"'
-            self.findings.conflict(location or operation.location, reason, rule.location)
+            reason = (
+                f'{operation.name}: the description declares the class "{name}", '
+                f'but the rule assigns "{rule.service_class}"'
+            )
+            self.findings.add_conflict(location or operation.location, reason, rule.location)
         if rule and not name:
             name = rule.service_class
             location = rule.location
-        # `check_rules` has checked the class of a rule.
+        # The class that a rule assigns is checked in `check_rules`.
         if name and self.classes is not None and name not in self.classes and location and not rule:
-            self.findings.conflict(location, unknown_class(name, self.classes))
+            self.findings.add_conflict(location, unknown_class_reason(name, self.classes))
         if not name:
-            report = self.findings.conflict if self.options.require_class else self.findings.warn
-            report(operation.location, f"{operation.name} has no class")
+            add_finding = (
+                self.findings.add_conflict if self.options.require_class else self.findings.add_warning
+            )
+            add_finding(operation.location, f"{operation.name} has no class")
         return AssignedClass(name, location)
 
     def _apply_rule(self, operation: Operation, rule: ClassificationRule | None) -> RetrySafety:
-        """Return the stricter of the declared retry safety and the rule's. A looser rule is a conflict."""
+        """Return the stricter of the declared retry safety and the rule's.
+
+        A rule that is less strict than the declaration is a conflict.
+        """
         declared = operation.retry_safety
         if rule is None or rule.idempotency is None:
             return declared
         if is_stricter(declared.idempotency, rule.idempotency):
             reason = (
                 f"{operation.name} is {IDEMPOTENCY_KEYWORDS.keyword(declared.idempotency)} "
-                f"({declared.reason}), and the rule says {IDEMPOTENCY_KEYWORDS.keyword(rule.idempotency)}"
+                f"({declared.reason}), but the rule declares {IDEMPOTENCY_KEYWORDS.keyword(rule.idempotency)}"
             )
-            self.findings.conflict(declared.location, reason, rule.location)
+            self.findings.add_conflict(declared.location, reason, rule.location)
             return declared
         if is_stricter(rule.idempotency, declared.idempotency):
             return RetrySafety(
@@ -112,9 +122,9 @@
         return declared
 
     def _require_window(self, operation: Operation, retry_safety: RetrySafety) -> RetrySafety:
-        """Return the retry safety; NON_IDEMPOTENT for an idempotency key whose window is not declared.
+        """Return the retry safety, or NON_IDEMPOTENT for an idempotency key without a declared window.
 
-        How long servers discard a repeat is then unknown, and a default could be too long.
+        The time for which servers discard duplicates is then unknown, and a default could be too long.
         """
         has_key = retry_safety.idempotency is Idempotency.IDEMPOTENCY_KEY
         if not has_key or retry_safety.deduplication_window_us:
@@ -122,30 +132,32 @@
         keyed = IDEMPOTENCY_KEYWORDS.keyword(Idempotency.IDEMPOTENCY_KEY)
         unsafe = IDEMPOTENCY_KEYWORDS.keyword(Idempotency.NON_IDEMPOTENT)
         reason = f"{operation.name} is {keyed} without {Extension.WINDOW_S}, and is treated as {unsafe}"
-        self.findings.warn(retry_safety.location, reason)
-        return RetrySafety(Idempotency.NON_IDEMPOTENT, f"{keyed} without a window", retry_safety.location)
+        self.findings.add_warning(retry_safety.location, reason)
+        return RetrySafety(
+            Idempotency.NON_IDEMPOTENT, f"{keyed} without a deduplication window", retry_safety.location
+        )
 
     def _check_window(self, operation: Operation, retry_safety: RetrySafety, policy: ClassPolicy) -> None:
-        """Report a deduplication window that is shorter than the deadline of the class's clients."""
+        """Report a deduplication window that is shorter than the client deadline of the class."""
         window_us = retry_safety.deduplication_window_us
         deadline_us = policy.client_deadline_us
         has_key = retry_safety.idempotency is Idempotency.IDEMPOTENCY_KEY
         if has_key and 0 < window_us < deadline_us:
             reason = (
-                f"{operation.name}: a repeat is known for {seconds_text(window_us)}, and the class "
-                f'"{policy.name}" tries again for up to {seconds_text(deadline_us)}'
+                f"the deduplication window of {operation.name}, {seconds_text(window_us)}, is shorter than "
+                f'the client deadline of the class "{policy.name}", {seconds_text(deadline_us)}'
             )
-            self.findings.conflict(retry_safety.location, reason, policy.override_location)
+            self.findings.add_conflict(retry_safety.location, reason, policy.override_location)
 
     def _check_timeout(self, operation: Operation, policy: ClassPolicy) -> None:
-        """Report a declared time-out that is longer than the deadline of the class's clients."""
+        """Report a declared time-out that is longer than the client deadline of the class."""
         deadline_us = policy.client_deadline_us
         if operation.timeout_us > deadline_us and operation.timeout_location:
             reason = (
-                f"{operation.name} takes up to {seconds_text(operation.timeout_us)}, and clients of the "
-                f'class "{policy.name}" give up after {seconds_text(deadline_us)}'
+                f"the time-out of {operation.name}, {seconds_text(operation.timeout_us)}, is longer than "
+                f'the client deadline of the class "{policy.name}", {seconds_text(deadline_us)}'
             )
-            self.findings.conflict(operation.timeout_location, reason, policy.override_location)
+            self.findings.add_conflict(operation.timeout_location, reason, policy.override_location)
 
 
 def _templates(operation: Operation) -> list[str]:
--- a/wheatstile/descriptions/route_index.py
+++ b/wheatstile/descriptions/route_index.py
@@ -1,4 +1,4 @@
-"""Builds one route matcher for each action, and reports routes that contradict each other. Pure."""
+"""Builds one route matcher for each action, and reports conflicting routes. Does no I/O."""
 
 from collections.abc import Iterable
 
@@ -11,7 +11,7 @@
 def build_matchers(routes: Iterable[Route], findings: FindingCollector) -> dict[str, Matcher[Route]]:
     """Return a matcher for each action.
 
-    Reports a conflict for routes that overlap if neither is more specific.
+    Overlapping routes are reported as a conflict if neither is more specific.
     """
     matchers: dict[str, Matcher[Route]] = {}
     for route in sorted(routes, key=lambda route: (route.operation.location, route.template)):
@@ -28,22 +28,26 @@
 
 def _report_crossing(route: Route, other: Route, findings: FindingCollector) -> None:
     names = f"{route.operation.action} {route.template} and {other.template}"
-    reason = f"{names} match the same, and neither is more specific"
-    findings.conflict(route.operation.location, reason, other.operation.location)
+    reason = f"{names} overlap, and neither is more specific"
+    findings.add_conflict(route.operation.location, reason, other.operation.location)
 
 
 def _report_same(route: Route, other: Route, findings: FindingCollector) -> None:
     """Report two routes that match the same targets.
 
-    They conflict if their classes differ or if they are in one file. Otherwise the stricter one applies.
+    They conflict if their classes differ or if they are in the same file. Otherwise the stricter one applies.
     """
-    here = route.operation.location
-    there = other.operation.location
+    location = route.operation.location
+    other_location = other.operation.location
     name = f"{route.operation.action} {route.template}"
     if route.service_class and other.service_class and route.service_class != other.service_class:
-        reason = f'{name} is given the classes "{route.service_class}" and "{other.service_class}"'
-        findings.conflict(route.class_location or here, reason, other.class_location or there)
-    elif here.file == there.file:
-        findings.conflict(here, f"{name} and {other.template} match the same", there)
+        reason = f'{name} is assigned to two classes, "{route.service_class}" and "{other.service_class}"'
+        findings.add_conflict(
+            route.class_location or location, reason, other.class_location or other_location
+        )
+    elif location.file == other_location.file:
+        findings.add_conflict(location, f"{name} and {other.template} match the same targets", other_location)
     else:
-        findings.warn(here, f"{name} is described twice; the stricter description applies", there)
+        findings.add_warning(
+            location, f"{name} is described twice; the stricter description applies", other_location
+        )
--- a/wheatstile/descriptions/route_matcher.py
+++ b/wheatstile/descriptions/route_matcher.py
@@ -1,4 +1,7 @@
-"""A route matcher. The cost of a match does not grow with the number of routes. Pure."""
+"""A route matcher based on a tree of tokens. Does no I/O.
+
+The cost of a match does not grow with the number of routes.
+"""
 
 import re
 from collections.abc import Iterator, Sequence
@@ -27,24 +30,24 @@
 
 @dataclass(slots=True)
 class _Node(Generic[Value]):
-    """A node of the tree. Its children continue the list of tokens that leads to it."""
+    """A node of the tree. The path from the root to a node is the list of tokens of a route so far."""
 
     literals: "dict[str, _Node[Value]]" = field(default_factory=dict)
     partials: list[_PartialChild[Value]] = field(default_factory=list)
     parameter: "_Node[Value] | None" = None
-    rest: list[RouteEntry[Value]] = field(default_factory=list)  # routes whose next token is the rest
-    ends: list[RouteEntry[Value]] = field(default_factory=list)  # routes that end here
+    rest: list[RouteEntry[Value]] = field(default_factory=list)  # routes whose next token is a REST token
+    ends: list[RouteEntry[Value]] = field(default_factory=list)  # routes that end at this node
 
     def child(self, token: Token) -> "_Node[Value]":
-        """Return the child for this token. Creates it if there is none."""
+        """Return the child for this token, and create it if there is none."""
         if token.kind is TokenKind.LITERAL:
             return self.literals.setdefault(token.text, _Node())
         if token.kind is TokenKind.PARAMETER:
             self.parameter = self.parameter or _Node()
             return self.parameter
-        for known in self.partials:
-            if known.token == token:
-                return known.node
+        for partial in self.partials:
+            if partial.token == token:
+                return partial.node
         child = _PartialChild[Value](token, token.pattern(), _Node())
         self.partials.append(child)
         return child.node
@@ -58,7 +61,7 @@
             yield self.parameter
 
     def overlapping_children(self, token: Token) -> "Iterator[_Node[Value]]":
-        """Yield the children whose token may match a text that this token matches too."""
+        """Yield the children whose token may match some text that this token also matches."""
         if token.kind is TokenKind.LITERAL:
             if (literal := self.literals.get(token.text)) is not None:
                 yield literal
@@ -74,12 +77,12 @@
 
 
 def _specificity(entry: RouteEntry[Value], others: Sequence[RouteEntry[Value]]) -> int:
-    """Return the number of the other routes than which this route is narrower."""
+    """Return how many of the other routes are less specific than this route."""
     return sum(relation(entry.tokens, other.tokens) is Relation.NARROWER for other in others)
 
 
 class Matcher(Generic[Value]):
-    """Routes in a tree by their tokens. A match descends by the tokens of the target."""
+    """A tree of routes, keyed by their tokens. A match follows the tokens of the target from the root."""
 
     def __init__(self) -> None:
         self._root: _Node[Value] = _Node()
@@ -89,7 +92,7 @@
         return self._size
 
     def add(self, tokens: tuple[Token, ...], value: Value) -> None:
-        """Add a route; the same tokens may be added more than once."""
+        """Add a route. The same tokens may be added more than once."""
         node = self._root
         self._size += 1
         for token in tokens:
@@ -100,7 +103,7 @@
         node.ends.append(RouteEntry(tokens, value))
 
     def matches(self, target: Sequence[str]) -> list[RouteEntry[Value]]:
-        """Return all routes that match these tokens, more specific ones before less specific ones."""
+        """Return all routes that match these tokens, with more specific routes first."""
         matched: list[RouteEntry[Value]] = []
         if len(target) <= MAX_TOKENS:
             self._collect(self._root, target, 0, matched)
@@ -111,7 +114,7 @@
     def _collect(
         self, node: _Node[Value], target: Sequence[str], index: int, matched: list[RouteEntry[Value]]
     ) -> None:
-        """Append the routes below the node that match the target from the index on."""
+        """Append the routes below the node that match the target's tokens from this index on."""
         if index == len(target):
             matched.extend(node.ends)
             return
@@ -126,7 +129,7 @@
         matched.extend(node.rest)
 
     def overlapping(self, tokens: Sequence[Token]) -> Iterator[RouteEntry[Value]]:
-        """Yield the routes that may match a target that this route matches too."""
+        """Yield the routes that may match some target that these tokens also match."""
         yield from self._overlapping(self._root, tokens, 0)
 
     def _overlapping(
@@ -138,14 +141,14 @@
         yield from node.rest
         token = tokens[index]
         if token.kind is TokenKind.REST:
-            yield from self._below(node)
+            yield from self._longer_routes(node)
             return
         for child in node.overlapping_children(token):
             yield from self._overlapping(child, tokens, index + 1)
 
-    def _below(self, node: _Node[Value]) -> Iterator[RouteEntry[Value]]:
-        """Yield the routes that have one or more tokens below the node."""
+    def _longer_routes(self, node: _Node[Value]) -> Iterator[RouteEntry[Value]]:
+        """Yield the routes that pass through the node and have at least one more token."""
         yield from node.rest
         for child in node.children():
             yield from child.ends
-            yield from self._below(child)
+            yield from self._longer_routes(child)
--- a/wheatstile/descriptions/routes.py
+++ b/wheatstile/descriptions/routes.py
@@ -1,9 +1,10 @@
-"""Routes as lists of tokens, and the relation between what two routes match. Pure.
+"""Routes as lists of tokens, and comparison of the targets that two routes match. Does no I/O.
 
-A token is one path segment (separated by `/`) or one subject token (separated by `.`). It is a literal, a
-partial parameter (`{name}.json`), a parameter (one token of any text: `{id}`, `*`) or the rest (`>`: one or
-more tokens at the end). If two routes match the same target, the more specific one applies: the one that
-matches fewer targets.
+A token is one segment of a path (separated by `/`) or one token of a subject (separated by `.`). There are
+four kinds: a literal, a partial token (literal text around parameters, such as `{name}.json`), a parameter
+(`{id}` or `*`, which matches one token of any text) and the rest (`>`, which matches one or more tokens at
+the end of a subject). If two routes match a target, the more specific one applies: the route that matches
+fewer targets.
 """
 
 import re
@@ -13,23 +14,23 @@
 
 from wheatstile.descriptions.findings import DescriptionError
 
-MAX_TOKENS = 64  # tokens of a route or of a target
+MAX_TOKENS = 64  # in a route or in a target
 BRACES = "{}"
 PARAMETER = re.compile(r"\{[^{}]+\}")
-PLACEHOLDER = re.compile(r"\{[^{}]*\}")  # a parameter in the text of a partial token
+PLACEHOLDER = re.compile(r"\{[^{}]*\}")  # matches a parameter in the text of a partial token
 
 
 class RouteSyntaxError(DescriptionError):
-    """A path template or subject pattern that cannot be parsed."""
+    """Raised for a path template or subject pattern that cannot be parsed."""
 
 
 class TokenKind(StrEnum):
-    """The kind of text that a token matches."""
+    """The kind of a token. It determines the texts that the token matches."""
 
     LITERAL = "literal"
     PARTIAL = "partial"  # parameters with literal text around them
     PARAMETER = "parameter"
-    REST = "rest"  # one or more tokens, at the end of a route
+    REST = "rest"  # matches one or more tokens; only allowed as the last token of a route
 
 
 @dataclass(frozen=True, slots=True)
@@ -37,7 +38,7 @@
     """One token of a route."""
 
     kind: TokenKind
-    text: str = ""  # only for literal and partial tokens; `{}` marks each parameter of a partial token
+    text: str = ""  # empty for other kinds than LITERAL and PARTIAL; `{}` marks a parameter of a PARTIAL
 
     def pattern(self) -> re.Pattern[str]:
         """Return the regular expression of a partial token. A parameter matches one or more characters."""
@@ -75,7 +76,10 @@
 
 
 def subject_tokens(pattern: str) -> tuple[Token, ...]:
-    """Return the tokens of a subject pattern (`*`: one token, `>`: the rest). Raises RouteSyntaxError."""
+    """Return the tokens of a subject pattern. Raises RouteSyntaxError.
+
+    `*` matches one token of any text, and `>` matches one or more tokens at the end.
+    """
     *head, last = pattern.split(".")
     tokens = [_subject_token(text, pattern) for text in head]
     tokens.append(Token(TokenKind.REST) if last == ">" else _subject_token(last, pattern))
@@ -96,29 +100,29 @@
 
 
 def split_path(path: str) -> list[str]:
-    """Return the segments of a concrete path, without its query."""
-    plain = path.partition("?")[0].strip("/")
-    return plain.split("/") if plain else []
+    """Return the segments of the path of a request, without the query string."""
+    without_query = path.partition("?")[0].strip("/")
+    return without_query.split("/") if without_query else []
 
 
 def split_subject(subject: str) -> list[str]:
-    """Return the tokens of a concrete subject."""
+    """Return the tokens of the subject of a message."""
     return subject.split(".")
 
 
-def token_within(small: Token, large: Token) -> bool:
-    """Return whether the large token matches every text that the small token matches."""
-    if large.kind is TokenKind.PARAMETER:
-        return small.kind is not TokenKind.REST
-    if small.kind is TokenKind.LITERAL and large.kind is TokenKind.PARTIAL:
-        return large.pattern().fullmatch(small.text) is not None
-    return small == large
+def token_within(inner: Token, outer: Token) -> bool:
+    """Return whether the outer token matches every text that the inner token matches."""
+    if outer.kind is TokenKind.PARAMETER:
+        return inner.kind is not TokenKind.REST
+    if inner.kind is TokenKind.LITERAL and outer.kind is TokenKind.PARTIAL:
+        return outer.pattern().fullmatch(inner.text) is not None
+    return inner == outer
 
 
 def tokens_overlap(first: Token, second: Token) -> bool:
-    """Return whether some text may match both tokens.
+    """Return whether both tokens may match the same text.
 
-    Two partial tokens are taken to overlap unless their prefixes or suffixes exclude it.
+    Two partial tokens are assumed to overlap unless their literal prefixes or suffixes exclude it.
     """
     kinds = (first.kind, second.kind)
     if TokenKind.PARAMETER in kinds:
@@ -142,13 +146,13 @@
 
 
 class Relation(StrEnum):
-    """The relation of the set of targets that one route matches to the set of another route."""
+    """The relation between the sets of targets that two routes match."""
 
-    SAME = "same"
+    SAME = "same"  # the sets are equal
     NARROWER = "narrower"  # the second route matches every target of the first
     WIDER = "wider"  # the first route matches every target of the second
     CROSSING = "crossing"  # the sets overlap, and neither contains the other
-    DISJOINT = "disjoint"
+    DISJOINT = "disjoint"  # no target is in both sets
 
 
 def relation(first: Sequence[Token], second: Sequence[Token]) -> Relation:
@@ -172,24 +176,24 @@
     return tokens[:-1] if _has_rest(tokens) else tokens
 
 
-def _route_within(small: Sequence[Token], large: Sequence[Token]) -> bool:
-    if _has_rest(large):
-        pairs = zip(small, large[:-1], strict=False)
-        return len(small) >= len(large) and all(token_within(*pair) for pair in pairs)
-    if _has_rest(small):
+def _route_within(inner: Sequence[Token], outer: Sequence[Token]) -> bool:
+    if _has_rest(outer):
+        pairs = zip(inner, outer[:-1], strict=False)
+        return len(inner) >= len(outer) and all(token_within(*pair) for pair in pairs)
+    if _has_rest(inner):
         return False
-    return len(small) == len(large) and all(token_within(*pair) for pair in zip(small, large, strict=True))
+    return len(inner) == len(outer) and all(token_within(*pair) for pair in zip(inner, outer, strict=True))
 
 
 def _routes_overlap(first: Sequence[Token], second: Sequence[Token]) -> bool:
-    first_head = _without_rest(first)
-    second_head = _without_rest(second)
-    if not all(tokens_overlap(*pair) for pair in zip(first_head, second_head, strict=False)):
+    first_fixed = _without_rest(first)
+    second_fixed = _without_rest(second)
+    if not all(tokens_overlap(*pair) for pair in zip(first_fixed, second_fixed, strict=False)):
         return False
     if _has_rest(first) and _has_rest(second):
         return True
     if _has_rest(first):
-        return len(second) > len(first_head)
+        return len(second) > len(first_fixed)
     if _has_rest(second):
-        return len(first) > len(second_head)
+        return len(first) > len(second_fixed)
     return len(first) == len(second)
--- a/wheatstile/descriptions/section.py
+++ b/wheatstile/descriptions/section.py
@@ -1,7 +1,6 @@
-"""Keeps a running balancer up to date with its descriptions.
+"""Watches the description files of a running balancer and applies their changes.
 
-The files are watched, and compiled in a worker process at each change. A result is applied completely or not
-at all.
+After each change, a worker process compiles all descriptions. A result is applied completely or not at all.
 """
 
 import asyncio
@@ -22,7 +21,7 @@
     CompilationRejected,
     CompilationResult,
     CompilationSummary,
-    LearnedClasses,
+    CompiledClasses,
 )
 from wheatstile.interface import Settings
 from wheatstile.net.decision_loop import DecisionLoop
@@ -30,24 +29,24 @@
 
 log = structlog.get_logger()
 
-MAX_LOGGED_REASONS = 20  # reasons or warnings in one log line
+MAX_LOGGED_REASONS = 20  # number of reasons or warnings in one log line
 
 
 @dataclass(frozen=True, slots=True)
 class StartupCompilation:
-    """The result of the compilation before the balancer starts to serve."""
+    """The result of the compilation that precedes serving."""
 
     summary: CompilationSummary
-    files: list[FileState] | None  # states of the compiled files; None: they changed during the compilation
+    files: list[FileState] | None  # states of the compiled files; None: a file changed during the compilation
 
 
 def compile_at_startup(operator: OperatorFile, config: Config) -> StartupCompilation | CompilationRejected:
-    """Compile the descriptions before the first client is served.
+    """Compile the descriptions before the balancer starts to serve.
 
-    The caller has to end the process on a rejection: without descriptions in force, the balancer would retry
-    requests that are not idempotent.
+    On a rejection, the caller must end the process: without descriptions, the balancer would retry requests
+    that are not idempotent.
     """
-    paths = _paths(operator)
+    paths = _description_paths(operator)
     before = file_states(paths)
     result = compile_blocking(build_request(operator, config), operator)
     if isinstance(result, CompilationRejected):
@@ -57,33 +56,39 @@
     return StartupCompilation(result, file_states(paths, result.files))
 
 
-def _paths(operator: OperatorFile) -> list[Path]:
+def _description_paths(operator: OperatorFile) -> list[Path]:
     return [operator.near(path) for path in operator.settings.descriptions.paths]
 
 
 class DescriptionsSection:
-    """Owns the task that watches the descriptions, and the class policies learned from them."""
+    """Owns the task that watches the descriptions, and the class policies compiled from them.
+
+    startup: the result of the compilation at startup; None if descriptions were enabled later.
+    """
 
     def __init__(self, decisions: DecisionLoop, startup: StartupCompilation | None) -> None:
         self.decisions = decisions
-        self.learned: LearnedClasses = {}
+        self.compiled_classes: CompiledClasses = {}
         self._config: Config
         self._task: asyncio.Task[None] | None = None
-        self._request = b""  # request of the last compilation; empty before the first call of `follow`
-        self._read_files: list[str] = []  # files that the last compilation read, including referenced ones
-        self._compiled_files: list[FileState] | None = None  # file states at the last compilation
+        self._request = b""  # current request to the worker; empty before the first call of `follow`
+        self._read_files: list[str] = []  # files that the last compilation read, including referenced files
+        self._compiled_files: list[FileState] | None = None  # states of the files at the last compilation
         if startup:
-            self.learned = startup.summary.classes
+            self.compiled_classes = startup.summary.classes
             self._read_files = startup.summary.files
             self._compiled_files = startup.files
             _log_applied(startup.summary)
 
     def applied(self, settings: Settings) -> Settings:
-        """Return the platform's settings, tightened by the descriptions in force."""
-        return tighten_settings(settings, self.learned)
+        """Return the platform's settings, made as strict as the current descriptions."""
+        return tighten_settings(settings, self.compiled_classes)
 
     def follow(self, operator: OperatorFile, config: Config) -> None:
-        """Watch the descriptions that the operator's file names. Does nothing if the request is unchanged."""
+        """Watch the descriptions that the operator's file lists, compiled with the platform's settings.
+
+        Does not restart the watch if the request to the worker is unchanged.
+        """
         self._config = config
         request = build_request(operator, config)
         if request == self._request:
@@ -96,27 +101,27 @@
             self._disable()
             return
         if not is_first_request:
-            self._compiled_files = None  # compile for the new request even if no file has changed
-        self._task = asyncio.create_task(self._watch(_paths(operator), section))
+            self._compiled_files = None  # the new request must be compiled even if no file has changed
+        self._task = asyncio.create_task(self._watch(_description_paths(operator), section))
 
     def _disable(self) -> None:
-        """Put the platform's own settings back in force."""
-        if not self.learned:
+        """Remove the compiled classes and apply the platform's settings alone."""
+        if not self.compiled_classes:
             return
-        self.learned = {}
+        self.compiled_classes = {}
         self.decisions.configure(self._config.settings)
         log.info("descriptions_disabled")
 
     def close(self) -> None:
-        """Stop watching. The descriptions that were applied last stay in force."""
+        """Stop watching. The descriptions that were applied last remain active."""
         if self._task:
             self._task.cancel()
             self._task = None
 
     async def _watch(self, paths: list[Path], section: Descriptions) -> None:
-        """Compile at each change of the files, until cancelled."""
+        """Compile the descriptions after each change of the files, until cancelled."""
         watchers = [FileWatcher(path, section.recheck_s) for path in paths]
-        async with _running(watchers):
+        async with _running_watchers(watchers):
             while True:
                 for watcher in watchers:
                     watcher.changed.clear()
@@ -124,24 +129,24 @@
                 await _wait_for_change(watchers, section.recheck_s)
 
     async def _compile_changes(self, paths: list[Path], section: Descriptions) -> None:
-        """Compile if the files have changed, and apply the result."""
+        """Compile the descriptions if the files have changed, and apply the result."""
         while True:
             files = await self._current_files(paths)
             if files == self._compiled_files:
                 return
-            result = await self._compile_stable(paths, files, section.settle_s)
+            result = await self._compile_if_stable(paths, files, section.settle_s)
             if result is not None:
                 self._compiled_files = files
                 self._apply(result)
                 return
 
-    async def _compile_stable(
+    async def _compile_if_stable(
         self, paths: list[Path], files: list[FileState], settle_s: float
     ) -> CompilationResult | None:
-        """Compile the files; return None if one of them changes before the end of the compilation.
+        """Compile the descriptions. Return None if a file changes before the end of the compilation.
 
-        None is also returned if the descriptions refer to a file whose state was not observed. That file is
-        observed from then on.
+        Also return None if the descriptions refer to a file whose state was not observed. It is observed from
+        then on.
         """
         await asyncio.sleep(settle_s)
         if await self._current_files(paths) != files:
@@ -158,7 +163,7 @@
         return await asyncio.to_thread(file_states, paths, self._read_files)
 
     def _apply(self, result: CompilationResult) -> None:
-        """Apply a summary. A rejection is logged and leaves the earlier descriptions in force."""
+        """Apply the result. On a rejection, log the reasons and keep the current descriptions."""
         if isinstance(result, CompilationRejected):
             self.decisions.counters["descriptions_rejected"] += 1
             log.warning(
@@ -167,21 +172,21 @@
                 faults=result.total_reasons,
             )
             return
-        self.learned = result.classes
+        self.compiled_classes = result.classes
         self.decisions.configure(self.applied(self._config.settings))
         _log_applied(result)
 
 
 def _covers(states: list[FileState], files: list[str]) -> bool:
-    """Return whether each of the files is among the states."""
+    """Return whether the states include each of the files."""
     return set(files) <= {state.path for state in states}
 
 
 @asynccontextmanager
-async def _running(watchers: Sequence[FileWatcher]) -> AsyncIterator[None]:
-    """Run the watchers in tasks while the block is entered.
+async def _running_watchers(watchers: Sequence[FileWatcher]) -> AsyncIterator[None]:
+    """Run the watchers in tasks for the duration of the context.
 
-    A watcher that fails does not end the others; changes are then found by polling.
+    If a watcher fails, the others continue, and changes of its files are found by polling.
     """
     tasks = [asyncio.create_task(watcher.run()) for watcher in watchers]
     try:
@@ -193,13 +198,13 @@
 
 
 async def _wait_for_change(watchers: Sequence[FileWatcher], timeout_s: float) -> None:
-    """Wait until one of the watchers reports a change, or until the timeout."""
-    waits = [asyncio.create_task(watcher.changed.wait()) for watcher in watchers]
+    """Wait until a watcher reports a change or the time-out expires."""
+    tasks = [asyncio.create_task(watcher.changed.wait()) for watcher in watchers]
     try:
-        await asyncio.wait(waits, timeout=timeout_s, return_when=asyncio.FIRST_COMPLETED)
+        await asyncio.wait(tasks, timeout=timeout_s, return_when=asyncio.FIRST_COMPLETED)
     finally:
-        for wait in waits:
-            wait.cancel()
+        for task in tasks:
+            task.cancel()
 
 
 def _log_applied(summary: CompilationSummary) -> None:
@@ -208,8 +213,8 @@
         files=len(summary.files),
         routes=summary.route_count,
         classes={
-            name: IDEMPOTENCY_KEYWORDS.keyword(learned.idempotency)
-            for name, learned in summary.classes.items()
+            name: IDEMPOTENCY_KEYWORDS.keyword(compiled.idempotency)
+            for name, compiled in summary.classes.items()
         },
         warnings=summary.warnings[:MAX_LOGGED_REASONS],
     )
--- a/wheatstile/descriptions/strictness.py
+++ b/wheatstile/descriptions/strictness.py
@@ -1,4 +1,4 @@
-"""Compares idempotencies by how many retries they allow, and deduplication scopes by their size. Pure."""
+"""Orders idempotencies by strictness, and deduplication scopes by size. Does no I/O."""
 
 from collections.abc import Mapping
 
@@ -9,7 +9,7 @@
     Idempotency.IDEMPOTENCY_KEY: 1,
     Idempotency.NON_IDEMPOTENT: 2,
 }
-"""Of two statements on one operation or class, the one with the higher number applies."""
+"""If two declarations for one operation or class differ, the one with the higher number applies."""
 
 SCOPE_NARROWNESS: Mapping[DeduplicationScope, int] = {
     DeduplicationScope.ALL: 0,
@@ -17,7 +17,10 @@
     DeduplicationScope.CELL: 2,
     DeduplicationScope.UNKNOWN: 3,
 }
-"""Of two deduplication scopes, the one with the higher number applies: fewer servers discard a repeat."""
+"""If two declared scopes differ, the one with the higher number applies.
+
+A higher number means that fewer servers discard the duplicate of a request.
+"""
 
 
 def stricter(first: Idempotency, second: Idempotency) -> Idempotency:
@@ -31,10 +34,10 @@
 
 
 def narrower(first: DeduplicationScope, second: DeduplicationScope) -> DeduplicationScope:
-    """Return the scope in which fewer servers discard a repeat."""
+    """Return the scope in which fewer servers discard the duplicate of a request."""
     return max(first, second, key=SCOPE_NARROWNESS.__getitem__)
 
 
 def is_narrower(first: DeduplicationScope, second: DeduplicationScope) -> bool:
-    """Return whether fewer servers discard a repeat in the first scope than in the second."""
+    """Return whether fewer servers discard the duplicate of a request in the first scope."""
     return SCOPE_NARROWNESS[first] > SCOPE_NARROWNESS[second]
--- a/wheatstile/descriptions/worker.py
+++ b/wheatstile/descriptions/worker.py
@@ -1,8 +1,8 @@
-"""Compiles descriptions in a process of its own: `python -m wheatstile.descriptions.worker`.
+"""Worker process that compiles descriptions: `python -m wheatstile.descriptions.worker`.
 
-A separate process keeps the balancer's event loop free, returns its memory to the system, and has limits on
-processor time and memory. It reads one request as JSON from standard input and writes one result as JSON to
-standard output (`worker_protocol`).
+A separate process does not block the balancer's event loop, returns its memory to the system when it ends,
+and has its own limits on CPU time and memory. It reads one request from standard input and writes one result
+to standard output, both as JSON (`worker_protocol`).
 """
 
 import resource
@@ -17,19 +17,19 @@
     CompilationRejected,
     CompilationResult,
     CompilationSummary,
+    CompiledClass,
     CompileRequest,
-    LearnedClass,
     encode_result,
 )
 
 MAX_CPU_TIME_S = 120
 MAX_MEMORY_MB = 2048
 BYTES_PER_MB = 1 << 20
-MAX_REPORTED = 100  # reasons or warnings in one result
+MAX_REPORTED = 100  # number of reasons or warnings in one result
 
 
 def handle_request(request: CompileRequest) -> CompilationResult:
-    """Compile the descriptions that a request names; return a summary, or the reasons for rejecting them."""
+    """Compile the descriptions in a request. Return a summary, or the reasons for the rejection."""
     operator = OperatorFile(Path(request.operator_path), request.settings)
     paths = [operator.near(path) for path in operator.settings.descriptions.paths]
     policies = class_policies(request.classes)
@@ -38,26 +38,28 @@
     except InvalidDescriptionError as error:
         return CompilationRejected(reasons=error.lines()[:MAX_REPORTED], reason_count=len(error.findings))
     except MemoryError:
-        return CompilationRejected(reasons=[f"needs more than {MAX_MEMORY_MB} MB"], reason_count=1)
+        return CompilationRejected(
+            reasons=[f"the compilation needs more than {MAX_MEMORY_MB} MB of memory"], reason_count=1
+        )
     return _summary(compilation)
 
 
 def _summary(compilation: Compilation) -> CompilationSummary:
     descriptions = compilation.descriptions
     return CompilationSummary(
-        classes={name: _learned_class(policy) for name, policy in descriptions.classes.items()},
+        classes={name: _compiled_class(policy) for name, policy in descriptions.classes.items()},
         route_count=len(descriptions.routes),
         files=sorted(compilation.source.files),
         warnings=[str(warning) for warning in descriptions.warnings[:MAX_REPORTED]],
     )
 
 
-def _learned_class(policy: ClassPolicy) -> LearnedClass:
-    return LearnedClass(policy.idempotency, policy.deduplication_scope, policy.deduplication_window_us)
+def _compiled_class(policy: ClassPolicy) -> CompiledClass:
+    return CompiledClass(policy.idempotency, policy.deduplication_scope, policy.deduplication_window_us)
 
 
 def main() -> None:
-    """Limit the time and memory of this process, then answer the request on standard input."""
+    """Limit the CPU time and memory of this process, then handle the request on standard input."""
     max_memory_bytes = MAX_MEMORY_MB * BYTES_PER_MB
     resource.setrlimit(resource.RLIMIT_CPU, (MAX_CPU_TIME_S, MAX_CPU_TIME_S))
     resource.setrlimit(resource.RLIMIT_AS, (max_memory_bytes, max_memory_bytes))
--- a/wheatstile/descriptions/worker_client.py
+++ b/wheatstile/descriptions/worker_client.py
@@ -1,4 +1,4 @@
-"""Runs the worker that compiles descriptions: blocking at the start, awaited while the balancer serves."""
+"""Runs the worker process that compiles descriptions, with a blocking and an asynchronous function."""
 
 import asyncio
 import subprocess
@@ -21,7 +21,7 @@
 
 
 def build_request(operator: OperatorFile, config: Config) -> bytes:
-    """Return the encoded request for these files. Equal bytes ask for the same compilation."""
+    """Return the encoded request for these settings. Equal bytes mean equal requests."""
     request = CompileRequest(
         operator_path=str(operator.path.absolute()),
         classes=class_settings(config),
@@ -32,22 +32,22 @@
 
 
 def compile_blocking(request: bytes, operator: OperatorFile) -> CompilationResult:
-    """Run a worker and block until it has ended. For use before the event loop runs."""
+    """Run a worker and block until it has ended. To be used only before the event loop runs."""
     try:
         worker = subprocess.run(
             [sys.executable, *WORKER_ARGUMENTS],
             input=request,
             capture_output=True,
             timeout=WORKER_TIMEOUT_S,
-            check=False,  # the exit status is part of the result
+            check=False,  # `_decode_output` reports the exit status
         )
     except subprocess.TimeoutExpired:
-        return _timed_out(f"{operator.path}:1: {SECTION_POINTER}")
+        return _timeout_rejection(f"{operator.path}:1: {SECTION_POINTER}")
     return _decode_output(worker.stdout, worker.returncode)
 
 
 async def compile_in_worker(request: bytes) -> CompilationResult:
-    """Run a worker while the event loop goes on. The worker is killed if this task is cancelled."""
+    """Run a worker without blocking the event loop. The worker is killed if this task is cancelled."""
     worker = await asyncio.create_subprocess_exec(
         sys.executable,
         *WORKER_ARGUMENTS,
@@ -59,14 +59,14 @@
         async with asyncio.timeout(WORKER_TIMEOUT_S):
             output, _ = await worker.communicate(request)
     except TimeoutError:
-        return _timed_out(SECTION_POINTER)
+        return _timeout_rejection(SECTION_POINTER)
     finally:
         await _kill(worker)
     return _decode_output(output, worker.returncode)
 
 
 async def _kill(worker: asyncio.subprocess.Process) -> None:
-    """Kill the worker if it still runs, and wait until it has ended."""
+    """Kill the worker if it is still running, and wait until it has ended."""
     if worker.returncode is not None:
         return
     with suppress(ProcessLookupError):
@@ -74,7 +74,7 @@
     await worker.wait()
 
 
-def _timed_out(location: str) -> CompilationRejected:
+def _timeout_rejection(location: str) -> CompilationRejected:
     reason = f"{location}: the compilation took more than {WORKER_TIMEOUT_S:g} s and was stopped"
     return CompilationRejected(reasons=[reason])
 
@@ -85,7 +85,7 @@
         return decode_result(output)
     except ValueError:
         reason = (
-            f"{SECTION_POINTER}: the worker ended with status {status} and no result: "
-            "it exceeded its processor time or memory, or it failed"
+            f"{SECTION_POINTER}: the worker ended with exit status {status} and without a result: "
+            "it exceeded its limit of CPU time or memory, or it failed"
         )
         return CompilationRejected(reasons=[reason])
--- a/wheatstile/descriptions/worker_messages.py
+++ b/wheatstile/descriptions/worker_messages.py
@@ -1,7 +1,8 @@
-"""JSON messages between the balancer and the process that compiles descriptions. Pure.
+"""JSON messages between the balancer and the worker that compiles descriptions. Does no I/O.
 
-The fields are named as the keys of the JSON. A class is an array of its fields, with its idempotency and
-deduplication scope as keywords. `worker_protocol` converts the messages from and to the program's own types.
+Field names are the keys in the JSON. A service class is encoded as an array of its fields, with keywords for
+the idempotency and the deduplication scope. `worker_protocol` converts these messages to and from the types
+that the rest of the package uses.
 """
 
 import msgspec
@@ -18,7 +19,7 @@
     client_deadline_us: int
 
 
-class LearnedClassMessage(msgspec.Struct, frozen=True, array_like=True):
+class CompiledClassMessage(msgspec.Struct, frozen=True, array_like=True):
     """A service class in a result."""
 
     idempotency: str
@@ -38,14 +39,14 @@
 class SummaryMessage(msgspec.Struct, frozen=True, kw_only=True):
     """The result of a successful compilation."""
 
-    classes: dict[str, LearnedClassMessage]
+    classes: dict[str, CompiledClassMessage]
     routes: int
-    read: list[str]  # paths of files
+    read: list[str]  # paths of all files that were read
     warnings: list[str]
 
 
 class RejectionMessage(msgspec.Struct, frozen=True, kw_only=True):
-    """The result of a compilation that was rejected."""
+    """The result of a failed compilation."""
 
-    refused: list[str]  # reasons
-    faults: int | None = None  # number of reasons, including those left out; None: none were left out
+    refused: list[str]  # reasons for the rejection; may be truncated
+    faults: int | None = None  # number of reasons before truncation; None: not truncated
--- a/wheatstile/descriptions/worker_protocol.py
+++ b/wheatstile/descriptions/worker_protocol.py
@@ -1,7 +1,7 @@
-"""Requests to the process that compiles descriptions, and its results, with their conversion to JSON. Pure.
+"""Requests to the worker that compiles descriptions, and its results, with conversion to JSON. Does no I/O.
 
-The standard library's JSON is used because it keeps lone surrogates, which Python uses for file names that
-are not valid UTF-8.
+The standard library's `json` is used because it preserves lone surrogates. Python represents file names that
+are not valid UTF-8 with lone surrogates.
 """
 
 import json
@@ -16,7 +16,7 @@
 from wheatstile.descriptions.keywords import IDEMPOTENCY_KEYWORDS, SCOPE_KEYWORDS
 from wheatstile.descriptions.worker_messages import (
     ClassSettingsMessage,
-    LearnedClassMessage,
+    CompiledClassMessage,
     RejectionMessage,
     RequestMessage,
     SummaryMessage,
@@ -24,37 +24,37 @@
 from wheatstile.interface import DeduplicationScope, Idempotency
 
 MICROSECONDS_PER_MILLISECOND = 1000
-REJECTION_KEY = "refused"  # key that only a RejectionMessage has
+REJECTION_KEY = "refused"  # distinguishes a RejectionMessage from a SummaryMessage
 
 
 @dataclass(frozen=True, slots=True)
 class ClassSettings:
-    """The platform's configuration of a service class."""
+    """The platform's settings of a service class."""
 
     idempotency: Idempotency
     deduplication_scope: DeduplicationScope
     deduplication_window_us: int
-    client_deadline_us: int  # 0: clients have no deadline
+    client_deadline_us: int  # time after which a client stops waiting for its answer; 0: no deadline
 
 
 @dataclass(frozen=True, slots=True)
-class LearnedClass:
-    """The retry policy of a service class after compilation of the descriptions."""
+class CompiledClass:
+    """The retry policy of a service class, compiled from descriptions."""
 
     idempotency: Idempotency
     deduplication_scope: DeduplicationScope
     deduplication_window_us: int
 
 
-LearnedClasses: TypeAlias = Mapping[str, LearnedClass]
+CompiledClasses: TypeAlias = Mapping[str, CompiledClass]
 """Retry policies by the name of the class."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class CompileRequest:
-    """Asks the worker to compile the descriptions that the operator's file names."""
+    """A request to compile the descriptions that the operator's file lists."""
 
-    operator_path: str  # absolute
+    operator_path: str  # absolute path of the operator's file
     classes: Mapping[str, ClassSettings]
     settings: Operator
     max_attempts: int
@@ -72,7 +72,7 @@
 
     @classmethod
     def decode(cls, data: bytes) -> "CompileRequest":
-        """Return the request in this JSON. Raises ValueError."""
+        """Return the request that this JSON contains. Raises ValueError."""
         message = msgspec.convert(json.loads(data), RequestMessage)
         return cls(
             operator_path=message.operator,
@@ -86,7 +86,7 @@
 class CompilationSummary:
     """The result of a successful compilation."""
 
-    classes: LearnedClasses
+    classes: CompiledClasses
     route_count: int
     files: list[str]  # paths of all files that were read, including referenced ones
     warnings: list[str]
@@ -94,14 +94,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class CompilationRejected:
-    """The reasons why descriptions cannot be used."""
+    """The result of a failed compilation: the reasons why the descriptions were rejected."""
 
-    reasons: list[str]  # the first ones, if there are many
-    reason_count: int | None = None  # number of all reasons; None: as many as in `reasons`
+    reasons: list[str]  # may be truncated
+    reason_count: int | None = None  # number of reasons before truncation; None: `reasons` is complete
 
     @property
     def total_reasons(self) -> int:
-        """The number of reasons, including those that `reasons` leaves out."""
+        """The number of reasons before truncation."""
         return len(self.reasons) if self.reason_count is None else self.reason_count
 
 
@@ -109,11 +109,11 @@
 
 
 def encode_result(result: CompilationResult) -> bytes:
-    """Return a result as JSON."""
+    """Return the result as JSON."""
     if isinstance(result, CompilationRejected):
         return _to_json(RejectionMessage(refused=result.reasons, faults=result.reason_count))
     message = SummaryMessage(
-        classes={name: _encode_learned(learned) for name, learned in result.classes.items()},
+        classes={name: _encode_compiled(compiled) for name, compiled in result.classes.items()},
         routes=result.route_count,
         read=result.files,
         warnings=result.warnings,
@@ -122,14 +122,14 @@
 
 
 def decode_result(data: bytes) -> CompilationResult:
-    """Return the result in this JSON. Raises ValueError."""
+    """Return the result that this JSON contains. Raises ValueError."""
     fields = json.loads(data)
     if isinstance(fields, dict) and REJECTION_KEY in fields:
         rejection = msgspec.convert(fields, RejectionMessage)
         return CompilationRejected(reasons=rejection.refused, reason_count=rejection.faults)
     summary = msgspec.convert(fields, SummaryMessage)
     return CompilationSummary(
-        classes={name: _decode_learned(learned) for name, learned in summary.classes.items()},
+        classes={name: _decode_compiled(compiled) for name, compiled in summary.classes.items()},
         route_count=summary.routes,
         files=summary.read,
         warnings=summary.warnings,
@@ -150,7 +150,7 @@
 
 
 def _decode_settings(message: ClassSettingsMessage) -> ClassSettings:
-    """Return the settings in a message. Raises UnknownKeywordError, which is a ValueError."""
+    """Return the settings that a message contains. Raises UnknownKeywordError, which is a ValueError."""
     return ClassSettings(
         IDEMPOTENCY_KEYWORDS.member(message.idempotency),
         SCOPE_KEYWORDS.member(message.scope),
@@ -159,17 +159,17 @@
     )
 
 
-def _encode_learned(learned: LearnedClass) -> LearnedClassMessage:
-    return LearnedClassMessage(
-        IDEMPOTENCY_KEYWORDS.keyword(learned.idempotency),
-        SCOPE_KEYWORDS.keyword(learned.deduplication_scope),
-        learned.deduplication_window_us,
+def _encode_compiled(compiled: CompiledClass) -> CompiledClassMessage:
+    return CompiledClassMessage(
+        IDEMPOTENCY_KEYWORDS.keyword(compiled.idempotency),
+        SCOPE_KEYWORDS.keyword(compiled.deduplication_scope),
+        compiled.deduplication_window_us,
     )
 
 
-def _decode_learned(message: LearnedClassMessage) -> LearnedClass:
-    """Return the class in a message. Raises UnknownKeywordError, which is a ValueError."""
-    return LearnedClass(
+def _decode_compiled(message: CompiledClassMessage) -> CompiledClass:
+    """Return the class that a message contains. Raises UnknownKeywordError, which is a ValueError."""
+    return CompiledClass(
         IDEMPOTENCY_KEYWORDS.member(message.idempotency),
         SCOPE_KEYWORDS.member(message.scope),
         message.window_us,
@@ -177,7 +177,7 @@
 
 
 def class_settings(config: Config) -> dict[str, ClassSettings]:
-    """Return the platform's configuration of each class, by name."""
+    """Return the platform's settings of each class, by name."""
     deadlines_ms = config.client_limits.deadlines_ms
     return {
         name: ClassSettings(
--- a/wheatstile/descriptions/yaml_parser.py
+++ b/wheatstile/descriptions/yaml_parser.py
@@ -1,8 +1,8 @@
-"""Parses YAML and records the line of every value. Pure; bounded in time and memory.
+"""Parses YAML and records the line of each value. Does no I/O. Time and memory are bounded.
 
-Values are built from libyaml's events without recursion, by the core schema of YAML 1.2. Keys have to be
-strings and unique, and tags other than the core schema's are rejected. Each use of an alias counts as many
-values as its anchor has, so that a small file cannot expand to gigabytes.
+Values are built from libyaml's events without recursion, according to the core schema of YAML 1.2. Keys must
+be unique strings, and tags that are not in the core schema are rejected. Each use of an alias counts as many
+values as its anchor contains, so that a small file cannot expand to gigabytes.
 """
 
 from dataclasses import dataclass
@@ -16,7 +16,7 @@
 from wheatstile.descriptions.parsed_file import MAX_NESTING_DEPTH, MAX_VALUES, ParsedFile, parse_error
 from wheatstile.descriptions.yaml_scalars import plain_scalar
 
-LOADER = getattr(yaml, "CSafeLoader", yaml.SafeLoader)  # CSafeLoader exists only if PyYAML has libyaml
+LOADER = getattr(yaml, "CSafeLoader", yaml.SafeLoader)  # CSafeLoader needs a PyYAML built with libyaml
 MERGE_KEY = "<<"
 NON_SPECIFIC_TAG = "!"
 CORE_TYPES = ("str", "map", "seq", "int", "float", "bool", "null")
@@ -32,25 +32,25 @@
     except yaml.MarkedYAMLError as error:
         mark = error.problem_mark or error.context_mark
         line = mark.line + 1 if mark else 1
-        raise parse_error(file, line, f"no YAML: {error.problem or error}") from None
+        raise parse_error(file, line, f"not valid YAML: {error.problem or error}") from None
     except yaml.YAMLError as error:
-        raise parse_error(file, 1, f"no YAML: {str(error).splitlines()[0]}") from None
+        raise parse_error(file, 1, f"not valid YAML: {str(error).splitlines()[0]}") from None
     return ParsedFile(file, builder.root, builder.lines)
 
 
 @dataclass(slots=True)
 class _OpenContainer:
-    """A mapping or sequence whose end event is still to come."""
+    """A mapping or sequence that is not complete yet."""
 
     value: dict[str, JsonValue] | list[JsonValue]
     pointer: str
     anchor: str | None
-    key: str | None = None  # in a mapping: the key whose value comes next
+    key: str | None = None  # key of the next value in a mapping; None: a key comes next
     size: int = 1  # number of values, with aliases expanded
 
 
 class _AnchoredValue(NamedTuple):
-    """A value that aliases refer to."""
+    """A value that has an anchor, to which aliases may refer."""
 
     value: JsonValue
     size: int  # number of values, with aliases expanded
@@ -66,10 +66,10 @@
         self._document_count = 0
         self._stack: list[_OpenContainer] = []
         self._anchors: dict[str, _AnchoredValue] = {}
-        self._value_count = 0  # with aliases expanded
+        self._value_count = 0  # number of values, with aliases expanded
 
     def add_event(self, event: yaml.Event) -> None:
-        """Add the next event to the document. Raises InvalidDescriptionError."""
+        """Process the next event of the document. Raises InvalidDescriptionError."""
         line = event.start_mark.line + 1 if event.start_mark else 1
         match event:
             case yaml.ScalarEvent():
@@ -85,7 +85,7 @@
             case yaml.DocumentStartEvent():
                 self._document_count += 1
                 if self._document_count > 1:
-                    raise self._error(line, "more than one document in the file")
+                    raise self._error(line, "the file contains more than one document")
 
     def _error(self, line: int, reason: str, pointer: str = "") -> InvalidDescriptionError:
         return parse_error(self._file, line, reason, pointer)
@@ -108,10 +108,12 @@
         key = event.value
         pointer = top.pointer + pointer_to(key)
         if key == MERGE_KEY and event.implicit[0]:
-            raise self._error(line, "a merge key (<<), which YAML 1.2 does not have: write it out", pointer)
+            raise self._error(
+                line, "merge keys (<<) are not part of YAML 1.2: write out the members", pointer
+            )
         if key in mapping:
             first_line = self.lines.get(pointer, 1)
-            raise self._error(line, f"the key stands twice, first on line {first_line}", pointer)
+            raise self._error(line, f"duplicate key, first defined on line {first_line}", pointer)
         top.key = key
         self.lines[pointer] = line
 
@@ -119,13 +121,13 @@
         self, event: yaml.ScalarEvent | yaml.CollectionStartEvent, line: int, pointer: str
     ) -> None:
         if event.tag and event.tag not in ALLOWED_TAGS:
-            raise self._error(line, f"the tag {event.tag}", pointer)
+            raise self._error(line, f"the tag {event.tag} is not allowed", pointer)
 
     def _add_value(self, value: JsonValue, line: int, size: int = 1) -> None:
         """Add a complete value to the innermost open container."""
         self._value_count += size
         if self._value_count > MAX_VALUES:
-            raise self._error(line, f"more than {MAX_VALUES} values, aliases counted each time they are used")
+            raise self._error(line, f"more than {MAX_VALUES} values with aliases expanded")
         if not self._stack:
             self.root = value
             return
@@ -140,7 +142,7 @@
             top.key = None
 
     def _key_error(self, line: int, mapping: _OpenContainer) -> InvalidDescriptionError:
-        return self._error(line, "a key that is no text", mapping.pointer)
+        return self._error(line, "a mapping key is not a string", mapping.pointer)
 
     def _next_pointer(self, line: int) -> str:
         """Return the JSON pointer of the next value, and record its line."""
@@ -160,7 +162,7 @@
         self, value: dict[str, JsonValue] | list[JsonValue], event: yaml.CollectionStartEvent, line: int
     ) -> None:
         if len(self._stack) >= MAX_NESTING_DEPTH:
-            raise self._error(line, f"nested deeper than {MAX_NESTING_DEPTH}")
+            raise self._error(line, f"nested deeper than {MAX_NESTING_DEPTH} levels")
         pointer = self._next_pointer(line)
         self._check_tag(event, line, pointer)
         self._stack.append(_OpenContainer(value, pointer, event.anchor))
@@ -170,12 +172,14 @@
         if container.anchor:
             self._anchors[container.anchor] = _AnchoredValue(container.value, container.size)
         member_count = container.size - 1
-        self._value_count -= member_count  # already counted when the members were added
+        self._value_count -= member_count  # the members were counted when they were added
         self._add_value(container.value, line, container.size)
 
     def _add_alias(self, event: yaml.AliasEvent, line: int) -> None:
         pointer = self._next_pointer(line)
         if event.anchor not in self._anchors:
-            raise self._error(line, f"the alias *{event.anchor} stands for nothing, or for itself", pointer)
+            raise self._error(
+                line, f"the alias *{event.anchor} refers to an undefined anchor or to itself", pointer
+            )
         anchored = self._anchors[event.anchor]
         self._add_value(anchored.value, line, anchored.size)
--- a/wheatstile/descriptions/yaml_scalars.py
+++ b/wheatstile/descriptions/yaml_scalars.py
@@ -1,4 +1,4 @@
-"""Values of plain (unquoted) YAML scalars, by the core schema of YAML 1.2. Pure."""
+"""Converts plain (unquoted) YAML scalars to values, by the core schema of YAML 1.2. Does no I/O."""
 
 import re
 
@@ -11,7 +11,7 @@
 
 
 def plain_scalar(text: str) -> bool | int | float | str | None:
-    """Return the value of an unquoted scalar. `yes` and `no` are strings, unlike in YAML 1.1."""
+    """Return the value of a plain scalar. Unlike in YAML 1.1, `yes` and `no` are strings."""
     if text in NULLS:
         return None
     if text in BOOLEANS:
