--- a/tests/descriptions/test_compile.py
+++ b/tests/descriptions/test_compile.py
@@ -21,7 +21,7 @@
 from wheatstile.interface import DeduplicationScope, Idempotency
 
 
-class Declared(NamedTuple):
+class DeclaredOperation(NamedTuple):
     """One operation of a generated description."""
 
     name: str
@@ -43,7 +43,7 @@
 CLASSES = {name: ClassPolicy(name, client_deadline_us=2_000_000) for name in ("web", "slow")}
 OPERATIONS = st.lists(
     st.builds(
-        Declared,
+        DeclaredOperation,
         st.sampled_from("abcd"),
         st.sampled_from(Idempotency),
         st.sampled_from(["web", "slow", ""]),
@@ -52,7 +52,7 @@
 )
 
 
-def description_of(file: str, declared_operations: list[Declared]) -> Description:
+def description_of(file: str, declared_operations: list[DeclaredOperation]) -> Description:
     """Return a description of these GET operations."""
     operations = []
     for line, declared in enumerate(declared_operations, 1):
@@ -87,14 +87,14 @@
     }
 
 
-def descriptions_of(files: list[list[Declared]]) -> list[Description]:
+def descriptions_of(files: list[list[DeclaredOperation]]) -> list[Description]:
     """Return one description for each file."""
     return [description_of(f"f{number}", operations) for number, operations in enumerate(files)]
 
 
 @given(st.lists(OPERATIONS, max_size=4), st.randoms(use_true_random=False))
 def test_order_of_files_does_not_affect_the_result(
-    files: list[list[Declared]], generator: random.Random
+    files: list[list[DeclaredOperation]], generator: random.Random
 ) -> None:
     descriptions = descriptions_of(files)
     shuffled = list(descriptions)
@@ -103,7 +103,7 @@
 
 
 @given(st.lists(OPERATIONS, min_size=1, max_size=4))
-def test_additional_file_never_makes_a_class_less_strict(files: list[list[Declared]]) -> None:
+def test_additional_file_never_makes_a_class_less_strict(files: list[list[DeclaredOperation]]) -> None:
     descriptions = descriptions_of(files)
     complete = outcome(descriptions)
     if isinstance(complete, dict):
@@ -115,6 +115,6 @@
 
 def test_unknown_scope_in_the_platform_settings_is_not_overridden() -> None:
     policy = replace(CLASSES["web"], deduplication_scope=DeduplicationScope.UNKNOWN)
-    descriptions = [description_of("f", [Declared("a", Idempotency.IDEMPOTENCY_KEY, "web")])]
+    descriptions = [description_of("f", [DeclaredOperation("a", Idempotency.IDEMPOTENCY_KEY, "web")])]
     compiled = compile_descriptions(descriptions, [], {"web": policy}, OPTIONS)
     assert compiled.classes["web"].deduplication_scope is DeduplicationScope.UNKNOWN
--- a/tests/descriptions/test_descriptions_section.py
+++ b/tests/descriptions/test_descriptions_section.py
@@ -17,7 +17,7 @@
 from wheatstile.net.decision_loop import DecisionLoop
 from wheatstile.resolvers.atomic_write import write_atomic
 
-IMMEDIATE_S = 1.5  # well below the client's deadline
+MAX_ANSWER_TIME_S = 1.5  # well below the client's deadline
 POLL_INTERVAL_S = 0.02
 KEYED = "x-wheatstile-repeat: keyed, x-wheatstile-window-s: 60, x-wheatstile-scope: zone, "
 THREE_OPERATIONS = (
@@ -25,7 +25,7 @@
     + operation("u", "post", "writes")
     + operation("k", "post", "orders", KEYED)
 )
-UNKNOWN_CLASS = operation("r", "get", "nobody")
+OPERATION_OF_UNKNOWN_CLASS = operation("r", "get", "nobody")
 
 
 @pytest.fixture
@@ -74,7 +74,7 @@
     start_s = time.monotonic()
     zones, answer = balancer.attempts("writes")
     assert (len(zones), answer) == (1, "ERR")
-    assert time.monotonic() - start_s < IMMEDIATE_S
+    assert time.monotonic() - start_s < MAX_ANSWER_TIME_S
 
 
 def check_keyed_class_is_retried_in_one_zone(balancer: DescribedBalancer) -> None:
@@ -102,14 +102,14 @@
 
 
 def test_rejected_descriptions_do_not_replace_the_current_ones(changed: DescribedBalancer) -> None:
-    changed.write_description(THREE_OPERATIONS + UNKNOWN_CLASS)
+    changed.write_description(THREE_OPERATIONS + OPERATION_OF_UNKNOWN_CLASS)
     reasons = changed.logged("descriptions_rejected")["reasons"]
     assert 'the class "nobody" is not in the settings' in reasons[0]
     check_retries_of_every_class(changed)
 
 
 def test_descriptions_still_apply_after_a_reload_of_the_platform_settings(changed: DescribedBalancer) -> None:
-    changed.write_description(THREE_OPERATIONS + UNKNOWN_CLASS)
+    changed.write_description(THREE_OPERATIONS + OPERATION_OF_UNKNOWN_CLASS)
     changed.logged("descriptions_rejected")
     changed.process.send_signal(signal.SIGHUP)
     changed.logged("config_reloaded")
--- a/wheatstile/descriptions/findings.py
+++ b/wheatstile/descriptions/findings.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, replace
 from enum import StrEnum
 
-MAX_FINDINGS_IN_MESSAGE = 20  # in the text of an InvalidDescriptionError; its `findings` contains all
+MAX_FINDINGS_IN_MESSAGE = 20  # the text of an InvalidDescriptionError contains no more
 
 
 @dataclass(frozen=True, slots=True, order=True)
--- a/wheatstile/descriptions/openapi.py
+++ b/wheatstile/descriptions/openapi.py
@@ -49,7 +49,7 @@
 }
 """Methods that are safe or idempotent (RFC 9110, sections 9.2.1 and 9.2.2)."""
 
-IDEMPOTENCY_KEY_HEADER = "idempotency-key"  # in lower case, because header names are case-insensitive
+IDEMPOTENCY_KEY_HEADER = "idempotency-key"  # lower case, because header names are compared case-insensitively
 HEADER_PARAMETER = "header"  # value of a parameter's "in"
 
 
@@ -103,8 +103,8 @@
 ) -> RetrySafety:
     """Return the retry safety of an operation.
 
-    It is taken from the first of these that applies: the extension, the method, an Idempotency-Key parameter.
-    The name of the operation is not considered.
+    The first of these sources that applies determines it: the extension, the method, and an Idempotency-Key
+    parameter. The name of the operation is not considered.
     """
     method_property = METHOD_PROPERTIES.get(method)
     if extension := retry_extension_of(operation, path_item, root):
--- a/wheatstile/descriptions/openapi_validation.py
+++ b/wheatstile/descriptions/openapi_validation.py
@@ -14,13 +14,13 @@
 ReadFile: TypeAlias = Callable[[str], JsonValue]
 """Returns the document at a URI. Raises ValueError or InvalidDescriptionError."""
 
-URI_SCHEMES = ("", "file", "http", "https")  # the validator would read these without a handler of its caller
+URI_SCHEMES = ("", "file", "http", "https")  # without a handler, the validator reads these itself
 
 
 def validate_openapi(root: DocumentNode, version: str, read_file: ReadFile) -> list[Finding]:
     """Return the violations of the OpenAPI specification, at most MAX_SCHEMA_FINDINGS.
 
-    read_file: the only means by which the validator reads other documents.
+    read_file: reads the documents that this document refers to. The validator reads no files itself.
     """
     findings: list[Finding] = []
     try:
--- a/wheatstile/descriptions/parsed_file.py
+++ b/wheatstile/descriptions/parsed_file.py
@@ -21,7 +21,7 @@
     def locate(self, pointer: str) -> SourceLocation:
         """Return the location of a JSON pointer.
 
-        If there is no value at the pointer, the line is the one of the nearest parent that exists.
+        If there is no value at the pointer, use the line of the nearest existing parent.
         """
         known = pointer
         while known and known not in self.lines:
--- a/wheatstile/descriptions/reader.py
+++ b/wheatstile/descriptions/reader.py
@@ -89,7 +89,7 @@
 def _read_description(folder: DocumentFolder, path: Path, *, may_be_part: bool) -> Description | None:
     """Return the description in a file; None if the file is only a part that other files refer to.
 
-    may_be_part: whether a file without a format key is taken for a part; if not, it is an error.
+    may_be_part: whether a file without a format key is assumed to be such a part. Otherwise it is an error.
     Raises InvalidDescriptionError or ValueError.
     """
     root = folder.document(path)
--- a/wheatstile/descriptions/references.py
+++ b/wheatstile/descriptions/references.py
@@ -22,12 +22,7 @@
 from wheatstile.descriptions.parsed_file import ParsedFile
 
 REFERENCE_KEY = "$ref"
-LITERAL_MEMBERS = (
-    "example",
-    "default",
-    "enum",
-    "const",
-)  # members with plain data: $ref has no meaning there
+LITERAL_MEMBERS = ("example", "default", "enum", "const")  # plain data, in which $ref is not a reference
 MAX_REFERENCE_CHAIN = 50  # number of references from a node to its value
 FILE_SCHEME = "file"
 
--- a/wheatstile/descriptions/route_matcher.py
+++ b/wheatstile/descriptions/route_matcher.py
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True)
 class _Node(Generic[Value]):
-    """A node of the tree. The path from the root to a node is the list of tokens of a route so far."""
+    """A node of the tree. The edges from the root to a node are the first tokens of all routes below it."""
 
     literals: "dict[str, _Node[Value]]" = field(default_factory=dict)
     partials: list[_PartialChild[Value]] = field(default_factory=list)
--- a/wheatstile/descriptions/routes.py
+++ b/wheatstile/descriptions/routes.py
@@ -14,7 +14,7 @@
 
 from wheatstile.descriptions.findings import DescriptionError
 
-MAX_TOKENS = 64  # in a route or in a target
+MAX_TOKENS = 64  # limit for routes and for targets
 BRACES = "{}"
 PARAMETER = re.compile(r"\{[^{}]+\}")
 PLACEHOLDER = re.compile(r"\{[^{}]*\}")  # matches a parameter in the text of a partial token
@@ -28,7 +28,7 @@
     """The kind of a token. It determines the texts that the token matches."""
 
     LITERAL = "literal"
-    PARTIAL = "partial"  # parameters with literal text around them
+    PARTIAL = "partial"  # contains parameters and literal text
     PARAMETER = "parameter"
     REST = "rest"  # matches one or more tokens; only allowed as the last token of a route
 
@@ -38,7 +38,7 @@
     """One token of a route."""
 
     kind: TokenKind
-    text: str = ""  # empty for other kinds than LITERAL and PARTIAL; `{}` marks a parameter of a PARTIAL
+    text: str = ""  # set only for LITERAL and PARTIAL; `{}` stands for each parameter of a PARTIAL token
 
     def pattern(self) -> re.Pattern[str]:
         """Return the regular expression of a partial token. A parameter matches one or more characters."""
--- a/wheatstile/descriptions/section.py
+++ b/wheatstile/descriptions/section.py
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StartupCompilation:
-    """The result of the compilation that precedes serving."""
+    """The result of the compilation at startup."""
 
     summary: CompilationSummary
     files: list[FileState] | None  # states of the compiled files; None: a file changed during the compilation
@@ -81,7 +81,7 @@
             _log_applied(startup.summary)
 
     def applied(self, settings: Settings) -> Settings:
-        """Return the platform's settings, made as strict as the current descriptions."""
+        """Return the platform's settings, made at least as strict as the current descriptions."""
         return tighten_settings(settings, self.compiled_classes)
 
     def follow(self, operator: OperatorFile, config: Config) -> None:
--- a/wheatstile/descriptions/tightening.py
+++ b/wheatstile/descriptions/tightening.py
@@ -9,7 +9,7 @@
 
 
 def tighten_settings(settings: Settings, compiled_classes: Mapping[str, CompiledClass]) -> Settings:
-    """Return the settings, made as strict as the compiled classes.
+    """Return the settings, made at least as strict as the compiled classes.
 
     Compiled classes that are not in the settings are ignored.
     """
@@ -21,7 +21,7 @@
 
 
 def _tighten_class(service_class: ServiceClass, compiled: CompiledClass) -> ServiceClass:
-    """Return the class with the stricter idempotency, the narrower scope and the shorter window of both."""
+    """Return the class with the stricter idempotency, the narrower scope and the shorter window."""
     windows_us = [
         source.deduplication_window_us
         for source in (service_class, compiled)
