--- a/tests/cli/test_check_command.py
+++ b/tests/cli/test_check_command.py
@@ -11,18 +11,18 @@
 def test_check_rejects_an_operator_file_that_names_a_missing_file() -> None:
     result = run_command("check", "op.json")
     assert result.status == 1
-    assert "op.json:1: /servers/file: there is no" in result.errors
+    assert "op.json:1: /servers/file: file not found: " in result.errors
 
 
 @pytest.mark.usefixtures("live_file")
-def test_check_lists_the_checks_that_were_not_possible() -> None:
+def test_check_without_a_platform_configuration_lists_the_skipped_check() -> None:
     result = run_command("check", "op.json")
     assert result.status == 0
-    assert "not checked: against the platform's settings" in result.output
+    assert "not checked: consistency with the platform's settings" in result.output
 
 
 @pytest.mark.usefixtures("live_file")
-def test_check_compares_the_endpoint_file_with_the_platforms_servers() -> None:
+def test_check_rejects_an_endpoint_file_that_removes_too_many_of_the_platforms_servers() -> None:
     result = run_command("check", "op.json", RELAY_CONFIG=str(EXAMPLE_CONFIG))
     assert result.status == 1
     assert "takes 2 of 2 ready servers away" in result.errors
@@ -40,5 +40,5 @@
 
 
 @pytest.mark.parametrize("arguments", [("serve",), ()])
-def test_serve_without_a_configuration_is_wrong_usage(arguments: tuple[str, ...]) -> None:
+def test_serve_without_a_configuration_is_a_usage_error(arguments: tuple[str, ...]) -> None:
     assert run_command(*arguments).status == 2
--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -1,4 +1,4 @@
-"""The command line as a whole: usage, aliases, imported modules, and the list of logged events."""
+"""The command line: usage errors, aliases, imported modules, and the documented log events."""
 
 import ast
 import re
@@ -26,7 +26,7 @@
 
 
 @pytest.mark.parametrize("arguments", [("servers", "bogus"), ("bogus",), ("check",)])
-def test_wrong_usage_has_status_2(arguments: tuple[str, ...]) -> None:
+def test_usage_error_has_status_2(arguments: tuple[str, ...]) -> None:
     assert run_command(*arguments).status == 2
 
 
@@ -36,20 +36,20 @@
 
 
 @pytest.mark.parametrize("name", ["fault-proxy", "link"])
-def test_fault_proxy_has_the_same_exit_statuses_by_both_names(name: str) -> None:
+def test_fault_proxy_has_the_same_exit_statuses_under_both_names(name: str) -> None:
     assert run_command(name, "--help").status == 0
     assert run_command(name).status == 2
     rejected = run_command(name, "no-route")
     assert (rejected.status, rejected.errors) == (1, "route 'no-route': SRC:DST:LISTEN:TARGET wanted\n")
 
 
-def test_fault_proxy_has_the_same_options_by_both_names() -> None:
+def test_fault_proxy_has_the_same_options_under_both_names() -> None:
     current = run_command("fault-proxy", "--help").output
     former = run_command("link", "--help").output
     assert current.partition("fault-proxy")[2] == former.partition("link")[2]
 
 
-def test_help_lists_the_fault_proxy_by_its_current_name_only() -> None:
+def test_help_lists_the_fault_proxy_under_its_current_name_only() -> None:
     listed = [line.split()[0] for line in run_command("--help").output.splitlines() if line.strip()]
     assert "fault-proxy" in listed
     assert "link" not in listed
@@ -66,7 +66,7 @@
 
 
 def logged_events() -> Iterator[str]:
-    """Yield the name of every event that the source of the program logs."""
+    """Yield the name of every event that the program's source logs."""
     for path in (ROOT / "wheatstile").rglob("*.py"):
         for node in ast.walk(ast.parse(path.read_text())):
             if isinstance(node, ast.Call) and isinstance(node.func, ast.Attribute) and node.args:
@@ -74,7 +74,7 @@
 
 
 def event_of_call(call: ast.Call, function: ast.Attribute) -> Iterator[str]:
-    """Yield the event if this is a call of the logger. The name of the event has to be a constant."""
+    """Yield the event name if this is a call of the logger. The name must be a string constant."""
     is_logger = isinstance(function.value, ast.Name) and function.value.id == LOGGER_NAME
     if is_logger and function.attr in LOG_METHODS:
         event = ast.literal_eval(call.args[0])
--- a/tests/cli/test_descriptions_command.py
+++ b/tests/cli/test_descriptions_command.py
@@ -1,4 +1,4 @@
-"""The commands `wheatstile descriptions`, each run as a process."""
+"""`wheatstile descriptions` as a process: descriptions are checked, matched, listed, compared and drawn."""
 
 from __future__ import annotations
 
@@ -26,7 +26,8 @@
 def descriptions(folder: Path) -> None:
     """Write three descriptions.
 
-    `old.yaml` has an unsafe operation and another path than `new.yaml`; `typo.yaml` has an unknown class.
+    Compared with `new.yaml`, `old.yaml` declares one operation unsafe and renames a path. `typo.yaml` names
+    an unknown class.
     """
     old = SHOP.replace("tags: [t]", "x-wheatstile-repeat: unsafe").replace("/mine:", "/x:")
     (folder / "old.yaml").write_text(old)
@@ -46,7 +47,7 @@
     assert 'typo.yaml:6: /paths/~1orders~1{id}/get/x-wheatstile-class: the class "caht"' in result.errors
 
 
-def test_match_reports_the_route_that_applies_and_less_specific_ones() -> None:
+def test_match_lists_the_matching_route_before_less_specific_ones() -> None:
     result = run_command("descriptions", "match", "new.yaml", "GET", "/orders/mine")
     assert [line.split()[:3] for line in result.output.splitlines()[1:]] == [
         ["takes", "GET", "/orders/mine"],
@@ -54,18 +55,18 @@
     ]
 
 
-def test_match_rejects_a_path_without_a_route() -> None:
+def test_match_of_a_path_without_a_route_is_rejected() -> None:
     assert run_command("descriptions", "match", "new.yaml", "GET", "/nowhere").status == 1
 
 
-def test_routes_are_listed_as_json() -> None:
+def test_routes_lists_every_route_as_json() -> None:
     result = run_command("descriptions", "routes", "new.yaml", "--json")
     assert len(json.loads(result.output)) == 2
 
 
 @pytest.fixture
 def override(folder: Path) -> tuple[str, ...]:
-    """Write an operator's file that overrides the class as unsafe. Return the options that name it."""
+    """Write an operator's file that declares the class unsafe. Return the options that pass it."""
     section = {"classes": {"chat": {"repeat": "unsafe"}}}
     (folder / "op.json").write_text(json.dumps({"descriptions": section}))
     return ("--file", "op.json", *CONFIG)
@@ -80,7 +81,7 @@
 def test_diff_that_tightens_succeeds(override: tuple[str, ...]) -> None:
     result = run_command("descriptions", "diff", "new.yaml", "old.yaml", *override)
     assert result.status == 0
-    assert "GET /orders/{id}: ceases to be repeatable" in result.output
+    assert "GET /orders/{id}: is no longer repeatable" in result.output
     assert "/orders/mine: removed" in result.output
 
 
--- a/tests/cli/test_servers_command.py
+++ b/tests/cli/test_servers_command.py
@@ -34,7 +34,7 @@
     assert "link-2    removed" in run_command("servers", "diff", "live.json", "few.json").output
 
 
-def test_accepted_publication_raises_the_generation_and_writes_the_approval(live_file: Path) -> None:
+def test_publish_with_accept_and_bump_raises_the_generation_and_writes_the_approval(live_file: Path) -> None:
     result = run_command("servers", "publish", "few.json", "live.json", "--accept", "--bump")
 
     assert result.status == 0
@@ -50,16 +50,16 @@
     assert run_command("servers", "accept", "new.json").status == 0
 
 
-def test_explain_prints_the_source_in_force_and_the_reason() -> None:
+def test_explain_prints_the_active_source_and_the_reason() -> None:
     member = {"id": "link-1", "host_port": "127.0.0.1:9001", "locality": "home", "phase": "draining"}
     answer = {"revision": 1, "complete": True, "members": [member]}
     Path("discovery.json").write_text(json.dumps(answer))
     explain = ("servers", "explain", "new.json", "--discovery", "discovery.json")
 
-    assert "discovery holds: discovery answers" in run_command(*explain).output
+    assert "active source: discovery; discovery answers" in run_command(*explain).output
     silent = run_command(*explain, "--silent-s", "11")
     assert silent.status == 0
-    assert "file holds: discovery has told nothing for 11.0 s" in silent.output
+    assert "active source: file; discovery has told nothing for 11.0 s" in silent.output
     assert re.search(r"link-1 .* draining +file; discovery tells it to drain", silent.output)
 
 
--- a/wheatstile/__init__.py
+++ b/wheatstile/__init__.py
@@ -1,4 +1,4 @@
-"""Decisions of a balancer for long-lived connections."""
+"""A load balancer for long-lived connections. This package exports its decision module, `Balancer`."""
 
 from wheatstile.decisions import Balancer
 
--- a/wheatstile/__main__.py
+++ b/wheatstile/__main__.py
@@ -1,4 +1,4 @@
-"""Entry point of `python -m wheatstile`: runs the balancer without arguments, else the command line."""
+"""Entry point of `python -m wheatstile`: runs the command line, or the balancer if there are no arguments."""
 
 import sys
 
--- a/wheatstile/cli/__init__.py
+++ b/wheatstile/cli/__init__.py
@@ -18,14 +18,14 @@
     "store": "wheatstile.cli.store:command",
 }
 COMMAND_ALIASES = {"link": "fault-proxy"}
-"""Former names of commands, which still work but are not listed."""
+"""Former names of commands, which still work but are not listed in the help."""
 
 
 @click.group(cls=LazyGroup, modules=COMMAND_MODULES, aliases=COMMAND_ALIASES, invoke_without_command=True)
 @click.version_option(__version__, prog_name="wheatstile")
 @click.pass_context
 def group(context: click.Context) -> None:
-    """Balance long-lived connections. Without a command, serve with the configuration in RELAY_*."""
+    """Balance long-lived connections. Without a command, serve as configured by the RELAY_* variables."""
     if context.invoked_subcommand is None:
         from wheatstile.process.main import main as serve
 
@@ -33,7 +33,7 @@
 
 
 def main() -> int:
-    """Run the command line, and return the exit status, which is one of `ExitStatus` or 2 for wrong usage."""
+    """Run the command line, and return the exit status: an `ExitStatus`, or 2 for a usage error."""
     try:
         status = group.main(prog_name="wheatstile", standalone_mode=False)
     except click.ClickException as error:
--- a/wheatstile/cli/check.py
+++ b/wheatstile/cli/check.py
@@ -22,10 +22,10 @@
 
 @dataclass
 class Report:
-    """The result of the checks."""
+    """The results of the checks."""
 
     reasons: list[str] = field(default_factory=list)  # reasons to reject the file
-    unchecked: list[str] = field(default_factory=list)  # checks that were not possible
+    skipped_checks: list[str] = field(default_factory=list)  # checks that were not performed, and why
 
 
 @click.command("check")
@@ -47,9 +47,9 @@
     _check_descriptions(operator_file, platform, report)
     if report.reasons:
         return reject(report.reasons)
-    click.echo(f"{file}: holds")
-    for subject in report.unchecked:
-        click.echo(f"not checked: {subject}")
+    click.echo(f"{file}: valid")
+    for skipped_check in report.skipped_checks:
+        click.echo(f"not checked: {skipped_check}")
     return ExitStatus.OK
 
 
@@ -60,8 +60,8 @@
         report.reasons.append(str(error))
         return None
     if platform is None:
-        report.unchecked.append(
-            "against the platform's settings: neither --config nor RELAY_CONFIG names them"
+        report.skipped_checks.append(
+            "consistency with the platform's settings, because neither --config nor RELAY_CONFIG is set"
         )
     return platform
 
@@ -70,47 +70,47 @@
     section = operator_file.settings.servers
     if not section.file:
         return
-    _check_state_folder(operator_file, report)
+    _check_state_directory(operator_file, report)
     path = operator_file.near(section.file)
     if not path.exists():
-        report.reasons.append(_located(operator_file, "/servers/file", f"there is no {path}"))
+        report.reasons.append(_format_violation(operator_file, "/servers/file", f"file not found: {path}"))
         return
     try:
-        found = read_endpoint_file(str(path), EndpointFileRules.from_settings(section))
+        endpoint_file = read_endpoint_file(str(path), EndpointFileRules.from_settings(section))
     except ConfigurationError as error:
         report.reasons += error.lines()
         return
     if platform:
-        _check_against_platform(path, found, section, platform, report)
+        _check_against_platform(path, endpoint_file, section, platform, report)
 
 
-def _check_state_folder(operator_file: OperatorFile, report: Report) -> None:
+def _check_state_directory(operator_file: OperatorFile, report: Report) -> None:
     state_dir = operator_file.settings.servers.state_dir
     if not state_dir:
         return
-    folder = operator_file.near(state_dir)
-    if not (folder.is_dir() and os.access(folder, os.W_OK)):
-        reason = f"{folder} is no folder that can be written"
-        report.reasons.append(_located(operator_file, "/servers/state_dir", reason))
+    directory = operator_file.near(state_dir)
+    if not (directory.is_dir() and os.access(directory, os.W_OK)):
+        reason = f"{directory} is not a writable directory"
+        report.reasons.append(_format_violation(operator_file, "/servers/state_dir", reason))
 
 
 def _check_against_platform(
-    path: Path, found: EndpointFile, section: Servers, platform: Config, report: Report
+    path: Path, endpoint_file: EndpointFile, section: Servers, platform: Config, report: Report
 ) -> None:
     """Check the endpoint file against the servers that the platform's file lists."""
     ready = [endpoint for endpoint in platform.known.endpoints if endpoint.state == api.EndpointState.READY]
     sites = tuple(sorted({endpoint.zone for endpoint in ready} - {""}))
-    # In the other modes, the endpoint file does not replace the platform's servers at the start.
+    # In the other modes, the endpoint file does not replace the platform's servers when the balancer starts.
     is_override = MergeMode(section.mode) is MergeMode.OVERRIDE
-    replaced = frozenset(endpoint.name for endpoint in ready) if is_override else frozenset()
-    active = ActiveEndpoints(None, sites, replaced)
-    for reason in rejection_reasons(found, active, EndpointFileRules.from_settings(section)):
+    replaced_names = frozenset(endpoint.name for endpoint in ready) if is_override else frozenset()
+    active = ActiveEndpoints(None, sites, replaced_names)
+    for reason in rejection_reasons(endpoint_file, active, EndpointFileRules.from_settings(section)):
         report.reasons.append(f"{path}:1: /: {reason}")
     own_zone = platform.settings.zone
-    if not any(resolved.endpoint.zone == own_zone for resolved in found.servers.values()):
-        report.unchecked.append(
-            f'whether anybody else serves this balancer\'s own site "{own_zone}": '
-            "the file names no server there"
+    if not any(resolved.endpoint.zone == own_zone for resolved in endpoint_file.servers.values()):
+        report.skipped_checks.append(
+            f'whether another source lists servers of this balancer\'s own site "{own_zone}", '
+            "because the endpoint file lists none"
         )
 
 
@@ -127,11 +127,11 @@
     except InvalidDescriptionError as error:
         report.reasons += error.lines()
         return
-    report.unchecked += [f"to the end: {warning}" for warning in compiled.warnings]
+    report.skipped_checks += [f"consistency of the descriptions: {warning}" for warning in compiled.warnings]
 
 
-def _located(operator_file: OperatorFile, pointer: str, reason: str) -> str:
-    """Return the line that reports a violation of the operator's file at this JSON pointer."""
+def _format_violation(operator_file: OperatorFile, pointer: str, reason: str) -> str:
+    """Format a violation of the operator's file at this JSON pointer, with its line number."""
     data = Path(operator_file.path).read_bytes()
     text, _ = load(str(operator_file.path), data, len(data))
     violations = locate(text, [Violation(pointer, reason)])
--- a/wheatstile/cli/configuration.py
+++ b/wheatstile/cli/configuration.py
@@ -1,4 +1,4 @@
-"""Reads the operator's file and the platform's file for commands, both of which are optional."""
+"""Reads the two optional configuration files of commands: the operator's and the platform's."""
 
 import os
 
@@ -22,7 +22,7 @@
 
 
 def read_platform_config(path: str | None) -> Config | None:
-    """Return the configuration at `path`, or else the one that RELAY_CONFIG names, or None without both.
+    """Return the platform's configuration at `path`, or else at RELAY_CONFIG; None if neither is set.
 
     Raises ConfigError.
     """
--- a/wheatstile/cli/description_changes.py
+++ b/wheatstile/cli/description_changes.py
@@ -1,4 +1,4 @@
-"""Compares two sets of compiled descriptions, and finds the changes that allow more retries."""
+"""Compares two sets of compiled descriptions, and marks the changes that allow more retries."""
 
 from collections.abc import Iterator
 
@@ -24,52 +24,52 @@
 
 def description_changes(old: CompiledDescriptions, new: CompiledDescriptions) -> Iterator[DescriptionChange]:
     """Yield every change of a route, by action and template, then every change of a class, by name."""
-    before = {(route.operation.action, route.template): route for route in old.routes}
-    after = {(route.operation.action, route.template): route for route in new.routes}
-    for key in sorted(before.keys() | after.keys()):
-        yield from _route_changes(" ".join(key), before.get(key), after.get(key))
+    old_routes = {(route.operation.action, route.template): route for route in old.routes}
+    new_routes = {(route.operation.action, route.template): route for route in new.routes}
+    for key in sorted(old_routes.keys() | new_routes.keys()):
+        yield from _route_changes(" ".join(key), old_routes.get(key), new_routes.get(key))
     for name in sorted(old.classes.keys() & new.classes.keys()):
-        was = old.classes[name].idempotency
-        now = new.classes[name].idempotency
-        if was != now:
-            change = f"class {name}: {_keyword(was)} -> {_keyword(now)}"
-            yield DescriptionChange(change, is_stricter(was, now))
-
-
-def _route_changes(name: str, was: Route | None, now: Route | None) -> Iterator[DescriptionChange]:
-    if was is None and now:
-        idempotency = _keyword(now.retry_safety.idempotency)
-        yield DescriptionChange(f"{name}: added, {idempotency}, class {_class_name(now)}")
-    elif now is None and was:
+        old_idempotency = old.classes[name].idempotency
+        new_idempotency = new.classes[name].idempotency
+        if old_idempotency != new_idempotency:
+            change = f"class {name}: {_keyword(old_idempotency)} -> {_keyword(new_idempotency)}"
+            yield DescriptionChange(change, is_stricter(old_idempotency, new_idempotency))
+
+
+def _route_changes(name: str, old: Route | None, new: Route | None) -> Iterator[DescriptionChange]:
+    if old is None and new:
+        idempotency = _keyword(new.retry_safety.idempotency)
+        yield DescriptionChange(f"{name}: added, {idempotency}, class {_class_name(new)}")
+    elif new is None and old:
         yield DescriptionChange(f"{name}: removed")
-    elif was and now:
-        if was.service_class != now.service_class:
-            yield DescriptionChange(f"{name}: class {_class_name(was)} -> {_class_name(now)}")
-        yield from _retry_changes(name, was.retry_safety, now.retry_safety)
-
-
-def _retry_changes(name: str, was: RetrySafety, now: RetrySafety) -> Iterator[DescriptionChange]:
-    if was.idempotency != now.idempotency:
-        loosens = is_stricter(was.idempotency, now.idempotency)
-        effect = "becomes repeatable" if loosens else "ceases to be repeatable"
-        keywords = f"{_keyword(was.idempotency)} -> {_keyword(now.idempotency)}"
-        origin = f"({now.reason}, {now.location.short()})"
+    elif old and new:
+        if old.service_class != new.service_class:
+            yield DescriptionChange(f"{name}: class {_class_name(old)} -> {_class_name(new)}")
+        yield from _retry_changes(name, old.retry_safety, new.retry_safety)
+
+
+def _retry_changes(name: str, old: RetrySafety, new: RetrySafety) -> Iterator[DescriptionChange]:
+    if old.idempotency != new.idempotency:
+        loosens = is_stricter(old.idempotency, new.idempotency)
+        effect = "becomes repeatable" if loosens else "is no longer repeatable"
+        keywords = f"{_keyword(old.idempotency)} -> {_keyword(new.idempotency)}"
+        origin = f"({new.reason}, {new.location.short()})"
         yield DescriptionChange(f"{name}: {effect}, {keywords} {origin}", loosens)
-    elif was.idempotency is Idempotency.IDEMPOTENCY_KEY:
-        yield from _deduplication_changes(name, was, now)
+    elif old.idempotency is Idempotency.IDEMPOTENCY_KEY:
+        yield from _deduplication_changes(name, old, new)
 
 
-def _deduplication_changes(name: str, was: RetrySafety, now: RetrySafety) -> Iterator[DescriptionChange]:
-    if was.deduplication_scope != now.deduplication_scope:
-        old_scope = SCOPE_KEYWORDS.keyword(was.deduplication_scope)
-        new_scope = SCOPE_KEYWORDS.keyword(now.deduplication_scope)
-        loosens = is_narrower(was.deduplication_scope, now.deduplication_scope)
+def _deduplication_changes(name: str, old: RetrySafety, new: RetrySafety) -> Iterator[DescriptionChange]:
+    if old.deduplication_scope != new.deduplication_scope:
+        old_scope = SCOPE_KEYWORDS.keyword(old.deduplication_scope)
+        new_scope = SCOPE_KEYWORDS.keyword(new.deduplication_scope)
+        loosens = is_narrower(old.deduplication_scope, new.deduplication_scope)
         yield DescriptionChange(f"{name}: scope {old_scope} -> {new_scope}", loosens)
-    if was.deduplication_window_us != now.deduplication_window_us:
-        old_window = seconds_text(was.deduplication_window_us)
-        new_window = seconds_text(now.deduplication_window_us)
-        loosens = now.deduplication_window_us > was.deduplication_window_us
-        yield DescriptionChange(f"{name}: known for {old_window} -> {new_window}", loosens)
+    if old.deduplication_window_us != new.deduplication_window_us:
+        old_window = seconds_text(old.deduplication_window_us)
+        new_window = seconds_text(new.deduplication_window_us)
+        loosens = new.deduplication_window_us > old.deduplication_window_us
+        yield DescriptionChange(f"{name}: deduplication window {old_window} -> {new_window}", loosens)
 
 
 def _class_name(route: Route) -> str:
--- a/wheatstile/cli/description_rows.py
+++ b/wheatstile/cli/description_rows.py
@@ -1,6 +1,6 @@
 """Rows of the tables and the JSON that `wheatstile descriptions` prints.
 
-The fields have the names of the columns of the tables and of the keys of the JSON, unless they are renamed.
+A field has the name of its table column and of its JSON key, except where `name` or `rename` replaces it.
 """
 
 from collections.abc import Iterable
@@ -20,7 +20,7 @@
 
 
 class RouteRow(msgspec.Struct, rename={"service_class": "class", "location": "place"}):
-    """A route. Tables show some of its fields, JSON all of them."""
+    """A route. Tables show some of its fields, JSON shows all."""
 
     action: str
     route: str
@@ -57,6 +57,6 @@
         )
 
     def cells(self, columns: Iterable[str]) -> list[str]:
-        """Return the values of these columns."""
+        """Return the values of these columns, in this order."""
         values = msgspec.to_builtins(self)
         return [values[column] for column in columns]
--- a/wheatstile/cli/description_sets.py
+++ b/wheatstile/cli/description_sets.py
@@ -1,4 +1,4 @@
-"""Compiles descriptions for commands, by the same rules as the balancer."""
+"""Compiles descriptions for commands by the same rules as the balancer."""
 
 from collections.abc import Iterable
 from pathlib import Path
@@ -19,7 +19,7 @@
 ) -> Compilation:
     """Return the compiled descriptions at these paths.
 
-    platform: the platform's configuration; None if it is not known, so that class names are not checked.
+    platform: the platform's configuration; None if it is not known, which skips the check of class names.
     strict: treat warnings as conflicts.
     Raises InvalidDescriptionError with every conflict, and ConfigurationError for the operator's file.
     """
--- a/wheatstile/cli/descriptions.py
+++ b/wheatstile/cli/descriptions.py
@@ -1,4 +1,4 @@
-"""The commands `wheatstile descriptions`, which check, list, match, compare and draw descriptions."""
+"""`wheatstile descriptions`: checks, lists, matches, compares and draws API descriptions."""
 
 from collections.abc import Callable, Iterable
 
@@ -33,15 +33,15 @@
 
 
 def _context_options(function: Callable[..., ExitStatus]) -> Callable[..., ExitStatus]:
-    """Add the options `--file` and `--config`, by which descriptions are checked."""
+    """Add the options `--file` and `--config`, which name the files to check descriptions against."""
     return _operator_file_option(platform_config_option(function))
 
 
 class DescriptionGroup(ConfigurationGroup):
-    """A command group that prints conflicts in descriptions to standard error, with exit status 1."""
+    """Reports conflicts in descriptions for all its commands: reasons on standard error, exit status 1."""
 
     def invoke(self, ctx: click.Context) -> object:
-        """Run the command that was named. Return its exit status."""
+        """Run the called command, and return its exit status."""
         try:
             return super().invoke(ctx)
         except InvalidDescriptionError as error:
@@ -60,7 +60,7 @@
 @command.command()
 @_paths_argument
 @_context_options
-@click.option("--strict", is_flag=True, help="Warnings are conflicts.")
+@click.option("--strict", is_flag=True, help="Treat warnings as conflicts.")
 def check(paths: tuple[str, ...], operator_file: str | None, config: str | None, strict: bool) -> ExitStatus:
     """Check descriptions against their formats, each other, the operator's rules and the classes."""
     rules = read_operator_file(operator_file)
@@ -70,15 +70,13 @@
     for warning in compiled.warnings:
         click.echo(str(warning), err=True)
     click.echo(
-        f"holds: {len(compilation.source.descriptions)} descriptions, {len(compiled.routes)} routes, "
+        f"valid: {len(compilation.source.descriptions)} descriptions, {len(compiled.routes)} routes, "
         f"{len(compiled.warnings)} warnings"
     )
     for name, policy in sorted(compiled.classes.items()):
         click.echo(f"class {name}: {_class_text(policy)}")
     if platform is None:
-        click.echo(
-            "not checked: against the platform's classes: neither --config nor RELAY_CONFIG names them"
-        )
+        click.echo("not checked: the platform's classes, because neither --config nor RELAY_CONFIG is set")
     return ExitStatus.OK
 
 
@@ -88,13 +86,13 @@
         return idempotency
     window = seconds_text(policy.deduplication_window_us)
     scope = SCOPE_KEYWORDS.keyword(policy.deduplication_scope)
-    return f"{idempotency}, known for {window}, scope {scope}"
+    return f"{idempotency}, deduplication window {window}, scope {scope}"
 
 
 @command.command()
 @_paths_argument
 @_context_options
-@click.option("--json", "as_json", is_flag=True, help="For programs, with messages and queue groups.")
+@click.option("--json", "as_json", is_flag=True, help="Print JSON, with messages and queue groups.")
 def routes(
     paths: tuple[str, ...], operator_file: str | None, config: str | None, as_json: bool
 ) -> ExitStatus:
@@ -113,18 +111,18 @@
 @click.argument("arguments", nargs=-1, required=True, metavar="PATHS... ACTION TEXT")
 @_context_options
 def match(arguments: tuple[str, ...], operator_file: str | None, config: str | None) -> ExitStatus:
-    """Show the route of ACTION TEXT (GET /orders/17, receive orders.17), and less specific ones."""
+    """Show the route that matches ACTION TEXT (GET /orders/17, receive orders.17), and less specific ones."""
     if len(arguments) < MIN_MATCH_ARGUMENTS:
-        raise click.UsageError("paths, an action and a path or subject are needed")
+        raise click.UsageError("missing argument: PATHS, ACTION and TEXT (a path or subject) are required")
     *paths, action, text = arguments
     compiled = _compile(paths, operator_file, config).descriptions
     if action not in MESSAGE_ACTIONS:
-        action = action.upper()  # methods of HTTP may be given in lower case
-    found = compiled.match(action, text)
-    if not found:
+        action = action.upper()  # HTTP methods may be given in lower case
+    matching_routes = compiled.match(action, text)
+    if not matching_routes:
         return reject([f"{action} {text}: no route matches"])
     rows = []
-    for index, route in enumerate(found):
+    for index, route in enumerate(matching_routes):
         rank = "takes" if index == 0 else "beats"
         rows.append([rank, *RouteRow.from_route(route).cells(MATCH_COLUMNS[1:])])
     print_table(rows, MATCH_COLUMNS)
@@ -156,7 +154,7 @@
 @_context_options
 @click.option("--out", required=True, metavar="FILE.svg")
 def graph(paths: tuple[str, ...], operator_file: str | None, config: str | None, out: str) -> ExitStatus:
-    """Draw a picture of services, routes and classes."""
+    """Draw a diagram of services, routes and classes as SVG."""
     from wheatstile.descriptions.graph import draw
 
     compilation = _compile(paths, operator_file, config)
--- a/wheatstile/cli/endpoint_changes.py
+++ b/wheatstile/cli/endpoint_changes.py
@@ -1,4 +1,4 @@
-"""The differences between two endpoint files, as `servers diff` prints them."""
+"""Compares two endpoint files for `servers diff`."""
 
 import enum
 from collections.abc import Iterator
@@ -10,7 +10,7 @@
 from wheatstile.resolvers.endpoint_file import EndpointFile
 
 EMPTY_VALUES = ("", 0)
-"""Values of a server that a table does not show."""
+"""Values of a server that are omitted from tables."""
 
 
 class ServerRow(msgspec.Struct):
@@ -36,7 +36,7 @@
 
 
 class ChangeKind(enum.StrEnum):
-    """The kind of a difference; the values are printed."""
+    """The kind of a change; the values are printed."""
 
     ADDED = "added"
     REMOVED = "removed"
@@ -44,7 +44,7 @@
 
 
 class ServerChange(msgspec.Struct, omit_defaults=True):
-    """The difference in one server. If it is CHANGED, only the values that differ are included."""
+    """The change of one server. If it is CHANGED, only the values that differ are included."""
 
     id: str
     change: ChangeKind
@@ -53,23 +53,23 @@
 
 
 def server_changes(old: EndpointFile, new: EndpointFile) -> Iterator[ServerChange]:
-    """Yield the differences between two files, sorted by the servers' names."""
+    """Yield the changes from `old` to `new`, sorted by the servers' names."""
     for name in sorted(old.servers.keys() | new.servers.keys()):
         before = old.servers.get(name)
         after = new.servers.get(name)
         if before is None and after:
-            yield ServerChange(name, ChangeKind.ADDED, after=_values(after))
+            yield ServerChange(name, ChangeKind.ADDED, after=_row_values(after))
         elif after is None and before:
-            yield ServerChange(name, ChangeKind.REMOVED, before=_values(before))
+            yield ServerChange(name, ChangeKind.REMOVED, before=_row_values(before))
         elif before and after and before != after:
-            yield _changed(name, _values(before), _values(after))
+            yield _changed_server(name, _row_values(before), _row_values(after))
 
 
-def _values(resolved: ResolvedEndpoint) -> dict[str, object]:
+def _row_values(resolved: ResolvedEndpoint) -> dict[str, object]:
     return msgspec.structs.asdict(ServerRow.from_endpoint(resolved))
 
 
-def _changed(name: str, before: dict[str, object], after: dict[str, object]) -> ServerChange:
+def _changed_server(name: str, before: dict[str, object], after: dict[str, object]) -> ServerChange:
     keys = [key for key in before if before[key] != after[key]]
     return ServerChange(
         name,
@@ -79,7 +79,7 @@
     )
 
 
-def values_text(values: dict[str, object] | None) -> str:
-    """Return the values that are not empty as `key=value`, separated by spaces."""
+def format_values(values: dict[str, object] | None) -> str:
+    """Format the values that are not empty as `key=value`, separated by spaces."""
     shown = [f"{key}={value}" for key, value in (values or {}).items() if value not in EMPTY_VALUES]
     return " ".join(shown)
--- a/wheatstile/cli/endpoint_explanation.py
+++ b/wheatstile/cli/endpoint_explanation.py
@@ -1,4 +1,4 @@
-"""Explains which endpoint list a balancer would use, with the functions that the balancer itself uses."""
+"""Computes the endpoint list that a balancer would use, by the balancer's own functions."""
 
 from collections.abc import Iterator
 from pathlib import Path
@@ -17,12 +17,12 @@
 from wheatstile.resolvers.source_selection import MICROSECONDS_PER_SECOND, MergePolicy, select_source
 
 EXPLANATION_COLUMNS = ("server", "address", "site", "weight", "state", "reason")
-SHOWN_VALUES = len(EXPLANATION_COLUMNS) - 2
+SHOWN_VALUE_COUNT = len(EXPLANATION_COLUMNS) - 2
 """Number of columns between the server's name and the reason."""
 
 
 class Explanation:
-    """The endpoint list that results from an endpoint file and an answer of discovery.
+    """The endpoint list that results from an endpoint file and an answer from discovery.
 
     Discovery has been silent for `silent_s` seconds since that answer.
     """
@@ -38,13 +38,13 @@
         self._merged = merge_endpoints(now_us, self.selection, discovery, file.servers, {})
 
     def rows(self) -> Iterator[list[str]]:
-        """Yield EXPLANATION_COLUMNS for each server of the list, then for those that are gone."""
+        """Yield EXPLANATION_COLUMNS for each server of the list, then for each server that is gone."""
         for name, merged in sorted(self._merged.items()):
-            values = msgspec.structs.astuple(ServerRow.from_endpoint(merged.resolved))[:SHOWN_VALUES]
+            values = msgspec.structs.astuple(ServerRow.from_endpoint(merged.resolved))[:SHOWN_VALUE_COUNT]
             yield [name, *map(str, values), merged.reason]
         for name in self._discovery.gone:
             if name in self._file.servers:
-                yield [name, "", "", "", api.EndpointState.GONE.value, "discovery tells it is gone"]
+                yield [name, "", "", "", api.EndpointState.GONE.value, "discovery reports it as gone"]
 
 
 def read_discovery_answer(path: str, max_bytes: int) -> DiscoveryState:
@@ -54,7 +54,7 @@
     try:
         snapshot = EndpointSnapshot.read(value)
     except (ValueError, KeyError, TypeError, OSError) as error:
-        violation = Violation("", f"is not in discovery's form: {error!r}")
+        violation = Violation("", f"is not in discovery's JSON format: {error!r}")
         raise ConfigurationError(path, [violation]) from None
     entries = {
         endpoint.name: ResolvedEndpoint(endpoint, snapshot.addresses[endpoint.name])
--- a/wheatstile/cli/endpoint_files.py
+++ b/wheatstile/cli/endpoint_files.py
@@ -38,13 +38,13 @@
     rules: EndpointFileRules,
     accepted_digests: frozenset[str] = frozenset(),
 ) -> list[str]:
-    """Return the reasons why a balancer with the list `active` would reject `new`; empty if it would not."""
+    """Return the reasons why a balancer with the list `active` would reject `new`; empty if it accepts it."""
     evaluation = evaluate(new, active, None, accepted_digests, rules)
     return list(evaluation.reasons) if evaluation.is_blocked else []
 
 
-def sealed_text(value: JsonObject) -> bytes:
-    """Return the sealed document, with one line for each server to make diffs readable."""
+def sealed_document(value: JsonObject) -> bytes:
+    """Return the sealed document, with one line per server so that diffs are readable."""
     rows = ",\n  ".join(json.dumps(row, ensure_ascii=False) for row in value[SERVERS_KEY])
     members = [f'"{SERVERS_KEY}": [\n  {rows}\n ]']
     for key, element in value.items():
@@ -63,5 +63,5 @@
 
 
 def write_approval(path: Path, digest: str) -> None:
-    """Write the approval of the content with this digest of the file at `path`. Raises ConfigurationError."""
+    """Approve the content with this digest for the file at `path`. Raises ConfigurationError."""
     write_file(approval_path(path), json.dumps({"digest": digest}).encode())
--- a/wheatstile/cli/fault_proxy.py
+++ b/wheatstile/cli/fault_proxy.py
@@ -10,7 +10,9 @@
 @click.command("fault-proxy")
 @click.argument("routes", nargs=-1, required=True)
 @click.option(
-    "--frames", is_flag=True, help="Streams are frames with a 4-byte length prefix: enables lose, repeat."
+    "--frames",
+    is_flag=True,
+    help="Split streams into frames with a 4-byte length prefix; required by lose, repeat.",
 )
 @click.option(
     "--control", "control_port", type=click.IntRange(0, 65535), help="Port for commands (0: any free port)."
@@ -19,9 +21,9 @@
     "--script",
     "script_file",
     type=click.Path(exists=True, dir_okay=False, path_type=Path),
-    help="File of commands, one in each line, after `at SECONDS`.",
+    help="Script file with one command per line, each after `at SECONDS`.",
 )
-@click.option("--seed", type=int, default=0, help="Seeds the draws of loss, duplication and jitter.")
+@click.option("--seed", type=int, default=0, help="Seed for random loss, duplication and jitter.")
 @click.pass_context
 def command(
     context: click.Context,
@@ -33,7 +35,7 @@
 ) -> int:
     """Relay each ROUTE (SRC:DST:LISTEN:TARGET, on 127.0.0.1) until standard input ends.
 
-    Commands, one in each line of standard input: cut A B, isolate A, delay A B SECONDS [JITTER],
+    Commands, one per line of standard input: cut A B, isolate A, delay A B SECONDS [JITTER],
     rate A B BYTES, lose A B SHARE, repeat A B SHARE, reset A B, heal [A B]. `*` matches all names.
     """
     from wheatstile.fault_proxy.commands import FRAME_COMMANDS, parse_script
--- a/wheatstile/cli/groups.py
+++ b/wheatstile/cli/groups.py
@@ -1,4 +1,4 @@
-"""Click groups: one imports its commands lazily, the other reports rejected configurations."""
+"""Click command groups: lazy import of commands, and reporting of rejected configurations."""
 
 from collections.abc import Mapping
 from importlib import import_module
@@ -9,7 +9,7 @@
 
 
 class LazyGroup(click.Group):
-    """Imports the module of a command when the command is called, so that `serve` imports no other."""
+    """Imports the module of a command when the command is called, so that `serve` imports only its own."""
 
     def __init__(
         self,
@@ -28,7 +28,7 @@
         self._modules = modules
         self._aliases = aliases or {}
 
-    def list_commands(self, ctx: click.Context) -> list[str]:  # noqa: ARG002  the signature of click
+    def list_commands(self, ctx: click.Context) -> list[str]:  # noqa: ARG002  signature required by click
         """Return the sorted names of the commands, without aliases."""
         return sorted(self._modules)
 
--- a/wheatstile/cli/output.py
+++ b/wheatstile/cli/output.py
@@ -1,4 +1,4 @@
-"""Output of commands: tables for people, JSON for programs."""
+"""Prints the output of commands: tables for people, JSON for programs."""
 
 import enum
 import json
@@ -18,7 +18,7 @@
 def print_table(
     rows: Iterable[Sequence[object]], headers: Sequence[str] = (), style: TableStyle = TableStyle.PLAIN
 ) -> None:
-    """Print a table. Numbers are converted with `str`."""
+    """Print a table. Numbers are formatted by `str`, not by tabulate."""
     click.echo(tabulate(list(rows), headers, tablefmt=style, disable_numparse=True))
 
 
--- a/wheatstile/cli/schema.py
+++ b/wheatstile/cli/schema.py
@@ -10,6 +10,6 @@
 
 @click.command("schema")
 def command() -> ExitStatus:
-    """Write the JSON Schema of the operator's file to standard output."""
+    """Print the JSON Schema of the operator's file."""
     click.echo(json.dumps(schema(), indent=2))
     return ExitStatus.OK
--- a/wheatstile/cli/serve.py
+++ b/wheatstile/cli/serve.py
@@ -16,5 +16,5 @@
 @click.option("--log-format", type=LOG_FORMATS, help="Overrides the operator's file.")
 @click.option("--log-level", type=LOG_LEVELS, help="Overrides the operator's file.")
 def command(file: str | None, log_format: str | None, log_level: str | None) -> int:
-    """Serve until SIGTERM, with the configuration in RELAY_* and the operator's file."""
+    """Serve until SIGTERM, as configured by the RELAY_* variables and the operator's file."""
     return process.main(file, log_format, log_level)
--- a/wheatstile/cli/servers.py
+++ b/wheatstile/cli/servers.py
@@ -6,14 +6,14 @@
 import msgspec
 
 from wheatstile.cli.configuration import read_servers_section
-from wheatstile.cli.endpoint_changes import server_changes, values_text
+from wheatstile.cli.endpoint_changes import format_values, server_changes
 from wheatstile.cli.endpoint_explanation import EXPLANATION_COLUMNS, Explanation, read_discovery_answer
 from wheatstile.cli.endpoint_files import (
     GENERATION_KEY,
     read_endpoint_file,
     read_unsealed,
     rejection_reasons,
-    sealed_text,
+    sealed_document,
     write_approval,
     write_file,
 )
@@ -41,21 +41,21 @@
 
 @command.command()
 @click.argument("file")
-@click.option("--against", metavar="FILE", help="Also check it as a replacement of this file.")
+@click.option("--against", metavar="FILE", help="Also check it as a replacement for this file.")
 @operator_file_option
 def check(file: str, against: str | None, operator_file: str | None) -> ExitStatus:
     """Check FILE, an endpoint file."""
     rules = _rules(operator_file)
-    found = read_endpoint_file(file, rules)
+    endpoint_file = read_endpoint_file(file, rules)
     if against:
         active = ActiveEndpoints.from_file(read_endpoint_file(against, rules))
-        if reasons := rejection_reasons(found, active, rules):
+        if reasons := rejection_reasons(endpoint_file, active, rules):
             return reject(f"{file}:1: /: {reason} (against {against})" for reason in reasons)
-    sealed = "sealed" if found.sealed else "not sealed"
-    ready = f"{len(found.ready_names())} of {len(found.servers)} servers ready"
-    click.echo(f"{file}: holds; {ready}, {sealed}, {found.digest}")
-    if not against and found.sites is None:
-        click.echo("not checked: sites, as the file names none and no --against does")
+    sealed = "sealed" if endpoint_file.sealed else "not sealed"
+    ready = f"{len(endpoint_file.ready_names())} of {len(endpoint_file.servers)} servers ready"
+    click.echo(f"{file}: valid; {ready}, {sealed}, {endpoint_file.digest}")
+    if not against and endpoint_file.sites is None:
+        click.echo("not checked: sites, because the file lists none and --against is not set")
     return ExitStatus.OK
 
 
@@ -67,26 +67,26 @@
 def diff(old: str, new: str, as_json: bool, operator_file: str | None) -> ExitStatus:
     """Print the differences between OLD and NEW."""
     rules = _rules(operator_file)
-    first = read_endpoint_file(old, rules)
-    second = read_endpoint_file(new, rules)
-    changes = list(server_changes(first, second))
+    old_file = read_endpoint_file(old, rules)
+    new_file = read_endpoint_file(new, rules)
+    changes = list(server_changes(old_file, new_file))
     if as_json:
         print_json(
             {
-                "old": {"generation": first.generation, "digest": first.digest},
-                "new": {"generation": second.generation, "digest": second.digest},
+                "old": {"generation": old_file.generation, "digest": old_file.digest},
+                "new": {"generation": new_file.generation, "digest": new_file.digest},
                 "servers": msgspec.to_builtins(changes),
             }
         )
         return ExitStatus.OK
     rows = [
-        [change.id, change.change, values_text(change.before), values_text(change.after)]
+        [change.id, change.change, format_values(change.before), format_values(change.after)]
         for change in changes
     ]
     print_table(rows, ["server", "change", "before", "after"])
     click.echo(
-        f"{len(changes)} of {len(first.servers.keys() | second.servers.keys())} servers; "
-        f"generation {first.generation} -> {second.generation}"
+        f"{len(changes)} of {len(old_file.servers.keys() | new_file.servers.keys())} servers; "
+        f"generation {old_file.generation} -> {new_file.generation}"
     )
     return ExitStatus.OK
 
@@ -97,7 +97,7 @@
 def seal(file: str, operator_file: str | None) -> ExitStatus:
     """Seal FILE in place, so that a damaged copy can be detected."""
     value = read_unsealed(file, _rules(operator_file))
-    write_file(Path(file), sealed_text(value))
+    write_file(Path(file), sealed_document(value))
     click.echo(f"{file}: sealed, {digest_of(value)}")
     return ExitStatus.OK
 
@@ -105,11 +105,11 @@
 @command.command()
 @click.argument("new")
 @click.argument("dest")
-@click.option("--bump", is_flag=True, help="Set the generation to that of DEST plus 1.")
+@click.option("--bump", is_flag=True, help="Set the generation to one more than that of DEST.")
 @click.option("--accept", "accepted", is_flag=True, help="Publish even if it removes too many ready servers.")
 @operator_file_option
 def publish(new: str, dest: str, bump: bool, accepted: bool, operator_file: str | None) -> ExitStatus:
-    """Check NEW, also as a replacement of DEST, seal it, and replace DEST with it atomically."""
+    """Check NEW, also as a replacement for DEST, seal it, and replace DEST with it atomically."""
     rules = _rules(operator_file)
     value = read_unsealed(new, rules)
     destination = Path(dest)
@@ -117,7 +117,7 @@
     if bump:
         current_generation = current.generation if current else None
         value[GENERATION_KEY] = (current_generation or 0) + 1
-    data = sealed_text(value)
+    data = sealed_document(value)
     published = parse_endpoint_file(new, data, rules)
     if current:
         accepted_digests = frozenset([published.digest]) if accepted else frozenset()
@@ -135,30 +135,33 @@
 @click.argument("file")
 @operator_file_option
 def accept(file: str, operator_file: str | None) -> ExitStatus:
-    """Approve the current content of FILE, although it removes too many ready servers.
+    """Approve the current content of FILE even if it removes too many ready servers.
 
-    Balancers that wait for this approval apply it. The approval is for this content only.
+    Balancers that wait for this approval apply the content. The approval is valid for this content only.
     """
-    found = read_endpoint_file(file, _rules(operator_file))
-    write_approval(Path(file), found.digest)
-    click.echo(f"{file}: generation {found.generation}, {found.digest} is accepted")
+    endpoint_file = read_endpoint_file(file, _rules(operator_file))
+    write_approval(Path(file), endpoint_file.digest)
+    click.echo(f"{file}: generation {endpoint_file.generation}, {endpoint_file.digest} is accepted")
     return ExitStatus.OK
 
 
 @command.command()
 @click.argument("file")
 @click.option(
-    "--discovery", metavar="FILE", required=True, help="An answer of discovery, in its JSON format."
+    "--discovery",
+    metavar="FILE",
+    required=True,
+    help="File with an answer from discovery, in its JSON format.",
 )
-@click.option("--silent-s", type=float, default=0.0, help="Seconds since that answer.")
+@click.option("--silent-s", type=float, default=0.0, help="Seconds since discovery gave that answer.")
 @operator_file_option
 def explain(file: str, discovery: str, silent_s: float, operator_file: str | None) -> ExitStatus:
-    """Print which endpoint list a balancer would use, and why each server is in it as it is."""
+    """Print the endpoint list that a balancer would use, with the reason for each server's entry."""
     section = read_servers_section(operator_file)
     rules = EndpointFileRules.from_settings(section)
-    found = read_endpoint_file(file, rules)
-    answered = read_discovery_answer(discovery, rules.max_bytes)
-    explanation = Explanation(found, answered, section, silent_s)
-    click.echo(f"{explanation.selection.source} holds: {explanation.selection.reason}")
+    endpoint_file = read_endpoint_file(file, rules)
+    discovery_state = read_discovery_answer(discovery, rules.max_bytes)
+    explanation = Explanation(endpoint_file, discovery_state, section, silent_s)
+    click.echo(f"active source: {explanation.selection.source}; {explanation.selection.reason}")
     print_table(explanation.rows(), EXPLANATION_COLUMNS)
     return ExitStatus.OK
--- a/wheatstile/cli/store.py
+++ b/wheatstile/cli/store.py
@@ -1,6 +1,6 @@
 """`wheatstile store`: runs a member of the replicated store, reads and changes keys, and manages members.
 
-The commands are in the modules `store_*`, which are imported only when one of their commands is called.
+The commands are defined in the modules `store_*`, each of which is imported when one of its commands runs.
 """
 
 import click
@@ -25,4 +25,4 @@
 
 @click.group("store", cls=LazyGroup, modules=COMMAND_MODULES)
 def command() -> None:
-    """Run a member of the fleet's replicated store, or talk to its members."""
+    """Run a member of the fleet's replicated store, or send requests to its members."""
--- a/wheatstile/cli/store_archive.py
+++ b/wheatstile/cli/store_archive.py
@@ -1,4 +1,4 @@
-"""`wheatstile store backup`, `restore` and `inspect`: the store's state in files."""
+"""`wheatstile store backup`, `restore` and `inspect`: saves, restores and prints the store's state."""
 
 from pathlib import Path
 
@@ -20,7 +20,7 @@
 @click.argument("file", type=click.Path(dir_okay=False, path_type=Path))
 @client_command
 async def backup(client: StoreClient, file: Path) -> ExitStatus:
-    """Write the current state of the whole store to FILE."""
+    """Write a backup of the store's complete current state to FILE."""
     leader = await client.find_leader()
     if leader is None:
         return reject([NO_LEADER])
@@ -34,7 +34,7 @@
 @click.argument("file", type=click.Path(exists=True, dir_okay=False, path_type=Path))
 @click.option("--dir", "directory", type=click.Path(file_okay=False, path_type=Path), required=True)
 @click.option("--cluster", required=True, help="Name of the new cluster; must differ from the old one.")
-@click.option("--name", default="store", show_default=True, help="Name of its first member.")
+@click.option("--name", default="store", show_default=True, help="Name of the new cluster's first member.")
 def restore(file: Path, directory: Path, cluster: str, name: str) -> ExitStatus:
     """Create the directory of the first member of a new cluster from the backup in FILE."""
     try:
@@ -49,13 +49,13 @@
 @click.argument("directory", type=click.Path(exists=True, file_okay=False, path_type=Path))
 @json_option
 def inspect(directory: Path, as_json: bool) -> ExitStatus:
-    """Print the content of a member's directory, without changing it. The member need not run."""
+    """Print the content of a member's directory without changing it. The member need not be running."""
     try:
-        found = msgspec.to_builtins(inspect_directory(directory))
+        content = msgspec.to_builtins(inspect_directory(directory))
     except (CorruptStorageError, OSError) as error:
         return reject([str(error)])
     if as_json:
-        print_json(found)
+        print_json(content)
     else:
-        print_table(found.items())
+        print_table(content.items())
     return ExitStatus.OK
--- a/wheatstile/cli/store_client.py
+++ b/wheatstile/cli/store_client.py
@@ -1,4 +1,4 @@
-"""The common part of the store's client commands: their options, and the client that they use."""
+"""Shared parts of the store's client commands: their options, and the client that sends their requests."""
 
 import asyncio
 import functools
@@ -15,7 +15,7 @@
 
 
 def parse_ports(context: click.Context, option: click.Parameter, texts: tuple[str, ...]) -> dict[str, int]:
-    """Return the ports by name from the values NAME=PORT of an option. Raises click.BadParameter."""
+    """Parse the NAME=PORT values of an option. Return the ports by name. Raises click.BadParameter."""
     ports: dict[str, int] = {}
     for text in texts:
         name, _, port = text.partition("=")
@@ -46,8 +46,8 @@
 )
 
 
-def client_command(work: Callable[..., Awaitable[ExitStatus]]) -> Callable[..., ExitStatus]:
-    """Return a command function for a coroutine whose first parameter is a client.
+def client_command(coroutine_function: Callable[..., Awaitable[ExitStatus]]) -> Callable[..., ExitStatus]:
+    """Return a command function that calls a coroutine function with a client as first argument.
 
     Adds the options `--member` and `--within`. Exit status 1: the store rejected the request; 4: no member
     answered it. The reason is printed to standard error. An interrupt ends the command with exit status 0.
@@ -55,10 +55,10 @@
 
     @members_option
     @timeout_option
-    @functools.wraps(work)
+    @functools.wraps(coroutine_function)
     def run(members: dict[str, int], timeout_s: float, **arguments: object) -> ExitStatus:
         try:
-            return asyncio.run(_run_with_client(work, members, timeout_s, arguments))
+            return asyncio.run(_run_with_client(coroutine_function, members, timeout_s, arguments))
         except KeyboardInterrupt:
             return ExitStatus.OK
 
@@ -66,18 +66,18 @@
 
 
 async def _run_with_client(
-    work: Callable[..., Awaitable[ExitStatus]],
+    coroutine_function: Callable[..., Awaitable[ExitStatus]],
     members: dict[str, int],
     timeout_s: float,
     arguments: dict[str, object],
 ) -> ExitStatus:
     client = StoreClient(members, timeout_s)
     try:
-        return await work(client, **arguments)
+        return await coroutine_function(client, **arguments)
     except (RequestRejectedError, WatchCompactedError) as error:
         return reject([str(error)])
     except OutcomeUnknownError as error:
-        print(f"undecided: {error}", file=sys.stderr)
+        print(f"outcome unknown: {error}", file=sys.stderr)
         return ExitStatus.OUTCOME_UNKNOWN
     finally:
         client.close()
--- a/wheatstile/cli/store_keys.py
+++ b/wheatstile/cli/store_keys.py
@@ -37,7 +37,7 @@
     value: str
 
 
-def _text(value: bytes) -> str:
+def _decode(value: bytes) -> str:
     return value.decode("utf-8", "replace")
 
 
@@ -46,7 +46,7 @@
 @click.option(
     "--stale", "staleness_s", type=click.FloatRange(0), help="Maximum staleness of the answer in seconds."
 )
-@click.option("--history", is_flag=True, help="Print all versions that the store still has.")
+@click.option("--history", is_flag=True, help="Print all versions that the store retains.")
 @json_option
 @client_command
 async def get(
@@ -67,7 +67,10 @@
 
 
 def _print_versions(versions: Iterable[KeyVersion], as_json: bool) -> None:
-    rows = [VersionRow(found.key, found.revision, found.change, _text(found.value)) for found in versions]
+    rows = [
+        VersionRow(version.key, version.revision, version.change, _decode(version.value))
+        for version in versions
+    ]
     if as_json:
         print_json(msgspec.to_builtins(rows))
     elif rows:
@@ -82,7 +85,7 @@
     "--revision",
     type=int,
     default=ANY_REVISION,
-    help="Required current revision of KEY; 0 if it must not exist.",
+    help="Set KEY only if this is its current revision; 0 requires that KEY does not exist.",
 )
 @click.option(
     "--ttl", "ttl_s", type=click.FloatRange(0), default=0.0, help="Time to live in seconds; 0 for no limit."
@@ -93,14 +96,16 @@
     data = sys.stdin.buffer.read() if value == STANDARD_INPUT else value.encode()
     result = await client.put(key, data, revision, int(ttl_s * 1000))
     if not result.ok:
-        return reject([f"refused: {result.reason}"])
+        return reject([f"rejected: {result.reason}"])
     click.echo(result.revision)
     return ExitStatus.OK
 
 
 @click.command()
 @click.argument("key")
-@click.option("--revision", type=int, default=ANY_REVISION, help="Required current revision of KEY.")
+@click.option(
+    "--revision", type=int, default=ANY_REVISION, help="Delete KEY only if this is its current revision."
+)
 @client_command
 async def delete(client: StoreClient, key: str, revision: int) -> ExitStatus:
     """Delete KEY."""
@@ -110,11 +115,11 @@
 
 @click.command()
 @click.argument("pattern", default=">")
-@click.option("--after", type=int, help="Start after this revision (default: the current one).")
+@click.option("--after", type=int, help="Print changes after this revision (default: the current revision).")
 @json_option
 @client_command
 async def watch(client: StoreClient, pattern: str, after: int | None, as_json: bool) -> ExitStatus:
-    """Print every change of the matching keys until interrupted."""
+    """Print every change of the keys that match PATTERN, until interrupted."""
     if after is None:
         after = (await client.list_matching(pattern)).revision
     async for event in client.watch(pattern, after):
@@ -123,7 +128,7 @@
 
 
 def _print_event(event: Event, as_json: bool) -> None:
-    row = EventRow(event.revision, event.change, event.key, _text(event.value))
+    row = EventRow(event.revision, event.change, event.key, _decode(event.value))
     if as_json:
         print_json(msgspec.to_builtins(row))
     else:
--- a/wheatstile/cli/store_members.py
+++ b/wheatstile/cli/store_members.py
@@ -1,4 +1,4 @@
-"""`wheatstile store status`, `add`, `remove` and `transfer`: the members of the store."""
+"""`wheatstile store status`, `add`, `remove` and `transfer`: shows and changes the members of the store."""
 
 from collections.abc import Callable
 
@@ -16,7 +16,7 @@
 STATUS_COLUMNS = (
     "name", "role", "leader", "term", "commit", "applied", "age_ms", "keys", "voters", "learners",
 )  # fmt: skip
-NO_LEADER = "no leader is reached"
+NO_LEADER = "no leader can be reached"
 
 
 @click.command()
@@ -25,25 +25,25 @@
 async def status(client: StoreClient, as_json: bool) -> ExitStatus:
     """Print the status that each member reports. Exit status 1 if one cannot be reached."""
     statuses = await client.statuses()
-    rows = [_status_row(name, found) for name, found in statuses.items()]
+    rows = [_status_row(name, reported) for name, reported in statuses.items()]
     if as_json:
         print_json(rows)
     else:
         table = [[row.get(column, "") for column in STATUS_COLUMNS] for row in rows]
         print_table(table, STATUS_COLUMNS, TableStyle.SIMPLE)
-    all_reached = all(isinstance(found, MemberStatus) for found in statuses.values())
+    all_reached = all(isinstance(reported, MemberStatus) for reported in statuses.values())
     return ExitStatus.OK if all_reached else ExitStatus.REJECTED
 
 
-def _status_row(name: str, found: MemberStatus | str) -> dict[str, object]:
-    """Return the columns of a member's row. `found` is its status, or the reason why it was not reached."""
-    if isinstance(found, str):
-        return {"name": name, "role": f"not reached: {found}"}
-    return dict(msgspec.to_builtins(found))
+def _status_row(name: str, reported: MemberStatus | str) -> dict[str, object]:
+    """Return a member's row by column. `reported` is its status, or the reason why it was not reached."""
+    if isinstance(reported, str):
+        return {"name": name, "role": f"not reached: {reported}"}
+    return dict(msgspec.to_builtins(reported))
 
 
 async def _change_members(client: StoreClient, change: Callable[[set[str], set[str]], None]) -> ExitStatus:
-    """Apply `change` to the leader's current voters and learners, and print the result."""
+    """Apply `change` to the leader's current voters and learners, propose them, and print the result."""
     leader = await client.find_leader()
     if leader is None:
         return reject([NO_LEADER])
@@ -57,8 +57,8 @@
 
 @click.command()
 @click.argument("name")
-@click.option("--peer-port", type=int, required=True, help="Its port for the other members.")
-@click.option("--learner", is_flag=True, help="Add it without a vote.")
+@click.option("--peer-port", type=int, required=True, help="Port of NAME for its peers.")
+@click.option("--learner", is_flag=True, help="Add NAME as a learner only, without a vote.")
 @client_command
 async def add(client: StoreClient, name: str, peer_port: int, learner: bool) -> ExitStatus:
     """Add NAME, which was started with --join, as a learner, and then as a voter unless --learner is set."""
@@ -70,7 +70,7 @@
         voters.add(name)
 
     await client.put(f"{ADDRESS_KEY_PREFIX}/{name}", str(peer_port).encode())
-    # The member receives the log as a learner: a voter without a log would count against the majority.
+    # The member first receives the log as a learner: a voter without a log would count against the majority.
     exit_status = await _change_members(client, add_learner)
     if learner or exit_status is not ExitStatus.OK:
         return exit_status
@@ -81,7 +81,7 @@
 @click.argument("name")
 @client_command
 async def remove(client: StoreClient, name: str) -> ExitStatus:
-    """Remove NAME, which may be a voter or a learner."""
+    """Remove the voter or learner NAME."""
 
     def remove_member(voters: set[str], learners: set[str]) -> None:
         voters.discard(name)
--- a/wheatstile/cli/store_server.py
+++ b/wheatstile/cli/store_server.py
@@ -18,16 +18,21 @@
     multiple=True,
     metavar="NAME=PORT",
     callback=parse_ports,
-    help="Another member and its port for peers; repeat for each.",
+    help="Another member and its port for peers; repeat for each member.",
+)
+@click.option(
+    "--join", is_flag=True, help="Start without a vote; `store add` then adds this member to the cluster."
 )
-@click.option("--join", is_flag=True, help="Start without a vote, to be added by `store add`.")
 @click.option("--listen", "peer_port", type=int, default=0, help="Port for peers (0: any free port).")
 @click.option("--client", "client_port", type=int, default=0, help="Port for clients (0: any free port).")
 @click.option("--dir", "directory", type=click.Path(file_okay=False, path_type=Path), required=True)
 @click.option(
-    "--cluster", default="wheatstile", show_default=True, help="Members of another cluster are rejected."
+    "--cluster",
+    default="wheatstile",
+    show_default=True,
+    help="Name of the cluster; connections from members of other clusters are rejected.",
 )
-@click.option("--seed", type=int, default=0, help="Seeds the election timeouts.")
+@click.option("--seed", type=int, default=0, help="Seed for the random election timeouts.")
 @click.option(
     "--compact-every",
     type=click.IntRange(10),
@@ -35,7 +40,7 @@
     show_default=True,
     help="Log entries between snapshots.",
 )
-@click.option("--trace", is_flag=True, help="Print each change of role and each applied entry.")
+@click.option("--trace", is_flag=True, help="Print each role change and each applied entry.")
 def serve(
     name: str,
     peers: dict[str, int],
@@ -50,7 +55,7 @@
 ) -> int:
     """Run one member until SIGTERM. Prints `ready NAME PEER_PORT CLIENT_PORT` once it serves."""
     if name in peers:
-        return reject([f"--peer {name}: that is this member's own name"])
+        return reject([f"--peer {name} is the name of this member itself"])
     voters = frozenset() if join else frozenset({name, *peers})
     config = MemberConfig(name, voters, directory, cluster, seed, trace, compact_every)
     return run_server(config, Ports(peer_port, client_port, peers))
