--- a/example/client.py
+++ b/example/client.py
@@ -1,4 +1,4 @@
-"""Opens one session through the example's balancer, sends a line, and prints the replies."""
+"""Opens one session through the example's balancer, sends a line, and prints both replies."""
 
 import secrets
 import socket
@@ -9,14 +9,14 @@
 
 
 def open_line() -> str:
-    """Return the first line of a connection: request id, key, class, time to wait in ms, affinity group."""
+    """Return the OPEN line: request id, key, class, maximum wait time in ms, affinity group."""
     request_id = secrets.token_hex(8)
     group = secrets.token_hex(4)
     return f"OPEN {request_id} me c=chat,d=2000,g={group}"
 
 
 def main() -> None:
-    """Connect to the balancer that `make run` or `make demo` has started."""
+    """Run one session against the balancer that `make run` or `make demo` started."""
     with (
         socket.create_connection(BALANCER_ADDRESS, timeout=TIMEOUT_S) as sock,
         sock.makefile("rw", newline=LINE_END) as stream,
--- a/example/toy_server.py
+++ b/example/toy_server.py
@@ -1,4 +1,4 @@
-"""Two toy servers and a toy discovery for the example's balancer, all on loopback.
+"""Runs two toy servers and a toy discovery service for the example's balancer, all on loopback.
 
 Each server answers PING and STATS, answers OPEN with UP, and echoes the lines that follow. Start this program
 (`make servers`), then the balancer (`make run`), then a client (`make client`).
@@ -11,17 +11,17 @@
 SERVER_PORTS = {"toy-1": 9001, "toy-2": 9002}
 DISCOVERY_PORT = 8500
 CAPACITY = 20
-"""The number of open connections at which a server reports a load of 1."""
+"""Number of open sessions at which a server reports a load of 1."""
 KEEPALIVE_S = 2.0
-"""The interval of the empty lines on a watch."""
+"""Interval between the empty lines that keep a watch open."""
 
 
 class ToyServer:
-    """One server. A connection carries one session, or any number of health checks."""
+    """A toy server. Each connection carries one session, or any number of health checks."""
 
     def __init__(self, name: str) -> None:
         self._name = name
-        self._open_connections = 0
+        self._open_sessions = 0
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Serve one connection until it ends."""
@@ -37,34 +37,34 @@
             writer.close()
 
     def _control_reply(self, line: str) -> str:
-        """Return the reply to a line outside a session."""
+        """Return the reply to a line that is sent outside a session."""
         match line:
             case "PING":
                 return "PONG"
             case "STATS":
-                return f"PONG x0={self._open_connections / CAPACITY}"
+                return f"PONG x0={self._open_sessions / CAPACITY}"
             case _:
                 return "SYNTAX"
 
     async def _serve_session(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Accept the session, then echo every line."""
-        self._open_connections += 1
+        self._open_sessions += 1
         try:
             await send_line(writer, f"UP {self._name}")
             while line := (await reader.readline()).decode().strip():
                 await send_line(writer, line)
         finally:
-            self._open_connections -= 1
+            self._open_sessions -= 1
 
 
 async def send_line(writer: asyncio.StreamWriter, line: str) -> None:
-    """Send one line of the protocol. Raises ConnectionError."""
+    """Send one protocol line. Raises ConnectionError."""
     writer.write(f"{line}\r\n".encode())
     await writer.drain()
 
 
 def endpoint_snapshot() -> bytes:
-    """Return the complete list of servers as JSON, in the format of discovery."""
+    """Return the complete list of servers in discovery's JSON format."""
     members = [
         {
             "id": name,
@@ -82,7 +82,7 @@
 
 
 async def serve_discovery(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-    """Answer one call to discovery with the complete list. A watch stays open."""
+    """Answer one discovery request with the complete list. A watch stays open."""
     request = await reader.readuntil(b"\r\n\r\n")
     try:
         if b"watch=1" in request:
@@ -98,7 +98,7 @@
 
 
 async def send_watch(writer: asyncio.StreamWriter) -> None:
-    """Send the list, then an empty line at each interval, since the list never changes.
+    """Send the list, then keep the watch open with empty lines, since the list never changes.
 
     Raises ConnectionError.
     """
--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -40,7 +40,7 @@
     assert run_command(name, "--help").status == 0
     assert run_command(name).status == 2
     rejected = run_command(name, "no-route")
-    assert (rejected.status, rejected.errors) == (1, "route 'no-route': SRC:DST:LISTEN:TARGET wanted\n")
+    assert (rejected.status, rejected.errors) == (1, "route 'no-route': expected SRC:DST:LISTEN:TARGET\n")
 
 
 def test_fault_proxy_has_the_same_options_under_both_names() -> None:
--- a/tests/fault_proxy/test_delivery.py
+++ b/tests/fault_proxy/test_delivery.py
@@ -1,4 +1,4 @@
-"""The delivery schedule keeps the order, and never loses or duplicates the first frame."""
+"""The delivery schedule keeps the order of pieces, and never loses or duplicates the first frame."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 FRAME = b"\0\0\0\1x"
 
 
-def test_piece_never_overtakes_an_earlier_one() -> None:
+def test_piece_is_never_delivered_before_an_earlier_one() -> None:
     schedule = DeliverySchedule(random.Random(1), frames=False)
     delayed = list(schedule.add(b"one", LinkConditions(delay_s=5.0), now_s=10.0))
     healed = list(schedule.add(b"two", LinkConditions(), now_s=11.0))
--- a/tests/fault_proxy/test_fault_commands.py
+++ b/tests/fault_proxy/test_fault_commands.py
@@ -1,4 +1,4 @@
-"""The parser of commands and scripts: errors name the invalid word, and every invalid line of a script."""
+"""The parser of commands and scripts: errors give the position of an invalid word, and all invalid lines."""
 
 from __future__ import annotations
 
--- a/tests/fault_proxy/test_fault_frames.py
+++ b/tests/fault_proxy/test_fault_frames.py
@@ -1,4 +1,4 @@
-"""The frame splitter: frames are independent of how the stream is divided among reads."""
+"""The frame splitter: the frames do not depend on how reads divide the stream."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 @given(st.lists(st.binary(max_size=20), max_size=8), st.integers(1, 7))
-def test_stream_is_split_into_its_frames_for_any_size_of_reads(bodies: list[bytes], step: int) -> None:
+def test_stream_is_split_into_its_frames_for_any_read_size(bodies: list[bytes], step: int) -> None:
     frames = [len(body).to_bytes(4, "big") + body for body in bodies]
     stream = b"".join(frames)
     splitter = FrameSplitter()
--- a/tests/fault_proxy/test_fault_proxy.py
+++ b/tests/fault_proxy/test_fault_proxy.py
@@ -1,4 +1,4 @@
-"""The fault proxy as a process between a client and an echo server."""
+"""The fault proxy as a process between clients and an echo server."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 
 LOOPBACK = "127.0.0.1"
 WAIT_S = 60.0
-"""Bound for a test that hangs; no result depends on it."""
+"""Maximum wait of a test that hangs. No result depends on it."""
 FRAME_BYTES = 6
 FRAMES = [bytes([0, 0, 0, 2, number, number]) for number in range(100)]
 
 
 class EchoServer:
-    """Starts a server on loopback that echoes and records all bytes, in threads that end with the process.
+    """A server on loopback that echoes and records all bytes, in threads that end with the process.
 
     `close` closes its listening socket.
     """
@@ -68,7 +68,7 @@
 
 @dataclass
 class ProxiedServer:
-    """A fault proxy between the clients `a` and the echo server `b`. Clients connect to `port`."""
+    """A fault proxy between clients, named `a`, and an echo server, named `b`. Clients connect to `port`."""
 
     proxy: ProgramProcess
     echo: EchoServer
@@ -91,7 +91,7 @@
 
 
 def read_exactly(sock: socket.socket, count: int) -> bytes:
-    """Read this number of bytes."""
+    """Read exactly `count` bytes."""
     data = b""
     while len(data) < count:
         part = sock.recv(count - len(data))
@@ -125,7 +125,7 @@
         assert read_exactly(client, 8) == b"twothree"
 
 
-def test_reset_ends_both_sides_of_the_connection_with_rst(proxied: ProxiedServer) -> None:
+def test_reset_closes_the_connections_to_client_and_server_with_rst(proxied: ProxiedServer) -> None:
     with proxied.connect() as client:
         client.sendall(b"x")
         proxied.echo.wait_for(b"x")
@@ -144,8 +144,8 @@
     assert proxied.proxy.send_command("lose a b 0.5") == "error: word 1: lose needs --frames"
 
 
-def frames_through_a_lossy_proxy(script: Path) -> list[bytes]:
-    """Send FRAMES through a proxy that runs `script` with a delay and a rate; return the received frames."""
+def send_frames_through_lossy_proxy(script: Path) -> list[bytes]:
+    """Send FRAMES through a proxy with this script, a delay and a rate limit. Return the echoed frames."""
     with closing(EchoServer()) as echo:
         proxy = ProgramProcess(
             "fault-proxy",
@@ -162,7 +162,7 @@
         control_port = int(proxy.expect("control").split()[-1])
         proxy.expect("ready")
         with socket.create_connection((LOOPBACK, control_port)) as control:
-            # When these are answered, the commands of the script at second 0 have been applied.
+            # Once these commands are answered, the script's commands at second 0 have been applied.
             control.sendall(b"delay a b 0.01 0.02\nrate a b 20000\n")
             assert read_exactly(control, 6) == b"ok\nok\n"
         with socket.create_connection((LOOPBACK, port)) as client:
@@ -173,24 +173,24 @@
     return [received[start : start + FRAME_BYTES] for start in range(0, len(received), FRAME_BYTES)]
 
 
-def test_whole_frames_are_lost_and_duplicated_alike_for_the_same_seed(tmp_path: Path) -> None:
+def test_same_seed_loses_and_duplicates_the_same_complete_frames(tmp_path: Path) -> None:
     script = tmp_path / "script"
     script.write_text("at 0 lose a b 0.3\nat 0 repeat a b 0.3\n")
-    first = frames_through_a_lossy_proxy(script)
-    second = frames_through_a_lossy_proxy(script)
+    first = send_frames_through_lossy_proxy(script)
+    second = send_frames_through_lossy_proxy(script)
 
     assert first == second
     assert first[0] == FRAMES[0], "the first frame is not always delivered"
     assert first == sorted(first), "the order was changed"
     assert set(first) < set(FRAMES), "a frame was damaged"
     assert len(set(first)) < len(first), "no frame was duplicated"
-    assert 40 < len(set(first)) < 90, "the number of lost frames does not fit the loss ratio"
+    assert 40 < len(set(first)) < 90, "the number of lost frames does not match the loss ratio"
 
 
 @pytest.mark.parametrize("name", ["fault-proxy", "link"])
 def test_port_in_use_ends_the_proxy_with_status_1_and_one_line(name: str) -> None:
-    with socket.create_server((LOOPBACK, 0)) as taken:
-        port = taken.getsockname()[1]
+    with socket.create_server((LOOPBACK, 0)) as occupied:
+        port = occupied.getsockname()[1]
         command = [sys.executable, "-m", "wheatstile", name, f"a:b:{port}:1"]
         done = subprocess.run(
             command, check=False, stdin=subprocess.DEVNULL, capture_output=True, text=True, timeout=WAIT_S
--- a/tests/fault_proxy/test_fault_table.py
+++ b/tests/fault_proxy/test_fault_table.py
@@ -1,4 +1,4 @@
-"""The fault table: a cut applies to one direction, `*` matches all names, and `heal` removes all faults."""
+"""The fault table: a cut applies to one direction, `*` matches all names, and `heal` removes faults."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 @given(st.lists(st.sampled_from(LINES)))
-def test_faults_apply_to_one_direction_until_they_are_healed(lines: list[str]) -> None:
+def test_fault_applies_in_one_direction_until_it_is_healed(lines: list[str]) -> None:
     table = FaultTable()
     for line in lines:
         assert table.apply(parse_command(line)) is None
@@ -55,9 +55,9 @@
     assert all(table.conditions(source, target) == LinkConditions() for source in "abc" for target in "abc")
 
 
-def test_reset_returns_its_links_and_changes_no_fault() -> None:
+def test_reset_returns_the_links_to_reset_and_changes_no_fault() -> None:
     table = FaultTable()
     assert table.apply(parse_command("reset a *")) == LinkPattern("a", "*")
     assert table.conditions("a", "b") == LinkConditions()
-    assert LinkPattern("a", "*").matches_either_way("b", "a")
-    assert not LinkPattern("a", "*").matches_either_way("b", "c")
+    assert LinkPattern("a", "*").matches_either_direction("b", "a")
+    assert not LinkPattern("a", "*").matches_either_direction("b", "c")
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,4 +1,4 @@
-"""The names that the pages give in backticks exist in the repository."""
+"""Every name and path that a documentation page gives in backticks exists in the repository."""
 
 import re
 from functools import cache
@@ -20,16 +20,17 @@
 )
 SUFFIXES = {".py", ".toml", ".json", ".txt", ".yaml", ""}
 BACKTICKS = re.compile(r"`([^`\n]+)`")
-FROM_LIBRARIES = {"timestamp"}  # structlog's field
+LIBRARY_NAMES = {"timestamp"}  # a field that structlog adds
 CODE_BLOCK = re.compile(r"^```.*?^```", re.DOTALL | re.MULTILINE)
 PATH = re.compile(r"[\w.-]+(/[\w.-]+)+/?")
 NAME = re.compile(r"[A-Za-z_]\w*(\.[A-Za-z_]\w*)*")
-HISTORY = re.compile(r"^## [^\n]*before 2 December 2026.*?(?=^## |\Z)", re.DOTALL | re.MULTILINE)  # old names
+# Sections on the history of the project may contain former names.
+HISTORY_SECTION = re.compile(r"^## [^\n]*before 2 December 2026.*?(?=^## |\Z)", re.DOTALL | re.MULTILINE)
 
 
 @cache
 def identifiers() -> frozenset[str]:
-    """Return all identifiers in the repository's sources, and the names of its modules."""
+    """Return all identifiers in the repository's sources, and the names of its files and directories."""
     found: set[str] = set()
     for source in SOURCES:
         path = ROOT / source
@@ -43,7 +44,7 @@
 
 
 def is_known_identifier(identifier: str) -> bool:
-    """Return whether the sources have an identifier, or a prefix that the program completes (`attempts_`)."""
+    """Return whether the sources have the identifier, or a prefix that the program extends (`attempts_`)."""
     prefixes = [identifier[: index + 1] for index, letter in enumerate(identifier) if letter == "_"]
     return identifier in identifiers() or any(
         prefix in identifiers() for prefix in prefixes if len(prefix) > 1
@@ -51,12 +52,12 @@
 
 
 def unknown_names(text: str) -> list[str]:
-    """Return the names and paths in backticks that the repository does not have."""
+    """Return the names and paths in backticks that do not exist in the repository."""
     unknown = []
-    for name in BACKTICKS.findall(CODE_BLOCK.sub("", HISTORY.sub("", text))):
+    for name in BACKTICKS.findall(CODE_BLOCK.sub("", HISTORY_SECTION.sub("", text))):
         if PATH.fullmatch(name) and (ROOT / name.split("/")[0]).exists():
             is_known = (ROOT / name).exists()
-        elif NAME.fullmatch(name) and name not in FROM_LIBRARIES:
+        elif NAME.fullmatch(name) and name not in LIBRARY_NAMES:
             is_known = all(map(is_known_identifier, name.split(".")))
         else:
             continue
@@ -70,5 +71,5 @@
     assert unknown_names(page.read_text()) == []
 
 
-def test_a_name_that_does_not_exist_is_found() -> None:
+def test_name_that_does_not_exist_is_reported() -> None:
     assert unknown_names("`DecisionLoop` and " + "`Decision" + "Loup`") == ["Decision" + "Loup"]
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""KNOWN-RED.txt: listed tests may fail, everything else counts."""
+"""KNOWN-RED.txt: listed tests may fail, and any other failure fails the run."""
 
 import os
 import subprocess
@@ -27,13 +27,13 @@
 """
 
 
-def run_sample(folder: Path, known_red: str, **environment: str) -> tuple[int, str]:
-    """Run SAMPLE with this KNOWN-RED.txt; return the exit status and the output."""
-    (folder / "test_sample.py").write_text(SAMPLE)
-    (folder / "KNOWN-RED.txt").write_text(known_red)
+def run_sample(directory: Path, known_red: str, **environment: str) -> tuple[int, str]:
+    """Run the tests of SAMPLE with this KNOWN-RED.txt. Return the exit status and the output."""
+    (directory / "test_sample.py").write_text(SAMPLE)
+    (directory / "KNOWN-RED.txt").write_text(known_red)
     run = subprocess.run(
         [sys.executable, "-m", "pytest", "-p", "support.known_red", "--rootdir", "."],
-        cwd=folder,
+        cwd=directory,
         env={**os.environ, "PYTHONPATH": str(TESTS), **environment},
         capture_output=True,
         text=True,
@@ -42,27 +42,27 @@
     return run.returncode, run.stdout + run.stderr
 
 
-def test_listed_test_may_fail_and_is_printed(tmp_path: Path) -> None:
+def test_failure_of_a_listed_test_is_printed_and_passes_the_run(tmp_path: Path) -> None:
     status, output = run_sample(tmp_path, ENTRY)
     assert status == 0
     assert "known red: test_sample.py::test_red (issue 19): it fails" in output
     assert "1 xfailed" in output
 
 
-def test_unlisted_test_may_not_fail(tmp_path: Path) -> None:
+def test_failure_of_an_unlisted_test_fails_the_run(tmp_path: Path) -> None:
     status, output = run_sample(tmp_path, "")
     assert status == 1
     assert "1 failed" in output
 
 
-def test_entry_holds_in_its_environment_only(tmp_path: Path) -> None:
+def test_entry_applies_only_in_its_environment(tmp_path: Path) -> None:
     entry = ENTRY + "    environment: SEEDS=7\n"
     assert run_sample(tmp_path, entry, SEEDS="7")[0] == 0
     assert run_sample(tmp_path, entry, SEEDS="8")[0] == 1
 
 
 @pytest.mark.parametrize("name", ["test_sample.py::test_gone", "test_gone.py::test_red"])
-def test_entry_that_names_no_test_stops_the_run(tmp_path: Path, name: str) -> None:
+def test_entry_that_matches_no_test_is_a_usage_error(tmp_path: Path, name: str) -> None:
     status, output = run_sample(tmp_path, ENTRY + ENTRY.replace("test_sample.py::test_red", name))
     assert status == pytest.ExitCode.USAGE_ERROR
     assert name in output
@@ -79,7 +79,7 @@
         ("    issue: 1\n", 'KNOWN-RED.txt:1: field "issue" stands before the first entry'),
     ],
 )
-def test_malformed_entry_is_rejected_with_its_line(text: str, reason: str) -> None:
+def test_malformed_entry_is_rejected_with_its_line_number(text: str, reason: str) -> None:
     with pytest.raises(KnownRedError) as caught:
         parse(text)
     assert str(caught.value) == reason
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The example in the README prints the output that the README shows."""
+"""The README's example prints the output that the README shows."""
 
 import re
 import subprocess
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The simulator's wire: every message in both directions, whole batches, and errors in the input."""
+"""The simulator's wire protocol: every message in both directions, complete batches, and invalid input."""
 
 import io
 import json
@@ -33,12 +33,12 @@
 
 
 def batch(*lines: str, turn: int = 1, clock_us: int = 5_000_000) -> str:
-    """Return the lines as one batch of events at this time."""
+    """Return the text of one batch at this time."""
     return "\n".join([f"ROUND\tclockUs={clock_us}\tturn={turn}", *lines, "FLUSH", ""])
 
 
 def configure(instance: int, settings: dict[str, Any] | None = None, seed: int = 7) -> list[str]:
-    """Return the lines that start an instance with two servers, `s1` in its zone and `s2` in another."""
+    """Return the lines that start an instance with two servers: `s1` in its zone, `s2` in another."""
     return [
         f"CONFIGURE\tbalancer={instance}\tprng={seed}\tprofileData={json.dumps(settings or SETTINGS)}",
         "ROSTER\tbuffer=0\trowsIn=2",
@@ -49,7 +49,7 @@
 
 
 def serve(text: str) -> tuple[int, list[str], str]:
-    """Run the host on this input. Returns its exit status, the lines of its output, and its errors."""
+    """Run the host on this input. Return its exit status, the lines of its output, and its errors."""
     output = io.StringIO()
     errors = io.StringIO()
     status = host.serve(io.StringIO(text), output, errors)
@@ -88,7 +88,7 @@
         ("BELL\tbalancer=3\ttag=slot", api.TimerFired(api.TimerToken(api.TimerKind.EXPLORATION_SLOT))),
     ],
 )
-def test_line_is_read_as_an_event(line: str, event: api.Event | None) -> None:
+def test_message_line_is_parsed_as_its_event(line: str, event: api.Event | None) -> None:
     name, fields = parse_line(line)
     assert wire.EVENTS[name](fields) == event
 
@@ -108,7 +108,7 @@
         (api.WatchEndpoints(), "STREAM_CHANGES\tbalancer=3\ton=1"),
     ],
 )
-def test_action_is_written_as_a_line(action: api.Action, line: str) -> None:
+def test_action_is_formatted_as_a_line(action: api.Action, line: str) -> None:
     assert wire.action_line(3, action) == line
 
 
@@ -123,7 +123,7 @@
         (api.TimerToken(api.TimerKind.CANDIDATE_TIMEOUT, "d:8", 42), "hold:42:d:8"),
     ],
 )
-def test_timer_token_is_written_and_read(token: api.TimerToken, text: str) -> None:
+def test_timer_token_is_formatted_and_parsed(token: api.TimerToken, text: str) -> None:
     assert wire.timer_text(token) == text
     assert wire.timer_token(text) == token
 
@@ -133,7 +133,7 @@
     assert wire.EVENTS["BELL"](Fields({"tag": text})) is None
 
 
-def test_every_action_of_the_interface_has_a_name_on_the_wire() -> None:
+def test_every_action_of_the_interface_has_a_line_format() -> None:
     assert set(wire.ACTIONS) == set(api.Action.__args__)
 
 
@@ -142,7 +142,7 @@
     assert Fields({"stats": f"x0:{value},utilization:0.5"}).load_report() == {"busy": 0.5}
 
 
-def test_batch_is_answered_with_its_number() -> None:
+def test_batch_is_answered_with_its_turn_number() -> None:
     assert serve(batch(turn=12)) == (0, ["READY\tturn=12"], "")
 
 
@@ -178,7 +178,7 @@
         (["CONFIGURE\tbalancer=4\tprng=1\tprofileData={]"], "no JSON"),
     ],
 )
-def test_malformed_line_ends_the_program_with_the_reason(lines: list[str], reason: str) -> None:
+def test_malformed_line_ends_the_host_with_the_reason(lines: list[str], reason: str) -> None:
     status, output, errors = serve(batch(*configure(3)) + batch(*lines, turn=2))
     assert status == 1
     assert output[-2].startswith("FAULT\t")
@@ -219,7 +219,7 @@
     assert not any("d8" in line for line in serve(text)[1])
 
 
-def test_instance_acts_the_same_alone_and_beside_others() -> None:
+def test_instance_returns_the_same_actions_alone_and_with_other_instances() -> None:
     def request_lines(instance: int, turn: int) -> list[str]:
         return [
             f"ARRIVAL\tbalancer={instance}\trequestId={turn:02x}\texpiresInUs=2000000\tservice=web\tresource=k{turn}"
--- a/wheatstile/fault_proxy/connection.py
+++ b/wheatstile/fault_proxy/connection.py
@@ -1,4 +1,4 @@
-"""One proxied connection: the client's socket, and a socket that is connected to the route's target."""
+"""One proxied connection: the client's socket, and a socket connected to the route's target."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 LOOPBACK = "127.0.0.1"
 LINGER_ZERO = struct.pack("ii", 1, 0)
-"""The SO_LINGER value (on, 0 s) with which close() sends RST in place of FIN."""
+"""The SO_LINGER value (on, 0 s) that makes close() send RST instead of FIN."""
 
 
 class ProxiedConnection:
@@ -45,7 +45,7 @@
         self._task = asyncio.current_task()
         try:
             await self._relay()
-        except* (OSError, ValueError) as errors:  # ends this connection, but not the proxy
+        except* (OSError, ValueError) as errors:  # an error ends this connection, not the proxy
             log.info(
                 "proxied_connection_ended",
                 source=self._route.source,
@@ -56,8 +56,8 @@
             self._close()
 
     def reset_if_matching(self, pattern: LinkPattern) -> None:
-        """Close the connection with RST if its link matches, in either direction."""
-        if self._task and pattern.matches_either_way(self._route.source, self._route.destination):
+        """Close the connection with RST if its link matches `pattern` in either direction."""
+        if self._task and pattern.matches_either_direction(self._route.source, self._route.destination):
             self._task.cancel()
 
     async def _relay(self) -> None:
@@ -68,11 +68,11 @@
         loop = asyncio.get_running_loop()
         await loop.sock_connect(self._upstream, (LOOPBACK, self._route.target_port))
         async with asyncio.TaskGroup() as tasks:
-            tasks.create_task(self._stream(source, destination).run(self._client, self._upstream))
-            tasks.create_task(self._stream(destination, source).run(self._upstream, self._client))
+            tasks.create_task(self._stream_relay(source, destination).run(self._client, self._upstream))
+            tasks.create_task(self._stream_relay(destination, source).run(self._upstream, self._client))
 
-    def _stream(self, source: str, destination: str) -> StreamRelay:
-        # All connections in one direction get the same draws, so a run is reproducible from its seed.
+    def _stream_relay(self, source: str, destination: str) -> StreamRelay:
+        # All connections draw the same random numbers in one direction of a link, so a seed reproduces a run.
         generator = random.Random(f"{self._seed}:{source}:{destination}")
         schedule = DeliverySchedule(generator, frames=self._frames)
         return StreamRelay(source, destination, faults=self._faults, schedule=schedule)
--- a/wheatstile/fault_proxy/delivery.py
+++ b/wheatstile/fault_proxy/delivery.py
@@ -1,4 +1,4 @@
-"""The delivery schedule of a stream: when each piece is delivered, and how often. No input or output."""
+"""Computes the delivery time and the number of copies of each piece of a stream. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -14,23 +14,23 @@
     """The method of `random.Random` that the schedule uses."""
 
     def random(self) -> float:
-        """Return a number from 0 up to but not including 1."""
+        """Return a number of at least 0 and less than 1."""
         ...
 
 
 @dataclass(frozen=True, slots=True)
 class ScheduledPiece:
-    """Bytes to deliver at `due_s` on the event loop's clock. No bytes mean the end of the stream."""
+    """Bytes to deliver at `due_s` on the event loop's clock. Empty `data` marks the end of the stream."""
 
     due_s: float
     data: bytes
 
 
 class DeliverySchedule:
-    """The schedule of one direction of a connection. Pieces are delivered in order, with any delays.
+    """The delivery schedule of one direction of a connection. Delays never change the order of pieces.
 
-    With `frames` set, the pieces are frames, and may be lost or delivered twice. The first frame is always
-    delivered once, because it identifies the sender.
+    With `frames`, each piece is a frame, which may be lost or delivered twice. The first frame is always
+    delivered exactly once, because it identifies the sender.
     """
 
     def __init__(self, generator: RandomSource, *, frames: bool) -> None:
@@ -40,14 +40,14 @@
         self._last_due_s = 0.0
 
     def split(self, data: bytes) -> list[bytes]:
-        """Return the pieces that `data` completes. Raises FrameTooLongError."""
+        """Add `data` to the stream, and return the pieces that it completes. Raises FrameTooLongError."""
         if self._splitter is None:
             return [data]
         return self._splitter.feed(data)
 
     def add(self, piece: bytes, conditions: LinkConditions, now_s: float) -> Iterator[ScheduledPiece]:
-        """Yield the deliveries of a piece that was read at `now_s`: none, one or two."""
-        # The order of the draws must not change, or a seed gives another run: loss, duplication, jitter.
+        """Yield the zero, one or two deliveries of a piece that was read at `now_s`."""
+        # Draws loss, duplication and jitter in this order: another order would change the run of a seed.
         copies = self._copies(conditions)
         jitter_s = self._generator.random() * conditions.jitter_s
         self._last_due_s = max(self._last_due_s, now_s + conditions.delay_s + jitter_s)
@@ -55,7 +55,7 @@
             yield ScheduledPiece(self._last_due_s, piece)
 
     def end(self) -> ScheduledPiece:
-        """Return the end of the stream, which is due when the last piece is."""
+        """Return the end of the stream, which is due at the same time as the last piece."""
         return ScheduledPiece(self._last_due_s, b"")
 
     def _copies(self, conditions: LinkConditions) -> int:
--- a/wheatstile/fault_proxy/errors.py
+++ b/wheatstile/fault_proxy/errors.py
@@ -6,11 +6,11 @@
 
 
 class FaultProxyError(ValueError):
-    """Base of the package's errors: an input is invalid."""
+    """Base class of the package's errors. All of them report invalid input."""
 
 
 class CommandError(FaultProxyError):
-    """A command is invalid. The message names the invalid word by its position, and the reason."""
+    """A command is invalid. The message gives the position of the invalid word and the reason."""
 
 
 class ScriptError(CommandError):
@@ -33,9 +33,9 @@
 
 
 class FrameTooLongError(FaultProxyError):
-    """A frame is too long to be buffered. Both lengths are in bytes and include the length prefix."""
+    """A frame exceeds the maximum length. Both lengths are in bytes and include the length prefix."""
 
     def __init__(self, length: int, max_length: int) -> None:
         self.length = length
         self.max_length = max_length
-        super().__init__(f"a frame has {length} bytes, {max_length} at most")
+        super().__init__(f"a frame has {length} bytes; at most {max_length} are allowed")
--- a/wheatstile/fault_proxy/fault_table.py
+++ b/wheatstile/fault_proxy/fault_table.py
@@ -1,4 +1,4 @@
-"""The active faults, which commands change, and the resulting conditions for one direction of a link."""
+"""The active faults, and the conditions that result from them for one direction of a link."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkPattern:
-    """The links from `source` to `destination`, either of which may be ANY_NAME."""
+    """The links from `source` to `destination`; each may be ANY_NAME."""
 
     source: str
     destination: str
@@ -30,8 +30,8 @@
         """Return whether the link from `source` to `destination`, in this direction, matches."""
         return self.source in (ANY_NAME, source) and self.destination in (ANY_NAME, destination)
 
-    def matches_either_way(self, source: str, destination: str) -> bool:
-        """Return whether the link between the two matches in either direction."""
+    def matches_either_direction(self, source: str, destination: str) -> bool:
+        """Return whether the link between the two processes matches in either direction."""
         return self.matches(source, destination) or self.matches(destination, source)
 
 
@@ -40,14 +40,14 @@
 
 @dataclass(frozen=True, slots=True)
 class FaultKey:
-    """The identity of a fault: a later command with the same key replaces it."""
+    """The key of a fault in the table. A later command with the same key replaces the fault."""
 
     command: CommandName
     links: LinkPattern
 
 
 class FaultTable:
-    """The active faults."""
+    """The active faults, as set and removed by commands."""
 
     def __init__(self) -> None:
         self._values: dict[FaultKey, tuple[float, ...]] = {}
@@ -67,23 +67,23 @@
                 self._values[FaultKey(command.name, pattern)] = command.values
         return None
 
-    def _heal(self, healed: LinkPattern) -> None:
-        if healed == EVERY_LINK:
+    def _heal(self, pattern: LinkPattern) -> None:
+        if pattern == EVERY_LINK:
             self._values.clear()
             return
         for key in list(self._values):
-            if key.links == healed:
+            if key.links == pattern:
                 del self._values[key]
 
     def conditions(self, source: str, destination: str) -> LinkConditions:
-        """Return the conditions from `source` to `destination`: of each kind, the worst matching fault."""
-        delays = self._matching(CommandName.DELAY, source, destination)
-        rates = self._matching(CommandName.RATE, source, destination)
-        losses = self._matching(CommandName.LOSE, source, destination)
-        duplications = self._matching(CommandName.REPEAT, source, destination)
+        """Return the conditions from `source` to `destination`: the worst matching fault of each kind."""
+        delays = self._matching_values(CommandName.DELAY, source, destination)
+        rates = self._matching_values(CommandName.RATE, source, destination)
+        losses = self._matching_values(CommandName.LOSE, source, destination)
+        duplications = self._matching_values(CommandName.REPEAT, source, destination)
         delay_s, jitter_s = max(map(_delay_and_jitter, delays), default=(0.0, 0.0))
         return LinkConditions(
-            blocked=bool(self._matching(CommandName.CUT, source, destination)),
+            blocked=bool(self._matching_values(CommandName.CUT, source, destination)),
             delay_s=delay_s,
             jitter_s=jitter_s,
             rate_bytes_per_s=min((rate for (rate,) in rates), default=0.0),
@@ -91,11 +91,13 @@
             duplication_ratio=max((ratio for (ratio,) in duplications), default=0.0),
         )
 
-    def _matching(self, wanted: CommandName, source: str, destination: str) -> list[tuple[float, ...]]:
+    def _matching_values(
+        self, command_name: CommandName, source: str, destination: str
+    ) -> list[tuple[float, ...]]:
         return [
             values
             for key, values in self._values.items()
-            if key.command is wanted and key.links.matches(source, destination)
+            if key.command is command_name and key.links.matches(source, destination)
         ]
 
 
--- a/wheatstile/fault_proxy/frames.py
+++ b/wheatstile/fault_proxy/frames.py
@@ -1,4 +1,4 @@
-"""Splits a byte stream into frames, each with a 4-byte big-endian length prefix. No input or output."""
+"""Splits a byte stream into frames, each with a 4-byte big-endian length prefix. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 LENGTH_PREFIX_BYTES = 4
 MAX_FRAME_BYTES = 32 * 1024 * 1024
-"""The longest frame that is buffered, including its length prefix."""
+"""Maximum length of a frame, including its length prefix."""
 
 
 class FrameSplitter:
-    """Splits one stream into frames, independent of how its bytes are divided among reads."""
+    """Splits one stream into frames. The result does not depend on how reads divide the stream."""
 
     def __init__(self, max_frame_bytes: int = MAX_FRAME_BYTES) -> None:
         self._max_frame_bytes = max_frame_bytes
@@ -18,11 +18,11 @@
 
     @property
     def buffered_bytes(self) -> int:
-        """Return the number of bytes of the incomplete frame."""
+        """Return the number of buffered bytes, which belong to an incomplete frame."""
         return len(self._buffer)
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Add `data`, and return the frames that are complete now, with their prefixes.
+        """Add `data`, and return the frames that it completes, with their length prefixes.
 
         Raises FrameTooLongError.
         """
--- a/wheatstile/fault_proxy/live_faults.py
+++ b/wheatstile/fault_proxy/live_faults.py
@@ -1,4 +1,4 @@
-"""The fault table of a running proxy, with waiting for changes."""
+"""The fault table of a running proxy. Tasks can wait for its changes."""
 
 from __future__ import annotations
 
--- a/wheatstile/fault_proxy/proxy.py
+++ b/wheatstile/fault_proxy/proxy.py
@@ -1,7 +1,7 @@
 """The fault proxy: a listening socket for each route, and commands from three sources.
 
-Commands are read from standard input, from the control port, and from a script. Each line on standard input
-or the control port is answered with `ok` or `error: REASON`.
+Commands come from standard input, the control port and a script. Each line on standard input or the control
+port is answered with `ok` or `error: REASON`.
 """
 
 from __future__ import annotations
@@ -36,13 +36,13 @@
 
     routes: Sequence[Route]
     frames: bool = False  # whether the streams consist of length-prefixed frames
-    seed: int = 0  # seeds the draws of loss, duplication and jitter
+    seed: int = 0  # seed for random loss, duplication and jitter
     control_port: int | None = None  # port on loopback; 0 for any free port, None for no control port
     script: Sequence[ScheduledCommand] = ()
 
 
 class FaultProxy:
-    """Serves the routes until standard input ends."""
+    """Relays the connections of all routes until standard input ends."""
 
     def __init__(self, options: FaultProxyOptions) -> None:
         self._options = options
@@ -50,9 +50,9 @@
         self._connections: set[ProxiedConnection] = set()
 
     async def serve(self) -> None:
-        """Print the ports and `ready`, then serve. Raises OSError if a port cannot be bound.
+        """Bind and print the ports, print `ready`, and serve. Raises OSError if a port cannot be bound.
 
-        Raises CancelledError when standard input is closed, which is the normal end.
+        Ends with CancelledError when standard input is closed; this is the normal end.
         """
         with contextlib.ExitStack() as resources:
             listeners = [(route, self._listen(route, resources)) for route in self._options.routes]
@@ -60,10 +60,10 @@
             async with asyncio.TaskGroup() as tasks:
                 for route, listener in listeners:
                     tasks.create_task(self._accept(route, listener, tasks))
-                tasks.create_task(self._play_script())
+                tasks.create_task(self._run_script())
                 print("ready", flush=True)
                 await self._serve_standard_input()
-                raise asyncio.CancelledError  # cancels the other tasks of the group
+                raise asyncio.CancelledError  # cancels the group's other tasks
 
     def _listen(self, route: Route, resources: contextlib.ExitStack) -> socket.socket:
         listener = socket.create_server((LOOPBACK, route.listen_port), backlog=LISTEN_BACKLOG)
@@ -104,13 +104,13 @@
             print(await self._answer(line), flush=True)
 
     async def _serve_control(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        with contextlib.suppress(OSError, ValueError):  # the client disconnected, or its line is too long
+        with contextlib.suppress(OSError, ValueError):  # client disconnected, or line too long
             while line := await reader.readline():
                 writer.write(f"{await self._answer(line)}\n".encode())
                 await writer.drain()
         writer.close()
 
-    async def _play_script(self) -> None:
+    async def _run_script(self) -> None:
         loop = asyncio.get_running_loop()
         started_at_s = loop.time()
         for scheduled in self._options.script:
@@ -147,7 +147,7 @@
 
     `command_name` is the prefix of the error message.
     """
-    logs.configure()  # logs to standard error, because standard output contains the answers to commands
+    logs.configure()  # logs to standard error, because standard output carries the answers to commands
     try:
         uvloop.run(FaultProxy(options).serve())
     except OSError as error:
--- a/wheatstile/fault_proxy/routes.py
+++ b/wheatstile/fault_proxy/routes.py
@@ -1,4 +1,4 @@
-"""The routes of the fault proxy: the listening port and the target port of a link between two processes."""
+"""Routes of the fault proxy: the listening port and the target port of each link between two processes."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from wheatstile.fault_proxy.errors import RouteError
 
-ROUTE_FORM = "SRC:DST:LISTEN:TARGET"
+ROUTE_FORMAT = "SRC:DST:LISTEN:TARGET"
 
 
 @dataclass(frozen=True, slots=True)
@@ -27,9 +27,9 @@
         try:
             source, destination, listen_text, target_text = text.split(":")
         except ValueError:
-            raise RouteError(text, f"{ROUTE_FORM} wanted") from None
+            raise RouteError(text, f"expected {ROUTE_FORMAT}") from None
         if not source or not destination:
-            raise RouteError(text, f"{ROUTE_FORM} wanted")
+            raise RouteError(text, f"expected {ROUTE_FORMAT}")
         try:
             listen_port = int(listen_text)
             target_port = int(target_text)
--- a/wheatstile/fault_proxy/stream_relay.py
+++ b/wheatstile/fault_proxy/stream_relay.py
@@ -1,4 +1,4 @@
-"""One direction of a proxied connection: reads bytes, schedules them, and writes them in order."""
+"""Relays one direction of a proxied connection: reads bytes, schedules them, and writes them in order."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 READ_BYTES = 64 * 1024
 """Maximum number of bytes in one read."""
 MAX_QUEUED_PIECES = 16
-"""Maximum number of scheduled pieces that are not written yet; further bytes stay in the kernel."""
+"""Maximum number of scheduled pieces that are not yet written. Further bytes stay in the kernel's buffers."""
 WRITES_PER_SECOND = 20
-"""Number of writes per second if the rate is limited."""
+"""Number of writes per second under a rate limit."""
 
 
 class StreamRelay:
@@ -33,7 +33,7 @@
         self._loop = asyncio.get_running_loop()
 
     async def run(self, reading: socket.socket, writing: socket.socket) -> None:
-        """Relay until the end of the stream has been written.
+        """Relay until the end of the stream is written.
 
         Raises an exception group of OSError (a socket failed) and FrameTooLongError.
         """
@@ -63,7 +63,7 @@
             await self._send(sock, scheduled.data)
 
     async def _send(self, sock: socket.socket, data: bytes) -> None:
-        """Send `data` at the rate limit that is active when the call starts."""
+        """Send `data` at the rate limit that is active when the call begins."""
         rate = self._faults.conditions(self._source, self._destination).rate_bytes_per_s
         if not rate:
             await self._loop.sock_sendall(sock, data)
--- a/wheatstile/logs.py
+++ b/wheatstile/logs.py
@@ -1,4 +1,4 @@
-"""Configuration of the log on standard error. docs/operators/logs.md lists the events."""
+"""Configures the log on standard error. docs/operators/logs.md lists the log events."""
 
 import logging
 import os
@@ -12,14 +12,14 @@
 
 
 class LogFormat(StrEnum):
-    """The format of the log's lines; the values are those of the option and the operator's file."""
+    """The format of log lines. The values are those of the command-line option and the operator's file."""
 
     JSON = "json"
     CONSOLE = "console"
 
 
 class LogLevel(StrEnum):
-    """The lowest level that is logged; the values are those of the option and the operator's file."""
+    """The minimum log level. The values are those of the command-line option and the operator's file."""
 
     DEBUG = "debug"
     INFO = "info"
@@ -33,17 +33,17 @@
 class LossyStderr:
     """A text stream that writes complete lines to standard error, and drops a line that cannot be written.
 
-    Writing fails if the disk is full or the reader has closed the pipe. It would block if the reader of the
-    pipe or socket is too slow. The process must neither end nor stop because of its log.
+    A write fails if the disk is full or the reader has closed the pipe. It would block if the reader of the
+    pipe or socket is too slow. The process must neither exit nor block because of its log.
 
     Attributes:
-        dropped_lines: the number of lines that were dropped, or written in part.
+        dropped_lines: number of lines that were dropped or only partly written.
     """
 
     def __init__(self) -> None:
         self.dropped_lines = 0
         self._parts: list[str] = []
-        self._is_line_incomplete = False  # the last line was written in part
+        self._is_line_incomplete = False  # the last line was only partly written
         self._poll = select.poll()
         self._poll.register(STDERR_DESCRIPTOR, select.POLLOUT)
 
@@ -53,7 +53,7 @@
         return len(text)
 
     def flush(self) -> None:
-        """Write the buffered line, as far as that does not block."""
+        """Write as much of the buffered line as possible without blocking."""
         line = "".join(self._parts).encode("utf-8", "replace")
         self._parts = []
         if self._is_line_incomplete:
@@ -65,12 +65,12 @@
             self.dropped_lines += 1
 
     def _write_without_blocking(self, data: bytes) -> int:
-        """Write in pieces that a writable pipe takes whole. Return the number of bytes written."""
+        """Write in pieces that a writable pipe accepts completely. Return the number of bytes written."""
         written = 0
         with suppress(OSError):
             while written < len(data) and self._is_writable():
                 piece = data[written : written + select.PIPE_BUF]
-                # os.write bypasses the buffer of sys.stderr, which would keep the line and fail on exit.
+                # os.write bypasses the buffer of sys.stderr, which would keep the line and fail at exit.
                 written += os.write(STDERR_DESCRIPTOR, piece)
         return written
 
@@ -80,11 +80,11 @@
 
 
 STDERR = LossyStderr()
-"""The stream of the log."""
+"""The stream that the log is written to."""
 
 
 def configure(log_format: str = LogFormat.JSON, level: str = LogLevel.INFO) -> None:
-    """Configure structlog to log events of this level and above in this format."""
+    """Configure structlog to log events of this level and above, in this format."""
     processors: list[structlog.typing.Processor] = [
         structlog.processors.add_log_level,
         structlog.processors.TimeStamper(fmt="iso", utc=True),
--- a/wheatstile/signal_handlers.py
+++ b/wheatstile/signal_handlers.py
@@ -1,7 +1,7 @@
-"""Signal handlers that stay in force until the process has ended.
+"""Installs signal handlers that stay active until the process has ended.
 
-An event loop's own handlers are removed when the loop closes. A signal that came then would end the process
-with its default action, and so with another exit status.
+An event loop removes its own handlers when it closes. A signal that arrives later would end the process by
+its default action, and so change the exit status.
 """
 
 import asyncio
@@ -21,6 +21,6 @@
 
 
 def ignore(numbers: Iterable[signal.Signals]) -> None:
-    """Ignore these signals from now on. Call it before the event loop closes."""
+    """Ignore these signals from now on. Call this before the event loop closes."""
     for number in numbers:
         signal.signal(number, signal.SIG_IGN)
--- a/wheatstile/simulator/__init__.py
+++ b/wheatstile/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""Runs the decision module on the simulator's wire. No other package imports it."""
+"""Adapter by which the simulator drives the decision module. No other package imports it."""
--- a/wheatstile/simulator/line.py
+++ b/wheatstile/simulator/line.py
@@ -1,4 +1,4 @@
-"""Parses the lines of the simulator's wire: a message's name and its fields, `NAME<tab>key=value<tab>...`."""
+"""Parses lines of the simulator's wire protocol: `NAME<tab>key=value<tab>...`, a message and its fields."""
 
 from wheatstile import interface as api
 from wheatstile.config.reports import parse_load_report
@@ -8,24 +8,24 @@
 
 
 class WireError(ValueError):
-    """A malformed line; the text names the field at fault and its value."""
+    """A line is malformed. The message names the invalid field and its value."""
 
 
 class Fields:
-    """Typed access to the fields of one message. Each method raises WireError, which names the key."""
+    """Typed access to the fields of one message. Methods raise WireError, which names the key."""
 
     def __init__(self, values: dict[str, str]) -> None:
         self._values = values
 
     def text(self, key: str, default: str | None = None) -> str:
-        """Return the value unchanged; without a default the key is required."""
+        """Return the text at this key. Without a default, the key is required."""
         value = self._values.get(key, default)
         if value is None:
             raise WireError(f"{key} is missing")
         return value
 
     def integer(self, key: str, default: int | None = None) -> int:
-        """Return the integer at this key; without a default the key is required."""
+        """Return the integer at this key. Without a default, the key is required."""
         value = self._values.get(key)
         if value is None:
             if default is None:
@@ -37,7 +37,7 @@
             raise WireError(f"{key} is not a whole number: {value}") from None
 
     def number(self, key: str, default: float) -> float:
-        """Return the number at this key."""
+        """Return the number at this key, or the default."""
         try:
             return float(self._values.get(key, default))
         except ValueError:
@@ -48,13 +48,13 @@
         return self._values.get(key) == FLAG_SET
 
     def load_report(self) -> api.LoadReport | None:
-        """Return the load report in `stats`, if the message has one."""
+        """Return the load report in `stats`; None if the message has none."""
         stats = self._values.get("stats")
         return parse_load_report(stats, ":", LOAD_METRICS) if stats else None
 
 
 def parse_line(line: str) -> tuple[str, Fields]:
-    """Split a line into the message's name and its fields. Raise WireError."""
+    """Split a line into the message's name and its fields. Raises WireError."""
     name, *parts = line.split("\t")
     values = {}
     for part in parts:
--- a/wheatstile/simulator/wire.py
+++ b/wheatstile/simulator/wire.py
@@ -1,6 +1,6 @@
-"""Translates the simulator's wire: messages to events of the decision module, and its actions to lines.
+"""Translates the simulator's wire protocol: messages to the decision module's events, its actions to lines.
 
-Unknown words are ignored; a malformed message raises WireError.
+Unknown messages, fields and values raise no error. A malformed message raises WireError.
 """
 
 from collections.abc import Callable, Mapping
@@ -11,7 +11,7 @@
 from wheatstile.config.endpoints import weight_of
 from wheatstile.simulator.line import Fields
 
-# From the wire's words to the interface's.
+# These tables map words of the wire protocol to values of the interface.
 OUTCOMES = {
     "pass": api.AttemptOutcome.OK,
     "fault": api.AttemptOutcome.ERROR,
@@ -33,7 +33,7 @@
     "restored": api.EndpointUpdateKind.CACHED,
     "unavailable": api.EndpointUpdateKind.FAILED,
 }
-# A load check has one name with a connection and without one.
+# Both kinds of load check have the same name. The repeated one has a connection.
 TIMER_NAMES = {
     api.TimerKind.EXPLORATION_SLOT: "slot",
     api.TimerKind.WATCH_ENDPOINTS: "list",
@@ -54,7 +54,7 @@
         api.TimerKind.REBALANCE,
     )
 }
-TIMER_SEPARATOR = ":"  # between a timer's name, its due time and its connection
+TIMER_SEPARATOR = ":"  # separates a timer's name, due time and connection
 Measurement: TypeAlias = api.ConnectionLoadChanged | api.MessageLatencyChanged
 MEASUREMENTS: Mapping[int, type[Measurement]] = {  # keyed by the topic of a STATUS_NOTE
     1: api.ConnectionLoadChanged,
@@ -63,7 +63,7 @@
 
 
 class Message(StrEnum):
-    """The messages that the host handles itself; EVENTS has those that are one event each."""
+    """Messages that the host handles itself. EVENTS has the messages that become one event each."""
 
     BATCH_STARTED = "ROUND"
     BATCH_ENDED = "FLUSH"
@@ -118,7 +118,7 @@
 
 
 def _outcome(fields: Fields) -> api.AttemptOutcome:
-    """Return the outcome; an unknown name counts as ERROR, since the attempt may have run."""
+    """Return the outcome. An unknown one counts as ERROR, since the server may have executed the request."""
     return OUTCOMES.get(fields.text("verdict"), api.AttemptOutcome.ERROR)
 
 
@@ -140,7 +140,7 @@
 
 
 def timer_text(token: api.TimerToken) -> str:
-    """Return a timer's text: `WORD`, or `WORD:DUE:CONNECTION` for a timer of one connection."""
+    """Return a timer's text: `NAME`, or `NAME:DUE:CONNECTION` for a timer of one connection."""
     name = TIMER_NAMES[token.kind]
     if not token.connection_id:
         return name
@@ -148,9 +148,9 @@
 
 
 def timer_token(text: str) -> api.TimerToken | None:
-    """Return the timer of a text that `timer_text` made; None for any other text."""
+    """Parse a text that `timer_text` returned. Return None for any other text."""
     name, _, rest = text.partition(TIMER_SEPARATOR)
-    due, _, connection_id = rest.partition(TIMER_SEPARATOR)  # the connection's id may contain a separator
+    due, _, connection_id = rest.partition(TIMER_SEPARATOR)  # a connection's id may contain the separator
     if not connection_id:
         kind = BALANCER_TIMERS.get(name)
         return api.TimerToken(kind) if kind else None
@@ -165,7 +165,7 @@
     return api.TimerFired(token) if token else None
 
 
-# Messages that are translated to one event each.
+# Messages that become one event each.
 EVENTS: Mapping[str, Callable[[Fields], api.Event | None]] = {
     "ARRIVAL": _request,
     "EXISTING": _existing_connection,
@@ -178,8 +178,8 @@
 }
 
 
-def endpoint(fields: Fields) -> api.Endpoint:
-    """Return one row of an endpoint list; an unknown state counts as draining."""
+def parse_endpoint(fields: Fields) -> api.Endpoint:
+    """Parse one row of an endpoint list. An unknown state counts as draining."""
     return api.Endpoint(
         fields.text("server"),
         STATES.get(fields.text("status"), api.EndpointState.DRAINING),
@@ -190,37 +190,37 @@
     )
 
 
-class ActionForm(NamedTuple):
-    """An action's name on the wire, and the action's attribute for each field of the line."""
+class ActionLineFormat(NamedTuple):
+    """The line of an action: its name, and the action's attribute for each field of the line."""
 
     name: str
     attributes: Mapping[str, str]
     constant: str = ""  # fixed last field of the line
 
 
-ACTIONS: Mapping[type, ActionForm] = {
-    api.StartAttempt: ActionForm(
+ACTIONS: Mapping[type, ActionLineFormat] = {
+    api.StartAttempt: ActionLineFormat(
         "TRANSMIT", {"requestId": "id", "server": "server", "limitUs": "timeout_us"}
     ),
-    api.Reject: ActionForm("SAY_NO", {"requestId": "id", "coolDownUs": "retry_after_us"}),
-    api.Fail: ActionForm("ABORT", {"requestId": "id"}),
-    api.Migrate: ActionForm("MIGRATE", {"requestId": "id"}),
-    api.CheckHealth: ActionForm("PROBE", {"server": "server"}),
-    api.SetTimer: ActionForm("ARM", {"waitUs": "delay_us", "tag": "token"}),
-    api.WatchEndpoints: ActionForm("STREAM_CHANGES", {}, "on=1"),
+    api.Reject: ActionLineFormat("SAY_NO", {"requestId": "id", "coolDownUs": "retry_after_us"}),
+    api.Fail: ActionLineFormat("ABORT", {"requestId": "id"}),
+    api.Migrate: ActionLineFormat("MIGRATE", {"requestId": "id"}),
+    api.CheckHealth: ActionLineFormat("PROBE", {"server": "server"}),
+    api.SetTimer: ActionLineFormat("ARM", {"waitUs": "delay_us", "tag": "token"}),
+    api.WatchEndpoints: ActionLineFormat("STREAM_CHANGES", {}, "on=1"),
 }
 
 
-def action_line(instance: int, action: api.Action) -> str:
-    """Return the line of a reply that carries this action of an instance."""
-    form = ACTIONS[type(action)]
-    line = f"{form.name}\tbalancer={instance}"
-    for key, attribute in form.attributes.items():
-        line += f"\t{key}={_field_text(getattr(action, attribute))}"
-    return f"{line}\t{form.constant}" if form.constant else line
+def action_line(instance_number: int, action: api.Action) -> str:
+    """Format an action of an instance as a line of the reply."""
+    line_format = ACTIONS[type(action)]
+    line = f"{line_format.name}\tbalancer={instance_number}"
+    for key, attribute in line_format.attributes.items():
+        line += f"\t{key}={_format_value(getattr(action, attribute))}"
+    return f"{line}\t{line_format.constant}" if line_format.constant else line
 
 
-def _field_text(value: str | int | api.TimerToken) -> str:
+def _format_value(value: str | int | api.TimerToken) -> str:
     return timer_text(value) if isinstance(value, api.TimerToken) else str(value)
 
 
@@ -229,7 +229,7 @@
     return f"READY\tturn={turn}"
 
 
-def fault_line(instance: int, message: str) -> str:
-    """Return the line that ends a run with a plain message."""
-    plain = " ".join(message.split())
-    return f"FAULT\tbalancer={instance}\twhat={plain}"
+def fault_line(instance_number: int, message: str) -> str:
+    """Return the line that reports a fault, which ends the run. The message is put on one line."""
+    one_line_message = " ".join(message.split())
+    return f"FAULT\tbalancer={instance_number}\twhat={one_line_message}"
