--- a/wheatstile/cli/check.py
+++ b/wheatstile/cli/check.py
@@ -34,7 +34,7 @@
 def command(file: str, config: str | None) -> ExitStatus:
     """Check the operator's FILE and the files that it names.
 
-    They are also checked against the platform's settings, if --config or RELAY_CONFIG names them.
+    All are also checked against the platform's settings if --config or RELAY_CONFIG is set.
     Exit status 0: valid; 1: rejected, with all reasons on standard error.
     """
     try:
--- a/wheatstile/cli/descriptions.py
+++ b/wheatstile/cli/descriptions.py
@@ -50,7 +50,7 @@
 
 @click.group("descriptions", cls=DescriptionGroup)
 def command() -> None:
-    """OpenAPI and AsyncAPI descriptions: check, routes, match, diff, graph."""
+    """Check, list, match, compare or draw OpenAPI and AsyncAPI descriptions."""
 
 
 def _compile(paths: Iterable[str], operator_file: str | None, config: str | None) -> Compilation:
@@ -74,13 +74,16 @@
         f"{len(compiled.warnings)} warnings"
     )
     for name, policy in sorted(compiled.classes.items()):
-        click.echo(f"class {name}: {_class_text(policy)}")
+        click.echo(f"class {name}: {_format_class(policy)}")
     if platform is None:
-        click.echo("not checked: the platform's classes, because neither --config nor RELAY_CONFIG is set")
+        click.echo(
+            "not checked: consistency with the platform's classes, "
+            "because neither --config nor RELAY_CONFIG is set"
+        )
     return ExitStatus.OK
 
 
-def _class_text(policy: ClassPolicy) -> str:
+def _format_class(policy: ClassPolicy) -> str:
     idempotency = IDEMPOTENCY_KEYWORDS.keyword(policy.idempotency)
     if policy.idempotency is not Idempotency.IDEMPOTENCY_KEY:
         return idempotency
--- a/wheatstile/cli/groups.py
+++ b/wheatstile/cli/groups.py
@@ -9,7 +9,7 @@
 
 
 class LazyGroup(click.Group):
-    """Imports the module of a command when the command is called, so that `serve` imports only its own."""
+    """Imports a command's module when the command is called, so that `serve` does not import the others."""
 
     def __init__(
         self,
--- a/wheatstile/cli/store.py
+++ b/wheatstile/cli/store.py
@@ -1,6 +1,6 @@
 """`wheatstile store`: runs a member of the replicated store, reads and changes keys, and manages members.
 
-The commands are defined in the modules `store_*`, each of which is imported when one of its commands runs.
+The modules `store_*` define the commands, and are imported only when one of their commands is called.
 """
 
 import click
--- a/wheatstile/cli/store_members.py
+++ b/wheatstile/cli/store_members.py
@@ -70,7 +70,8 @@
         voters.add(name)
 
     await client.put(f"{ADDRESS_KEY_PREFIX}/{name}", str(peer_port).encode())
-    # The member first receives the log as a learner: a voter without a log would count against the majority.
+    # The member first receives the log as a learner: a voter without a log counts in the majority, but cannot
+    # acknowledge new entries.
     exit_status = await _change_members(client, add_learner)
     if learner or exit_status is not ExitStatus.OK:
         return exit_status
--- a/wheatstile/simulator/host.py
+++ b/wheatstile/simulator/host.py
@@ -26,7 +26,7 @@
         self.missing_rows = 0  # rows that are still missing from the current list
         self.rows: list[api.Endpoint] = []
         self.now_us: int | None = None  # time of the current batch; None outside a batch
-        self.turn = "0"
+        self.turn = "0"  # number of the current batch, which the reply repeats
         self.instance_number = 0  # instance that the current line addresses; reported in a fault
         self.reply: list[str] = []
 
