--- a/tests/config/test_endpoints.py
+++ b/tests/config/test_endpoints.py
@@ -3,10 +3,10 @@
 import pytest
 
 from wheatstile import interface as api
-from wheatstile.config.endpoints import EndpointSnapshot, address_of, weight_of
+from wheatstile.config.endpoints import EndpointSnapshot, parse_host_port, weight_of
 
 
-def test_list_is_read_with_the_addresses_of_all_endpoints_that_are_not_gone() -> None:
+def test_endpoint_list_is_read_with_the_address_of_each_endpoint_that_is_not_gone() -> None:
     full = {
         "id": "s1",
         "phase": "ready",
@@ -33,13 +33,13 @@
 @pytest.mark.parametrize("text", ["", "80", ":80", "10.0.0.1", "10.0.0.1:0", "10.0.0.1:65536", "10.0.0.1:x"])
 def test_text_that_is_not_an_address_with_a_port_is_rejected(text: str) -> None:
     with pytest.raises(ValueError, match=r"HOST:PORT|invalid literal"):
-        address_of(text)
+        parse_host_port(text)
 
 
 def test_host_must_be_an_ipv4_address() -> None:
-    assert address_of("127.0.0.1:65535") == ("127.0.0.1", 65535)
+    assert parse_host_port("127.0.0.1:65535") == ("127.0.0.1", 65535)
     with pytest.raises(OSError, match="illegal IP address"):
-        address_of("localhost:80")
+        parse_host_port("localhost:80")
 
 
 @pytest.mark.parametrize(
--- a/tests/config/test_json_locations.py
+++ b/tests/config/test_json_locations.py
@@ -1,4 +1,4 @@
-"""The walk over a JSON text: the pointer and the line of each value."""
+"""The walk over a JSON text, which yields the pointer and the line of each value."""
 
 from wheatstile.config.json_locations import child_pointer, walk
 
--- a/tests/config/test_networks.py
+++ b/tests/config/test_networks.py
@@ -30,9 +30,9 @@
 @pytest.mark.parametrize(
     ("text", "reason"),
     [
-        ("10.0.0.0/33", "is no network"),
-        ("10.0.0.9-10.0.0.1", "is no network"),
-        ("here", "is no network"),
+        ("10.0.0.0/33", "is neither a network"),
+        ("10.0.0.9-10.0.0.1", "is neither a network"),
+        ("here", "is neither a network"),
         ("::1/128", "is not IPv4"),
     ],
 )
--- a/tests/config/test_operator.py
+++ b/tests/config/test_operator.py
@@ -23,7 +23,7 @@
 
 
 def violation_lines(text: str | bytes) -> list[str]:
-    """Return the lines that report the violations of an operator's file with this text."""
+    """Return the lines that report the violations in this text of an operator's file."""
     data = text if isinstance(text, bytes) else text.encode()
     with pytest.raises(ConfigurationError) as rejection:
         operator.parse("f", data)
@@ -50,7 +50,7 @@
     [
         ("", "f:1: /: no JSON"),
         ("[" * 100_000, "nested too deeply"),
-        ("[]", "is no object"),
+        ("[]", "is not an object"),
         ('{"log": {"level": "info",\n"level": "info"}}', "f:2: /log/level: the key stands twice, first"),
         ('{"a/b~": 1}', "f:1: /a~1b~0: unknown key"),
         (b'{"log": "\xff"}', "no UTF-8"),
@@ -67,7 +67,7 @@
 
 
 @given(st.text(alphabet='{}[]",:\\ \nabtrue1.-eu', max_size=60) | st.text(max_size=30))
-def test_no_text_raises_any_other_error(text: str) -> None:
+def test_no_text_raises_an_error_of_another_type(text: str) -> None:
     try:
         operator.parse("f", text.encode(errors="replace"))
     except ConfigurationError as rejection:
--- a/tests/config/test_platform.py
+++ b/tests/config/test_platform.py
@@ -1,4 +1,4 @@
-"""The platform's file: the configuration read from it, and the errors that name an invalid key."""
+"""The platform's file: the configuration that is read from it, and the errors that name an invalid key."""
 
 import json
 from pathlib import Path
@@ -28,7 +28,7 @@
 
 
 def read(path: Path, document: object = DOCUMENT, **variables: str) -> Config:
-    """Write the document to the file, and return the configuration read from it and the variables."""
+    """Write the document to the file, and read the configuration from it and these variables."""
     path.write_text(json.dumps(document))
     return Config.read({"RELAY_CONFIG": str(path)} | variables)
 
@@ -39,7 +39,7 @@
     return tmp_path / "config.json"
 
 
-def test_file_is_read_into_limits_with_their_units(path: Path) -> None:
+def test_values_of_the_file_are_converted_to_the_units_of_the_fields(path: Path) -> None:
     config = read(path)
     assert (config.name, config.listen, config.discovery) == ("n0", ("127.0.0.1", 80), ("127.0.0.1", 81))
     assert config.seed == 0x8C1F
@@ -84,7 +84,7 @@
 
 
 def test_missing_variable_or_file_is_rejected(tmp_path: Path) -> None:
-    with pytest.raises(ConfigError, match="RELAY_CONFIG names no file"):
+    with pytest.raises(ConfigError, match="RELAY_CONFIG is not set or is empty"):
         Config.read({})
     with pytest.raises(ConfigError, match="absent"):
         Config.read({"RELAY_CONFIG": str(tmp_path / "absent")})
--- a/tests/config/test_reports.py
+++ b/tests/config/test_reports.py
@@ -19,5 +19,5 @@
         ("", {}),
     ],
 )
-def test_only_known_names_with_finite_values_of_0_or_more_count(text: str, report: dict[str, float]) -> None:
+def test_unknown_names_and_invalid_values_are_ignored(text: str, report: dict[str, float]) -> None:
     assert parse_load_report(text, "=", NAMES) == report
--- a/tests/config/test_settings.py
+++ b/tests/config/test_settings.py
@@ -24,7 +24,7 @@
     return settings
 
 
-def test_platform_keys_are_mapped_to_settings_of_the_decisions() -> None:
+def test_platform_keys_are_mapped_to_settings_of_the_decision_module() -> None:
     settings = read_settings(SETTINGS)
     assert settings == parse_settings(json.dumps(SETTINGS))
     assert settings.classes["web"].latency_objective_us == 500_000
@@ -61,7 +61,7 @@
 
 
 @pytest.mark.parametrize(
-    ("word", "scope"),
+    ("keyword", "scope"),
     [
         ("all", api.DeduplicationScope.ALL),
         ("zone", api.DeduplicationScope.ZONE),
@@ -70,8 +70,8 @@
         (None, api.DeduplicationScope.UNKNOWN),
     ],
 )
-def test_deduplication_scope_is_mapped(word: object, scope: api.DeduplicationScope) -> None:
-    settings = read_settings(changed(lambda settings: settings["classes"][0].update(dedupScope=word)))
+def test_keyword_is_mapped_to_a_deduplication_scope(keyword: object, scope: api.DeduplicationScope) -> None:
+    settings = read_settings(changed(lambda settings: settings["classes"][0].update(dedupScope=keyword)))
     assert settings.classes["web"].deduplication_scope is scope
 
 
@@ -87,8 +87,8 @@
         (lambda settings: settings["familyInfo"].update(messageAimUs=5), "messageAimUs must be a list"),
     ],
 )
-def test_error_names_the_value_of_a_wrong_type(change: Change, expectation: str) -> None:
-    with pytest.raises(WrongTypeError, match=f"^settings: has a value of a wrong type: .*{expectation}"):
+def test_error_names_the_value_of_the_wrong_type(change: Change, expectation: str) -> None:
+    with pytest.raises(WrongTypeError, match=f"^settings: value of the wrong type: .*{expectation}"):
         read_settings(changed(change))
 
 
@@ -113,7 +113,7 @@
         ),
         (
             lambda settings: settings.update(accounts=[{"share": 0}, {"share": 0.0}]),
-            "accounts[].share must not sum to nothing",
+            "the sum of accounts[].share must not be 0",
         ),
         (lambda settings: settings["rules"].pop("coldFrom"), "lacks the key coldFrom"),
         (lambda settings: settings["classes"][0].pop("repeat"), "lacks the key repeat"),
@@ -125,7 +125,7 @@
     assert str(caught.value) == f"settings: {text}"
 
 
-def test_all_errors_of_the_package_have_one_base() -> None:
-    for kind in (SettingsError, MissingKeyError, WrongTypeError, ConfigError, ConfigurationError):
-        assert issubclass(kind, InvalidConfigurationError)
+def test_all_errors_of_the_package_have_one_base_class() -> None:
+    for error_type in (SettingsError, MissingKeyError, WrongTypeError, ConfigError, ConfigurationError):
+        assert issubclass(error_type, InvalidConfigurationError)
     assert MissingKeyError("classes").key == "classes"
--- a/tests/config/test_violations.py
+++ b/tests/config/test_violations.py
@@ -3,7 +3,7 @@
 import pytest
 
 from wheatstile.config.violations import (
-    MAX_SHOWN,
+    MAX_LISTED_VIOLATIONS,
     ConfigurationError,
     Violation,
     load,
@@ -41,10 +41,12 @@
 
 
 def test_number_of_listed_violations_is_bounded() -> None:
-    error = ConfigurationError("f", [Violation(f"/{index}", "odd") for index in range(MAX_SHOWN + 7)])
-    assert len(error.lines()) == MAX_SHOWN + 1
+    error = ConfigurationError(
+        "f", [Violation(f"/{index}", "odd") for index in range(MAX_LISTED_VIOLATIONS + 7)]
+    )
+    assert len(error.lines()) == MAX_LISTED_VIOLATIONS + 1
     assert error.lines()[0] == "f:1: /0: odd"
-    assert error.lines()[-1] == "f:1: /: and 7 more faults"
+    assert error.lines()[-1] == "f:1: /: and 7 more violations"
 
 
 def test_similar_name_is_suggested_and_otherwise_all_names_are_listed() -> None:
--- a/tests/process/test_background_tasks.py
+++ b/tests/process/test_background_tasks.py
@@ -1,4 +1,4 @@
-"""Background tasks run during their context, are restarted after a failure, and end with the context."""
+"""Background tasks run during their context, are restarted after a failure, and end with their context."""
 
 import asyncio
 from functools import partial
@@ -34,7 +34,7 @@
         try:
             await asyncio.Event().wait()
         finally:
-            await asyncio.sleep(0.01)  # the exit of the context waits for slow components
+            await asyncio.sleep(0.01)  # the exit from the context must wait for a slow component
             running.discard(name)
 
     async def main() -> None:
--- a/tests/process/test_config_reload.py
+++ b/tests/process/test_config_reload.py
@@ -1,4 +1,4 @@
-"""Reload of the platform's file: which fields it changes, and which files it rejects."""
+"""Reload of the platform's file: the fields that it changes, and the files that it rejects."""
 
 import json
 from pathlib import Path
@@ -23,7 +23,7 @@
 
 @pytest.fixture
 def path(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Path:
-    """Write DOCUMENT to a file that RELAY_CONFIG names; the other variables are not set."""
+    """Return the path of a file with DOCUMENT, which RELAY_CONFIG names. The other variables are not set."""
     path = tmp_path / "config.json"
     path.write_text(json.dumps(DOCUMENT))
     monkeypatch.setenv("RELAY_CONFIG", str(path))
--- a/tests/process/test_listener_socket.py
+++ b/tests/process/test_listener_socket.py
@@ -1,4 +1,4 @@
-"""The listening socket: binding is retried while the address is in use; any other error is raised at once."""
+"""The listening socket: binding is retried while the address is in use, but after no other error."""
 
 import asyncio
 import socket
@@ -47,7 +47,7 @@
     asyncio.run(main())
 
 
-def test_any_error_but_an_address_in_use_is_raised_at_once() -> None:
+def test_error_other_than_an_address_in_use_is_raised_at_once() -> None:
     async def main() -> None:
         with pytest.raises(OSError, match="assign"):
             await bind_listener(("192.0.2.1", 1), asyncio.Event())
--- a/tests/process/test_reload.py
+++ b/tests/process/test_reload.py
@@ -1,4 +1,4 @@
-"""A reload by SIGHUP, seen from outside: what it changes, what it rejects, and what stays as it is."""
+"""Reload of the platform's file by SIGHUP in a running process: applied changes and rejected files."""
 
 import json
 import select
@@ -19,7 +19,7 @@
     ("familyInfo.messageAimUs", [-1]), ("deductions.crossZone", float("inf")),
     ("accounts", [{"name": "a", "share": 0}]),
 )  # fmt: skip
-WORDS_IN_MESSAGES = {"fleetSize": "fleet"}  # for keys that the message does not name literally
+KEYS_IN_MESSAGES = {"fleetSize": "fleet"}  # the text that names a key, if it is not the key itself
 
 
 @pytest.fixture
@@ -40,14 +40,14 @@
     return json.dumps(copy)
 
 
-def word_in_message(path: str) -> str:
-    """Return the word by which the message for an invalid setting at this path names its key."""
+def key_in_message(path: str) -> str:
+    """Return the text that names the key in the message for an invalid setting at this path."""
     key = path.rpartition(".")[2]
-    return WORDS_IN_MESSAGES.get(key, key)
+    return KEYS_IN_MESSAGES.get(key, key)
 
 
 def watch_on_discovery_of_variable(balancer: Balancer, discovery_in_file: Listener) -> Peer:
-    """Start the balancer with RELAY_DISCOVERY, which overrides the file, and return its open watch."""
+    """Start the balancer with RELAY_DISCOVERY, which has priority over the file. Return its open watch."""
     balancer.path.write_text(json.dumps(balancer.config() | {"discovery": discovery_in_file.address}))
     balancer.launch(RELAY_DISCOVERY=balancer.discovery.address)
     balancer.ready()
@@ -64,7 +64,7 @@
 
     balancer.reload()
 
-    # Revisions of the old discovery mean nothing to the new one, so the complete list is fetched first.
+    # The new discovery does not know the revisions of the old one, so the complete list is fetched first.
     call, request = new_discovery.watch()
     assert request == "GET /discovery/hosts HTTP/1.1"
     assert old_watch.line() == ""
@@ -78,7 +78,7 @@
     new_watch, request = new_discovery.watch()
     assert "after=3 " in request
     client.send("a line")
-    assert server.line() == "a line"  # the open session is not affected
+    assert server.line() == "a line"  # the established session is not affected
 
     balancer.reload()  # without a change, the watch stays open
     new_watch.begin_watch()
@@ -86,9 +86,9 @@
     balancer.establish(2)
 
 
-def test_new_discovery_is_called_at_once_though_the_old_one_failed(balancer: Balancer) -> None:
+def test_new_discovery_is_called_without_the_backoff_of_the_old_one(balancer: Balancer) -> None:
     balancer.start()
-    for _ in range(3):  # the back-off after three failures is 2 to 6 s
+    for _ in range(3):  # the backoff after three failures is 2 to 6 s
         balancer.discovery.watch()[0].close()
     new_discovery = Listener()
     reloaded_at = time.monotonic()
@@ -131,7 +131,7 @@
     for path, value in INVALID_SETTINGS:
         entry = balancer.reload(with_setting(valid, path, value))
         assert entry["event"] == "config_reload_rejected", (path, value)
-        assert word_in_message(path) in entry["reason"], (path, value)
+        assert key_in_message(path) in entry["reason"], (path, value)
     balancer.check_serving(1)
 
 
@@ -143,7 +143,7 @@
 ) -> None:
     balancer.start(text=with_setting(balancer.config(), path, value))
     assert balancer.wait() == 2
-    assert word_in_message(path) in balancer.stop()
+    assert key_in_message(path) in balancer.stop()
 
 
 @pytest.mark.parametrize("settings", [SLOW_CONNECT])
@@ -162,7 +162,7 @@
 
     call, request = new_discovery.watch()
     assert request == "GET /discovery/hosts HTTP/1.1"
-    call.send("HTTP/1.1 200 OK", "Content-Length: 2", "", "{}")  # not a list, so the list is fetched again
+    call.send("HTTP/1.1 200 OK", "Content-Length: 2", "", "{}")  # no endpoint list, so it is fetched again
     _, request = new_discovery.watch()
     assert request == "GET /discovery/hosts HTTP/1.1"
     assert select.select([new_discovery.sock, balancer.discovery.sock], [], [], 1.0)[0] == []
--- a/tests/process/test_restart.py
+++ b/tests/process/test_restart.py
@@ -16,7 +16,7 @@
 from support.peer import TIMEOUT_S, Peer
 
 READY_TIMEOUT_S = 6.0  # time from the launch until the balancer answers PING
-READY_TIMEOUT_BESIDE_PREDECESSOR_S = 10.0  # while the previous process still uses the address
+READY_TIMEOUT_BESIDE_PREDECESSOR_S = 10.0  # the same, while the previous process still uses the address
 RECONNECT_DELAY_S = 0.02
 
 
@@ -26,9 +26,9 @@
 
 
 class ReconnectingClients:
-    """Starts one thread for each client, which opens a session and reconnects when it ends.
+    """Runs one thread for each client, which opens a session and reconnects when the session ends.
 
-    `close` ends all threads and their connections.
+    The constructor starts the threads. `close` ends them and their connections.
     """
 
     COUNT = 20
@@ -45,7 +45,7 @@
 
     def _keep_connecting(self) -> None:
         while not self._closing.is_set():
-            with suppress(OSError):  # the connect is refused while no process listens
+            with suppress(OSError):  # the connection is refused while no process listens
                 self._run_session()
             self._closing.wait(RECONNECT_DELAY_S)
 
@@ -81,7 +81,7 @@
 
 @pytest.fixture
 def fleet() -> Iterator[EchoServers]:
-    """Three servers that accept every session."""
+    """Return three servers that accept every session."""
     with closing(EchoServers(["s1", "s2", "s3"])) as fleet:
         yield fleet
 
--- a/tests/process/test_shutdown_schedule.py
+++ b/tests/process/test_shutdown_schedule.py
@@ -6,7 +6,7 @@
     KILL_MARGIN_S,
     MAX_COUNTED_DEADLINE_S,
     MIGRATION_MARGIN_S,
-    NEW_CONNECTIONS_S,
+    MIN_SERVE_S,
     ShutdownSchedule,
 )
 
@@ -23,5 +23,5 @@
     assert schedule.serve_s == pytest.approx(serve_s)
     assert schedule.migrate_s == pytest.approx(migrate_s)
     earliest_kill_s = min(longest_deadline_s, MAX_COUNTED_DEADLINE_S) + KILL_MARGIN_S
-    assert schedule.serve_s >= NEW_CONNECTIONS_S
+    assert schedule.serve_s >= MIN_SERVE_S
     assert schedule.serve_s + schedule.migrate_s == pytest.approx(earliest_kill_s - MIGRATION_MARGIN_S)
--- a/tests/process/test_signals_at_the_end.py
+++ b/tests/process/test_signals_at_the_end.py
@@ -13,8 +13,8 @@
 
 
 @pytest.mark.parametrize("number", [signal.SIGTERM, signal.SIGINT, signal.SIGUSR1, signal.SIGHUP])
-def test_signals_in_series_do_not_change_the_exit_status(balancer: Balancer, number: signal.Signals) -> None:
-    """Guards against a planned restart that is reported as a crash, since a signal came at its very end."""
+def test_repeated_signals_do_not_change_the_exit_status(balancer: Balancer, number: signal.Signals) -> None:
+    """Guards against a planned restart that is reported as a crash because a signal arrives at the exit."""
     balancer.start(stderr=subprocess.DEVNULL)
     balancer.establish()  # loads everything that a session needs
     balancer.terminate()
@@ -22,7 +22,7 @@
 
 
 @pytest.mark.parametrize("number", [signal.SIGTERM, signal.SIGINT])
-def test_signals_in_series_do_not_change_the_exit_status_of_the_store(
+def test_repeated_signals_do_not_change_the_exit_status_of_the_store(
     tmp_path: Path, number: signal.Signals
 ) -> None:
     member = ProgramProcess("store", "serve", "--listen=0", "--client=0", f"--dir={tmp_path}")
@@ -31,7 +31,7 @@
 
 
 def exit_status_under_signals(process: subprocess.Popen[str], number: signal.Signals) -> int:
-    """Send a signal again and again until the process has ended, and return its exit status."""
+    """Send a signal repeatedly until the process has ended, and return its exit status."""
     while process.poll() is None:
         process.send_signal(number)
         time.sleep(SIGNAL_INTERVAL_S)
--- a/tests/process/test_start.py
+++ b/tests/process/test_start.py
@@ -15,7 +15,7 @@
 from support.peer import Listener
 
 NO_SETTINGS = "a configuration without settings"
-COUNTER_REPORTS_THAT_FILL_A_PIPE = 600  # of more than 110 bytes each; a pipe takes 64 KiB
+COUNTER_REPORTS_THAT_FILL_A_PIPE = 600  # a report has more than 110 bytes, and a pipe buffers 64 KiB
 
 
 @pytest.fixture
@@ -74,7 +74,7 @@
     text = json.dumps(balancer.config())
     os.mkfifo(balancer.path)
     balancer.launch()
-    with open(balancer.path, "w") as file:  # blocks until the program has opened the file
+    with open(balancer.path, "w") as file:  # blocks until the program opens the file
         balancer.process.send_signal(signal.SIGHUP)
         file.write(text)
     balancer.logged("serving_started")
@@ -87,16 +87,16 @@
 def test_sighup_while_the_program_is_loaded_ends_nothing(balancer: Balancer) -> None:
     """Run the command of the deploy file. `sitecustomize` blocks the start until the signal is sent."""
     command = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["run"]
-    folder = Path(balancer.folder.name)
-    start_fifo = folder / "start_fifo"
+    directory = Path(balancer.folder.name)
+    start_fifo = directory / "start_fifo"
     os.mkfifo(start_fifo)
-    (folder / "sitecustomize.py").write_text(f"open({str(start_fifo)!r}).read()\n")
+    (directory / "sitecustomize.py").write_text(f"open({str(start_fifo)!r}).read()\n")
     balancer.write_config()
     environ = {key: value for key, value in os.environ.items() if not key.startswith("RELAY_")}
     balancer.process = subprocess.Popen(
         ["/bin/sh", "-c", command.replace(".run/bin/python", sys.executable)],
         cwd=ROOT,
-        env=environ | {"RELAY_CONFIG": str(balancer.path), "PYTHONPATH": str(folder)},
+        env=environ | {"RELAY_CONFIG": str(balancer.path), "PYTHONPATH": str(directory)},
         stderr=subprocess.PIPE,
         text=True,
     )
@@ -109,7 +109,7 @@
 
 
 @pytest.mark.parametrize("settings", [{}])
-def test_counters_are_logged_on_request(balancer: Balancer) -> None:
+def test_counters_are_logged_on_sigusr1(balancer: Balancer) -> None:
     balancer.start()
     _client, _server = balancer.establish()
     counters = balancer.counters()
@@ -121,7 +121,7 @@
     with open("/dev/full", "wb") as full:
         balancer.start(stderr=full)
         client, _server = balancer.establish()
-        balancer.terminate()  # the shutdown is logged, too
+        balancer.terminate()  # the shutdown is logged too
         assert client.line() == "MOVE"
         assert balancer.wait() == 0
 
@@ -132,7 +132,7 @@
     client, server = balancer.establish()
     for _ in range(COUNTER_REPORTS_THAT_FILL_A_PIPE):
         balancer.process.send_signal(signal.SIGUSR1)
-        balancer.pinged_client().close()  # the signal has been handled
+        balancer.pinged_client().close()  # the answer shows that the signal has been handled
     client.send("still served")
     assert server.line() == "still served"
-    balancer.counters()  # the log goes on once it is read again
+    balancer.counters()  # the log continues once it is read again
--- a/wheatstile/config/endpoints.py
+++ b/wheatstile/config/endpoints.py
@@ -1,4 +1,4 @@
-"""Endpoint lists in the JSON format of discovery. The platform's file contains one, under `known`."""
+"""Endpoint lists in the JSON format of discovery. The platform's file contains one under the key `known`."""
 
 import socket
 from dataclasses import dataclass
@@ -8,7 +8,7 @@
 from wheatstile import interface as api
 from wheatstile.config.units import US_PER_MS
 
-STATES = {  # keys: values of `phase`
+STATES = {  # the keys are the values of `phase`
     "ready": api.EndpointState.READY,
     "draining": api.EndpointState.DRAINING,
     "gone": api.EndpointState.GONE,
@@ -17,7 +17,7 @@
 DEFAULT_WEIGHT = 1.0
 
 
-def address_of(text: str) -> tuple[str, int]:
+def parse_host_port(text: str) -> tuple[str, int]:
     """Parse HOST:PORT, where HOST is an IPv4 address. Raises ValueError or OSError."""
     host, _, port = text.rpartition(":")
     if host:
@@ -28,7 +28,7 @@
 
 
 def weight_of(value: float | str) -> float:
-    """Return the weight as a number; one that is not positive and finite is replaced by DEFAULT_WEIGHT.
+    """Return the weight as a number. DEFAULT_WEIGHT replaces one that is not positive and finite.
 
     Raises ValueError or TypeError if the value is not a number.
     """
@@ -37,7 +37,7 @@
 
 
 class ResolvedEndpoint(NamedTuple):
-    """One endpoint with its address."""
+    """An endpoint and its address."""
 
     endpoint: api.Endpoint
     address: tuple[str, int] | None  # None if the endpoint is gone
@@ -48,9 +48,9 @@
     """A complete endpoint list, or the changes to one, with the addresses of the endpoints."""
 
     revision: int
-    complete: bool  # whether the endpoints that are not listed are gone
+    complete: bool  # True if all endpoints that are not listed are gone
     endpoints: list[api.Endpoint]
-    addresses: dict[str, tuple[str, int] | None]  # by name; None if the endpoint is gone
+    addresses: dict[str, tuple[str, int] | None]  # keys: names of the endpoints; None if one is gone
 
     @property
     def members(self) -> list[ResolvedEndpoint]:
@@ -59,7 +59,7 @@
 
     @classmethod
     def read(cls, data: Any) -> "EndpointSnapshot":
-        """Read a list of discovery. Raises ValueError, KeyError, TypeError, AttributeError or OSError."""
+        """Read an endpoint list. Raises ValueError, KeyError, TypeError, AttributeError or OSError."""
         members = [_read_member(member) for member in data["members"]]
         return cls(
             revision=int(data["revision"]),
@@ -70,7 +70,7 @@
 
 
 def _read_member(member: dict[str, Any]) -> ResolvedEndpoint:
-    """Read one entry. An unknown state counts as DRAINING, so the server gets no new sessions."""
+    """Read one entry of the list. An unknown state counts as DRAINING, so the server gets no new sessions."""
     state = STATES.get(member["phase"], api.EndpointState.DRAINING)
     endpoint = api.Endpoint(
         name=str(member["id"]),
@@ -81,4 +81,4 @@
         started_at_us=int(member.get("up_since_ms", 0)) * US_PER_MS,
     )
     is_gone = state is api.EndpointState.GONE
-    return ResolvedEndpoint(endpoint, None if is_gone else address_of(member["host_port"]))
+    return ResolvedEndpoint(endpoint, None if is_gone else parse_host_port(member["host_port"]))
--- a/wheatstile/config/errors.py
+++ b/wheatstile/config/errors.py
@@ -1,8 +1,8 @@
-"""The errors of the package, except `ConfigError` in `platform` and `ConfigurationError` in `violations`."""
+"""Exceptions of the package. `platform` and `violations` define further ones with the same base class."""
 
 
 class InvalidConfigurationError(ValueError):
-    """Base of the package's errors: a configuration was rejected, and nothing of it is applied."""
+    """Base class of the package's errors. A rejected configuration is not applied, not even in part."""
 
 
 class SettingsError(InvalidConfigurationError):
@@ -21,7 +21,5 @@
     """A value has the wrong type."""
 
     def __init__(self, location: str, expected: str, value: object) -> None:
-        super().__init__(
-            f"settings: has a value of a wrong type: {location} must be {expected}, not {value!r}"
-        )
+        super().__init__(f"settings: value of the wrong type: {location} must be {expected}, not {value!r}")
         self.location = location
--- a/wheatstile/config/json_locations.py
+++ b/wheatstile/config/json_locations.py
@@ -1,7 +1,7 @@
-"""The JSON pointer and the line of each value in a JSON text.
+"""Finds the JSON pointer and the line of each value in a JSON text.
 
-`json` from the standard library does not report them. This walk over the text is slower, so it is used only
-once a violation has to be reported.
+`json` from the standard library does not report them. The walk over the text is slower than that parser, so
+it is used only when a violation has to be reported.
 """
 
 import json
@@ -28,7 +28,7 @@
 
     pointer: str
     line: int
-    first_line: int  # line of the first key with this name in the object, if this key is a duplicate; else 0
+    first_line: int  # if the key is a duplicate: line of the first key with this name in the object; else 0
 
 
 def child_pointer(parent: str, key: str | int) -> str:
@@ -84,12 +84,12 @@
         return self.member or child_pointer(self.pointer, self.index)
 
     def advance(self) -> None:
-        """Handle a comma."""
+        """Handle a comma, which ends an element or a member."""
         self.index += 1
         self.member = ""
 
     def open_member(self, key: str, line: int) -> Location:
-        """Handle the key of a member, and return its location."""
+        """Handle the key of a member, and return the location of the member."""
         first_line = self.key_lines.get(key, 0)
         self.key_lines.setdefault(key, line)
         self.member = child_pointer(self.pointer, key)
--- a/wheatstile/config/networks.py
+++ b/wheatstile/config/networks.py
@@ -5,7 +5,7 @@
 
 import netaddr
 
-IPV4 = 4
+IPV4_VERSION = 4
 
 
 class NetworkError(ValueError):
@@ -15,7 +15,7 @@
 class Networks:
     """The union of networks (`10.0.0.0/8`) and ranges (`10.1.0.1-10.1.0.9`), with a fast membership test.
 
-    The constructor raises NetworkError. Addresses are integers.
+    Addresses are integers. The constructor raises NetworkError for a text of any other form.
     """
 
     def __init__(self, texts: Iterable[str]) -> None:
@@ -41,7 +41,9 @@
         first, dash, last = text.partition("-")
         addresses = netaddr.IPRange(first.strip(), last.strip()) if dash else netaddr.IPNetwork(text)
     except (netaddr.AddrFormatError, ValueError):
-        raise NetworkError(f'"{text}" is no network (10.0.0.0/8) or range (10.1.0.1-10.1.0.9)') from None
-    if addresses.version != IPV4:
-        raise NetworkError(f'"{text}" is not IPv4; no other version is supported')
+        raise NetworkError(
+            f'"{text}" is neither a network (10.0.0.0/8) nor a range (10.1.0.1-10.1.0.9)'
+        ) from None
+    if addresses.version != IPV4_VERSION:
+        raise NetworkError(f'"{text}" is not IPv4, the only supported version')
     return addresses
--- a/wheatstile/config/operator.py
+++ b/wheatstile/config/operator.py
@@ -1,6 +1,7 @@
-"""The operator's file: JSON with a section for each optional subsystem. Without its section, it is disabled.
+"""The operator's file: JSON with a section for each optional subsystem.
 
-`wheatstile schema` generates the JSON Schema from these types. Paths in the file are relative to its folder.
+A subsystem without a section is disabled. Paths in the file are relative to the directory of the file.
+`wheatstile schema` generates the JSON Schema from these types.
 """
 
 from dataclasses import dataclass
@@ -29,36 +30,43 @@
 
 
 RecheckInterval = Annotated[
-    float, _described("seconds between checks for changes without a notification", ge=0.1, le=3600)
+    float, _described("seconds between polls for changes that were not notified", ge=0.1, le=3600)
 ]
 
 
 class Servers(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """The watched endpoint file. Disabled without `file`."""
+    """The endpoint file, which is watched for changes. The section is disabled without `file`."""
 
     file: Annotated[str, _described("endpoint file; null disables the section", min_length=1)] | None = None
     mode: Annotated[
         Literal["fallback", "override", "merge"],
-        _described("when the file is in force: while discovery is silent, always, or merged with discovery"),
+        _described("use of the file: while discovery is silent, always, or merged with discovery"),
     ] = "fallback"
     after_s: Annotated[
-        float, _described("seconds of silence of discovery until the file is in force", ge=0, le=86400)
+        float, _described("seconds of silence of discovery after which the file is used", ge=0, le=86400)
     ] = 10.0
     hold_down_s: Annotated[
         float,
-        _described("seconds that a flapping discovery must answer; doubles up to 8 times", ge=0, le=3600),
+        _described(
+            "seconds for which a flapping discovery must answer before it is used again; "
+            "doubles with each further loss, up to 8 times this value",
+            ge=0,
+            le=3600,
+        ),
     ] = 30.0
     require_seal: Annotated[bool, _described("reject a file without a seal")] = False
     settle_s: Annotated[
-        float, _described("seconds that an unsealed file must stay unchanged", ge=0.02, le=60)
+        float, _described("seconds for which an unsealed file must stay unchanged", ge=0.02, le=60)
     ] = 0.2
     recheck_s: RecheckInterval = 5.0
     state_dir: (
-        Annotated[str, _described("folder of the last known good list; null disables it", min_length=1)]
+        Annotated[
+            str, _described("directory for the last known good endpoint list; null disables it", min_length=1)
+        ]
         | None
     ) = None
     networks: Annotated[
-        list[str], _described("allowed addresses of servers, as CIDR or FIRST-LAST", min_length=1)
+        list[str], _described("allowed server addresses, as CIDR networks or ranges FIRST-LAST", min_length=1)
     ] = msgspec.field(default_factory=lambda: ["0.0.0.0/0"])
     least_per_site: Annotated[
         int, _described("minimum number of ready servers in each site", ge=1, le=100_000)
@@ -74,18 +82,22 @@
 
 
 Repeat = Literal["safe", "keyed", "unsafe"]
-"""Whether a request may be repeated: the words of the operator's file for `Idempotency`."""
+"""Keywords of the operator's file for `Idempotency`, which says whether a request may be repeated."""
 
 
 class DescriptionRule(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """Assigns a class to operations, and optionally whether they may be repeated."""
 
     when: Annotated[
-        str, _described('the operations, for example: method == "POST" and path ~ "/orders/**"', min_length=1)
+        str,
+        _described(
+            'condition that selects the operations, for example: method == "POST" and path ~ "/orders/**"',
+            min_length=1,
+        ),
     ]
     service_class: Annotated[str, _described("name of the class", min_length=1)] = msgspec.field(name="class")
     repeat: (
-        Annotated[Repeat, _described("stricter than the description: applied; looser: a conflict")] | None
+        Annotated[Repeat, _described("applied if stricter than the description; a conflict if looser")] | None
     ) = None
 
 
@@ -96,21 +108,21 @@
 
 
 class Descriptions(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """OpenAPI and AsyncAPI descriptions. Disabled without `paths`."""
+    """OpenAPI and AsyncAPI descriptions. The section is disabled without `paths`."""
 
-    paths: Annotated[list[str], _described("files and folders; an empty list disables the section")] = (
+    paths: Annotated[list[str], _described("files and directories; an empty list disables the section")] = (
         msgspec.field(default_factory=list)
     )
-    rules: Annotated[list[DescriptionRule], _described("in order; the first match is applied")] = (
-        msgspec.field(default_factory=list)
-    )
-    classes: Annotated[dict[str, ClassOverride], _described("overrides by the name of the class")] = (
-        msgspec.field(default_factory=dict)
+    rules: Annotated[
+        list[DescriptionRule], _described("rules in their order; the first that matches is applied")
+    ] = msgspec.field(default_factory=list)
+    classes: Annotated[dict[str, ClassOverride], _described("overrides by class name")] = msgspec.field(
+        default_factory=dict
     )
     require_class: Annotated[bool, _described("reject operations without a class")] = False
     strict: Annotated[bool, _described("treat warnings as conflicts")] = False
     settle_s: Annotated[
-        float, _described("seconds that changed files must stay unchanged", ge=0.02, le=60)
+        float, _described("seconds for which changed files must stay unchanged", ge=0.02, le=60)
     ] = 0.5
     recheck_s: RecheckInterval = 5.0
 
@@ -132,15 +144,15 @@
     settings: Operator
 
     def near(self, path: str) -> Path:
-        """Return a path in the file, resolved against the folder of the file."""
+        """Resolve a path in the file against the directory of the file."""
         return self.path.parent / path
 
 
 def parse(file: str, data: bytes) -> Operator:
-    """Return the settings in these bytes. Raises ConfigurationError with every violation and its location."""
+    """Parse an operator's file. Raises ConfigurationError with every violation and its location."""
     text, value = load(file, data, MAX_OPERATOR_FILE_BYTES)
     if not isinstance(value, dict):
-        raise ConfigurationError(file, [Violation("", "is no object", 1)])
+        raise ConfigurationError(file, [Violation("", "is not an object", 1)])
     violations = list(shape.find_violations(value, Operator))
     servers = value.get("servers")
     if isinstance(servers, dict) and isinstance(servers.get("networks"), list):
@@ -167,7 +179,7 @@
 
 
 def _network_violations(networks: list[object]) -> list[Violation]:
-    from wheatstile.config.networks import NetworkError, Networks  # imports netaddr only if it is needed
+    from wheatstile.config.networks import NetworkError, Networks  # netaddr is imported only if it is needed
 
     violations = []
     for index, network in enumerate(networks):
--- a/wheatstile/config/platform.py
+++ b/wheatstile/config/platform.py
@@ -7,7 +7,7 @@
 from typing import cast
 
 from wheatstile import interface as api
-from wheatstile.config.endpoints import EndpointSnapshot, address_of
+from wheatstile.config.endpoints import EndpointSnapshot, parse_host_port
 from wheatstile.config.errors import InvalidConfigurationError, MissingKeyError
 from wheatstile.config.section import Section
 from wheatstile.config.settings import message_latency_objectives_us, read_settings
@@ -20,7 +20,7 @@
 DISCOVERY_VARIABLE = "RELAY_DISCOVERY"
 
 MIN_DEADLINE_US = US_PER_MS  # the line protocol carries deadlines in whole milliseconds
-HEALTH_CHECK_TIMEOUT_FACTOR = 2  # times the message latency objective
+HEALTH_CHECK_TIMEOUT_FACTOR = 2  # multiple of the message latency objective
 
 
 class ConfigError(InvalidConfigurationError):
@@ -33,17 +33,17 @@
 
     connect_timeout_s: float
     idle_timeout_s: float  # an unused connection is closed after this time
-    reports_message_latency: bool  # whether slow servers are reported to the decisions
+    reports_message_latency: bool  # True if slow servers are reported to the decision module
     message_latency_objective_ms: float  # shortest objective of all classes; 0 if none is set
-    descriptors: int  # maximum number of open descriptors of the process
+    descriptors: int  # maximum number of open file descriptors of the process
 
     @property
     def health_check_timeout_s(self) -> float:
-        """Return the timeout for the answer to a health check, once connected.
+        """Return the timeout for the answer to a health check on an established connection.
 
-        It is a multiple of the message latency objective, or the connect timeout if there is none. It is kept
-        short because servers answer health checks ahead of their queue, and because a server that hangs gets
-        new sessions until the timeout.
+        It is a multiple of the message latency objective, or the connect timeout if there is no objective. A
+        short timeout is enough, because servers answer health checks ahead of their queue. It is also needed,
+        because a server that hangs gets new sessions until the timeout.
         """
         timeout_ms = HEALTH_CHECK_TIMEOUT_FACTOR * self.message_latency_objective_ms
         return timeout_ms / MS_PER_S or self.connect_timeout_s
@@ -53,9 +53,9 @@
 class ClientLimits:
     """The limits for connections from clients."""
 
-    descriptors: int  # maximum number of open descriptors of the process
+    descriptors: int  # maximum number of open file descriptors of the process
     deadlines_ms: dict[str, int]  # longest time that a client waits, by class
-    max_retry_after_ms: int  # longest retry delay in a rejection; 0 if rejections carry none
+    max_retry_after_ms: int  # longest retry delay in a rejection; 0 if rejections carry no delay
 
 
 @dataclass(frozen=True, slots=True)
@@ -80,7 +80,7 @@
         """
         path = environ.get(CONFIG_VARIABLE)
         if not path:
-            raise ConfigError(f"{CONFIG_VARIABLE} names no file")
+            raise ConfigError(f"{CONFIG_VARIABLE} is not set or is empty")
         try:
             with open(path, encoding="utf-8") as file:
                 document = json.load(file)
@@ -104,25 +104,25 @@
     limits = settings.section("limits")
     descriptors = _descriptors(config)
     deadlines_ms = _deadlines_ms(settings)
-    decisions = read_settings(config.require("settings"))
+    decision_settings = read_settings(config.require("settings"))
     return Config(
         name=environ.get(NAME_VARIABLE) or str(config.require("name")),
-        listen=address_of(environ.get(LISTEN_VARIABLE) or config.text("listen")),
-        discovery=address_of(environ.get(DISCOVERY_VARIABLE) or config.text("discovery")),
+        listen=parse_host_port(environ.get(LISTEN_VARIABLE) or config.text("listen")),
+        discovery=parse_host_port(environ.get(DISCOVERY_VARIABLE) or config.text("discovery")),
         seed=int(config.text("seed"), 16),
         known=EndpointSnapshot.read(config.require("known")),
-        # The setting describes the simulator: the line protocol has no message for latencies. Those that the
-        # latency monitor measures do not replace load reports: they are rare, and an overloaded server may
-        # still answer lines at once.
-        settings=replace(decisions, reports_message_latency=False),
+        # The setting applies to the simulator only: the line protocol has no message for latencies. The
+        # latencies that the latency monitor measures do not replace load reports, because they are rare and
+        # an overloaded server may still answer lines at once.
+        settings=replace(decision_settings, reports_message_latency=False),
         upstream_limits=_upstream_limits(settings, limits, descriptors),
-        client_limits=ClientLimits(descriptors, deadlines_ms, _max_retry_after_ms(decisions)),
+        client_limits=ClientLimits(descriptors, deadlines_ms, _max_retry_after_ms(decision_settings)),
         longest_deadline_s=max(deadlines_ms.values()) / MS_PER_S,
     )
 
 
 def _descriptors(config: Section) -> int:
-    """Return the maximum number of open descriptors: the platform's limit, at most the hard limit."""
+    """Return the maximum number of open file descriptors: the platform's limit, at most the hard limit."""
     platform_limits = Section(config.require("limits"), "the platform's limits.")
     _, hard_limit = resource.getrlimit(resource.RLIMIT_NOFILE)
     return min(platform_limits.integer("sockets", 1), hard_limit)
@@ -136,8 +136,8 @@
 
 
 def _upstream_limits(settings: Section, limits: Section, descriptors: int) -> UpstreamLimits:
-    # The objective of each class was checked when the decisions' settings were read. A surplus one may raise
-    # TypeError, which Config.read reports.
+    # `read_settings` has checked the objective of each class. Any surplus objective is unchecked, and may
+    # raise TypeError, which Config.read reports.
     objectives_us = cast(list[float], message_latency_objectives_us(settings))
     is_reported = settings.optional_section("familyInfo").flag("tellsDelay")
     return UpstreamLimits(
--- a/wheatstile/config/reports.py
+++ b/wheatstile/config/reports.py
@@ -1,4 +1,4 @@
-"""Parser of load reports, which a line of text contains as `NAME<separator>VALUE,...`."""
+"""Parser of load reports, which have the form `NAME<separator>VALUE,...`."""
 
 from collections.abc import Mapping
 from math import isfinite
@@ -7,9 +7,9 @@
 
 
 def parse_load_report(text: str, separator: str, metric_names: Mapping[str, str]) -> api.LoadReport:
-    """Return the values of the report by `LoadMetric`; `metric_names` maps the names of the text to them.
+    """Return the values of the report by `LoadMetric`. `metric_names` maps the names in the text to metrics.
 
-    Unknown names are ignored, as are values that are not finite numbers of 0 or more.
+    Unknown names are ignored. Values that are not finite numbers of 0 or more are ignored too.
     """
     report = {}
     for pair in text.split(","):
--- a/wheatstile/config/section.py
+++ b/wheatstile/config/section.py
@@ -1,7 +1,7 @@
 """Typed access to an object in a parsed JSON document, with errors that name the invalid key.
 
-The platform's file is not decoded with msgspec: its unknown keys are ignored, its integers may be written as
-floats, and a balancer without an operator's file must not import msgspec.
+The platform's file is not decoded with msgspec, because its unknown keys are ignored, its integers may be
+written as floats, and a balancer without an operator's file must not import msgspec.
 """
 
 from collections.abc import Mapping
@@ -14,7 +14,7 @@
 class Section:
     """One JSON object. Every method raises SettingsError for an invalid value.
 
-    `prefix` is the path of the object, which precedes its keys in error messages.
+    Error messages put `prefix`, the path of the object, before a key.
     """
 
     def __init__(self, value: object, prefix: str = "") -> None:
@@ -66,12 +66,12 @@
         return checked_name(self.require(key), f"{self._prefix}{key}")
 
     def names(self, key: str) -> list[str]:
-        """Return the elements of the list under this key as text; no elements if the key is missing."""
+        """Return the elements of the list under this key as text, or no elements if the key is missing."""
         location = f"{self._prefix}{key}"
         return [checked_name(value, location) for value in checked_list(self.get(key, []), location)]
 
     def flag(self, key: str) -> bool:
-        """Return whether the value under this key is true in Python's sense; false if the key is missing."""
+        """Return the value under this key as a boolean, by Python's rules; False if the key is missing."""
         return bool(self.get(key, False))
 
     def number(self, key: str, minimum: float, default: float | None = None) -> float:
@@ -109,7 +109,7 @@
 def checked_list(value: object, location: str) -> list[object]:
     """Return the elements of a list. Raises WrongTypeError.
 
-    An object counts as the list of its keys, and a string as that of its characters.
+    An object counts as the list of its keys, and a string as the list of its characters.
     """
     if not isinstance(value, list | dict | str):
         raise WrongTypeError(location, "a list", value)
--- a/wheatstile/config/settings.py
+++ b/wheatstile/config/settings.py
@@ -1,6 +1,6 @@
-"""Reads the platform's settings, which are nested JSON, into `Settings`. The keys are in docs/glossary.md.
+"""Reads the platform's settings, which are nested JSON, into `Settings`. docs/glossary.md lists the keys.
 
-The balancer reads them from the platform's file, the simulator's host from its first message.
+The balancer finds them in the platform's file, and the simulator's host in its first message.
 """
 
 import json
@@ -10,18 +10,18 @@
 from wheatstile.config.errors import MissingKeyError, SettingsError
 from wheatstile.config.section import Section, checked_list, checked_number
 
-IDEMPOTENCY = {  # keys: values of `classes[].repeat`
+IDEMPOTENCY = {  # the keys are the values of `classes[].repeat`
     "retryable": api.Idempotency.IDEMPOTENT,
     "dedup": api.Idempotency.IDEMPOTENCY_KEY,
     "fragile": api.Idempotency.NON_IDEMPOTENT,
 }
-DEDUPLICATION_SCOPES = {  # keys: values of `classes[].dedupScope`
+DEDUPLICATION_SCOPES = {  # the keys are the values of `classes[].dedupScope`
     "all": api.DeduplicationScope.ALL,
     "zone": api.DeduplicationScope.ZONE,
     "cell": api.DeduplicationScope.CELL,
 }
 DEFAULT_DEDUPLICATION_SCOPE = "all"
-LOAD_METRICS: dict[str, str] = {  # keys: values of `telemetry.names`
+LOAD_METRICS: dict[str, str] = {  # the keys are the values of `telemetry.names`
     "outstanding": api.LoadMetric.IN_FLIGHT.value,
     "backlog": api.LoadMetric.QUEUE_LENGTH.value,
     "utilization": api.LoadMetric.BUSY_SHARE.value,
@@ -31,7 +31,7 @@
     "x0": api.LoadMetric.LOAD.value,
     "x1": api.LoadMetric.BACKLOG_S.value,
 }
-POLLED_DISCOVERY = "on_request"  # value of `discovery` if balancers have to ask for the endpoint list
+POLLED_DISCOVERY = "on_request"  # value of `discovery` if balancers must poll the endpoint list
 NO_TELEMETRY = "silent"  # value of `telemetry.via` if servers do not report their load
 DEFAULT_SLOW_START_OVERLOAD_WINDOW_US = 1_500_000
 DEFAULT_POLL_INTERVAL_US = 10_000_000
@@ -53,7 +53,7 @@
     except MissingKeyError as error:
         raise SettingsError(str(error)) from None
     except (TypeError, AttributeError) as error:
-        raise SettingsError(f"settings: has a value of a wrong type: {error}") from None
+        raise SettingsError(f"settings: value of the wrong type: {error}") from None
     except SettingsError:
         raise
     except ValueError as error:  # raised by the checks of api.Settings
@@ -61,7 +61,7 @@
 
 
 def message_latency_objectives_us(settings: Section) -> list[object]:
-    """Return `familyInfo.messageAimUs`: one objective for each class, in the order of the classes.
+    """Return `familyInfo.messageAimUs`, which has one objective for each class, in the order of the classes.
 
     The elements are not checked. The list is empty if no objectives are set.
     """
@@ -94,11 +94,11 @@
 
 
 def _check_unused_keys(settings: Section, rules: Section) -> None:
-    """Check the keys that the balancer does not use: an invalid one shows that the settings are damaged."""
+    """Check the keys that the balancer does not use. An invalid one shows that the settings are damaged."""
     accounts = settings.optional_sections("accounts")
     shares = [account.number("share", 0, 1.0) for account in accounts]
     if accounts and not sum(shares):
-        raise SettingsError("settings: accounts[].share must not sum to nothing")
+        raise SettingsError("settings: the sum of accounts[].share must not be 0")
     rules.number("drainGraceUs", 0, 0)  # unused because a draining server gets no new sessions
 
 
@@ -127,7 +127,7 @@
 
 
 def _load_metrics(settings: Section) -> tuple[str, ...]:
-    """Return the names in `LoadMetric` of the metrics that servers report. Unknown metrics are ignored."""
+    """Return the metrics that servers report, by their names in `LoadMetric`. Unknown ones are ignored."""
     telemetry = settings.optional_section("telemetry")
     if telemetry.get("via", NO_TELEMETRY) == NO_TELEMETRY:
         return ()
--- a/wheatstile/config/shape.py
+++ b/wheatstile/config/shape.py
@@ -1,4 +1,4 @@
-"""Validation of a JSON value by msgspec types. Unlike msgspec itself, it reports every violation."""
+"""Validates a JSON value against msgspec types. Unlike msgspec itself, it reports every violation."""
 
 import types
 from collections.abc import Iterator
@@ -13,19 +13,19 @@
 
 
 def find_violations(value: object, expected: Any, path: Path = ()) -> Iterator[Violation]:
-    """Yield every violation of the expected type by the value, including its elements and members.
+    """Yield every violation of the expected type by the value, its elements and its members.
 
-    A key that a struct does not define is a violation.
+    A key that the struct does not define is a violation.
     """
     if value is not None:
         expected = _without_none(expected)
-    plain = get_args(expected)[0] if get_origin(expected) is Annotated else expected
-    origin = get_origin(plain)
-    arguments = get_args(plain)
-    if plain is Any:
+    unannotated = get_args(expected)[0] if get_origin(expected) is Annotated else expected
+    origin = get_origin(unannotated)
+    arguments = get_args(unannotated)
+    if unannotated is Any:
         return
-    if isinstance(value, dict) and isinstance(plain, type) and issubclass(plain, msgspec.Struct):
-        yield from _struct_violations(value, plain, path)
+    if isinstance(value, dict) and isinstance(unannotated, type) and issubclass(unannotated, msgspec.Struct):
+        yield from _struct_violations(value, unannotated, path)
     elif isinstance(value, list) and origin is list and arguments[0] is not Any:
         for index, element in enumerate(value):
             yield from find_violations(element, arguments[0], (*path, index))
@@ -42,7 +42,7 @@
     """Return T for `T | None`, and any other type unchanged."""
     if get_origin(expected) not in (types.UnionType, Union):
         return expected
-    alternatives = [kind for kind in get_args(expected) if kind is not type(None)]
+    alternatives = [member for member in get_args(expected) if member is not type(None)]
     return alternatives[0] if len(alternatives) == 1 else expected
 
 
--- a/wheatstile/config/violations.py
+++ b/wheatstile/config/violations.py
@@ -1,4 +1,4 @@
-"""Violations in a JSON file that a person wrote, each with its JSON pointer and its line.
+"""Violations in a JSON file that was written by hand, each with its JSON pointer and its line.
 
 The standard library parses the text. The lines are looked up in a second pass over the text, and only if
 there is a violation.
@@ -14,9 +14,9 @@
 from wheatstile.config.errors import InvalidConfigurationError
 from wheatstile.config.json_locations import Location, child_pointer, walk
 
-MAX_SHOWN = 100  # number of violations of one file that are listed; the others are only counted
+MAX_LISTED_VIOLATIONS = 100  # for each file; the others are only counted
 BYTE_ORDER_MARK = b"\xef\xbb\xbf"
-_SURROGATE = re.compile(r"\\u[dD][89a-fA-F]")
+_ESCAPED_SURROGATE = re.compile(r"\\u[dD][89a-fA-F]")
 
 
 @dataclass(frozen=True, slots=True)
@@ -39,16 +39,16 @@
     def lines(self) -> list[str]:
         """Return `FILE:LINE: /json/pointer: reason` for each violation, in the order of the file.
 
-        Past MAX_SHOWN violations, one last line says how many more there are.
+        If there are more than MAX_LISTED_VIOLATIONS, the last line gives the number of the others.
         """
-        shown = [
+        lines = [
             f"{self.file}:{violation.line or 1}: {violation.pointer or '/'}: {violation.reason}"
-            for violation in self.violations[:MAX_SHOWN]
+            for violation in self.violations[:MAX_LISTED_VIOLATIONS]
         ]
-        hidden = len(self.violations) - MAX_SHOWN
-        if hidden > 0:
-            shown.append(f"{self.file}:1: /: and {hidden} more faults")
-        return shown
+        unlisted = len(self.violations) - MAX_LISTED_VIOLATIONS
+        if unlisted > 0:
+            lines.append(f"{self.file}:1: /: and {unlisted} more violations")
+        return lines
 
 
 class _DuplicateKeyError(ValueError):
@@ -73,7 +73,7 @@
     text = _decode(file, data)
     try:
         value = json.loads(text, object_pairs_hook=_reject_duplicate_keys)
-        if _SURROGATE.search(text):
+        if _ESCAPED_SURROGATE.search(text):
             json.dumps(value, ensure_ascii=False).encode()  # raises UnicodeEncodeError for a lone surrogate
     except _DuplicateKeyError:
         raise ConfigurationError(file, _duplicate_keys(text)) from None
@@ -84,7 +84,9 @@
 
 def _decode(file: str, data: bytes) -> str:
     if data.startswith(BYTE_ORDER_MARK):
-        raise ConfigurationError(file, [Violation("", "begins with a byte order mark; JSON has none", 1)])
+        raise ConfigurationError(
+            file, [Violation("", "begins with a byte order mark, which JSON does not allow", 1)]
+        )
     try:
         return data.decode()
     except UnicodeDecodeError as error:
@@ -104,20 +106,20 @@
     if isinstance(error, json.JSONDecodeError):
         return Violation("", f"no JSON: {error.msg}, column {error.colno}", error.lineno)
     if isinstance(error, UnicodeEncodeError):
-        return Violation("", "contains half of a surrogate pair, which is not valid text", 1)
+        return Violation("", "contains a lone surrogate, which is not valid Unicode text", 1)
     if isinstance(error, RecursionError):
         return Violation("", "nested too deeply", 1)
-    return Violation("", f"no JSON: {error}", 1)  # an integer with more digits than Python converts
+    return Violation("", f"no JSON: {error}", 1)  # for an integer with more digits than Python converts
 
 
 def locate(text: str, violations: Iterable[Violation]) -> list[Violation]:
     """Return the violations with their lines, sorted by line.
 
-    A violation of a value that is missing gets the line of the nearest parent that exists.
+    If the value of a violation is missing, the line is that of the nearest parent that exists.
     """
-    given = list(violations)
-    lines = {violation.pointer: violation.line for violation in given}
-    unlocated = {violation.pointer for violation in given if not violation.line}
+    reported = list(violations)
+    lines = {violation.pointer: violation.line for violation in reported}
+    unlocated = {violation.pointer for violation in reported if not violation.line}
     for location in walk(text):
         if location.pointer in unlocated:
             lines[location.pointer] = location.line
@@ -126,7 +128,7 @@
                 break
     if unlocated:
         lines |= _lines_of_parents(text, unlocated)
-    located = [replace(violation, line=violation.line or lines[violation.pointer]) for violation in given]
+    located = [replace(violation, line=violation.line or lines[violation.pointer]) for violation in reported]
     return sorted(located, key=lambda violation: violation.line)
 
 
@@ -143,7 +145,7 @@
 
 
 def nearest(name: str, known: Iterable[str]) -> str:
-    """Return the end of an error message: a suggestion if a known name is similar, else all known names."""
+    """Return the end of an error message: a similar known name if there is one, else all known names."""
     names = sorted(known)
     close = get_close_matches(name, names, 1)
     return f', did you mean "{close[0]}"?' if close else f"; known are {', '.join(names)}"
--- a/wheatstile/process/background_tasks.py
+++ b/wheatstile/process/background_tasks.py
@@ -1,4 +1,4 @@
-"""Supervised background tasks: restarted after a failure, and cancelled when their context ends."""
+"""Supervised background tasks, which are restarted after a failure and cancelled when their context ends."""
 
 import asyncio
 from collections.abc import AsyncIterator, Awaitable, Callable, Mapping
@@ -11,13 +11,13 @@
 RESTART_DELAY_S = 0.05
 
 Component = Callable[[], Awaitable[None]]
-"""Creates the coroutine of a background task; called again for each restart."""
+"""Creates the coroutine of a background task. It is called again for each restart."""
 
 
 async def run_supervised(name: str, component: Component) -> None:
-    """Run a component until cancelled. Log an exception, and start the component again after RESTART_DELAY_S.
+    """Run a component until cancelled, and restart it RESTART_DELAY_S after it has failed or returned.
 
-    A component that returns is started again too.
+    Its exceptions are logged.
     """
     while True:
         try:
@@ -31,7 +31,7 @@
 async def running_in_background(components: Mapping[str, Component]) -> AsyncIterator[None]:
     """Run the named components for the duration of the context.
 
-    On exit all of them are cancelled, and have ended when the exit completes.
+    The exit from the context cancels all of them, and waits until they have ended.
     """
     tasks = [asyncio.create_task(run_supervised(name, component)) for name, component in components.items()]
     try:
--- a/wheatstile/process/balancer_process.py
+++ b/wheatstile/process/balancer_process.py
@@ -1,4 +1,4 @@
-"""The running balancer: its components, from the start to the end of the graceful shutdown."""
+"""The balancer's components and their lifecycle, from the start to the end of the graceful shutdown."""
 
 import asyncio
 import socket
@@ -30,7 +30,10 @@
 
 
 class BalancerProcess:
-    """Owns the balancer's components and handles the process's signals. Create it inside the event loop."""
+    """Owns the balancer's components and handles the process's signals.
+
+    The constructor installs the signal handlers, so it must be called inside the running event loop.
+    """
 
     def __init__(
         self,
@@ -52,7 +55,7 @@
         signals.install_handlers(self.shutdown_requested.set, self.reload, self.report_counters)
 
     def report_counters(self) -> None:
-        """Log the value of every counter, each as a field with the counter's name."""
+        """Log the value of every counter above zero, as a field with the counter's name."""
         self.decisions.counters["log_lines_dropped"] = logs.STDERR.dropped_lines
         log.info("counters_reported", **+self.decisions.counters)
 
@@ -91,14 +94,14 @@
     def _start_components(self) -> None:
         self.decisions.start(self.upstreams, self.discovery_watcher)
         self.discovery_watcher.on_update(self.config.known, api.EndpointUpdateKind.CACHED)
-        # Where discovery is polled, the decisions ask for the first watch.
+        # If discovery is polled, the decision module requests the first watch.
         if not self.config.settings.poll_endpoints:
             self.discovery_watcher.watch()
         if self.operator:
             self.sections.follow(self.operator, self.config)
 
     async def run(self) -> None:
-        """Serve until a shutdown is requested, then shut down gracefully. Later signals are ignored.
+        """Serve until a shutdown is requested, then shut down gracefully and ignore all later signals.
 
         Raises OSError if the listening socket cannot be bound.
         """
@@ -108,7 +111,7 @@
             signals.ignore_all()
 
     async def _run(self) -> None:
-        # A signal may arrive while the address is being bound, and its handler needs the started components.
+        # The components start first, because a signal may arrive during the bind, and its handler uses them.
         self._start_components()
         listener = await bind_listener(self.config.listen, self.shutdown_requested)
         if listener is None:
--- a/wheatstile/process/listener_socket.py
+++ b/wheatstile/process/listener_socket.py
@@ -9,7 +9,7 @@
 
 log = structlog.get_logger()
 
-BACKLOG = 1024  # connections queued by the kernel until they are accepted
+BACKLOG = 1024  # maximum number of connections that the kernel queues until they are accepted
 BIND_TIMEOUT_S = 6.0  # longer than any graceful shutdown of the previous process
 BIND_RETRY_S = 0.05  # interval between attempts to bind
 
--- a/wheatstile/process/main.py
+++ b/wheatstile/process/main.py
@@ -1,4 +1,4 @@
-"""The start of the balancer: reads RELAY_* and the operator's file, then runs the event loop."""
+"""Starts the balancer: reads the RELAY_* variables and the operator's file, then runs the event loop."""
 
 import enum
 import os
@@ -42,7 +42,7 @@
 def main(file: str | None = None, log_format: str | None = None, log_level: str | None = None) -> int:
     """Run the balancer until SIGTERM or SIGINT, and return the exit status.
 
-    The platform's configuration comes from RELAY_*. `file` names the operator's file, which is optional.
+    The RELAY_* variables provide the platform's configuration. `file` names the optional operator's file.
     """
     signals.block_reload_signal()
     try:
@@ -109,6 +109,6 @@
 
 
 def _raise_descriptor_limit() -> None:
-    """Raise the limit of open descriptors to the hard limit. Each connection needs one or two."""
+    """Raise the limit on open file descriptors to the hard limit. Each connection needs one or two."""
     _, hard_limit = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (hard_limit, hard_limit))
--- a/wheatstile/process/operator_sections.py
+++ b/wheatstile/process/operator_sections.py
@@ -14,7 +14,7 @@
 
 
 class OperatorSections:
-    """Owns one subsystem for each section of the operator's file, and applies changes of the file to them."""
+    """Owns one subsystem for each section of the operator's file, and applies changes to the file to them."""
 
     def __init__(
         self,
@@ -36,7 +36,7 @@
         self._follow_descriptions(operator, config)
 
     def configure(self, operator: "OperatorFile | None", config: Config) -> None:
-        """Pass the platform's settings, tightened by the descriptions, to the decisions."""
+        """Pass the platform's settings, tightened by the descriptions, to the decision module."""
         settings = config.settings
         if self.descriptions:
             settings = self.descriptions.applied(settings)
--- a/wheatstile/process/reload.py
+++ b/wheatstile/process/reload.py
@@ -25,7 +25,7 @@
 
 
 def reload_platform_config(current: Config) -> ReloadedConfig | None:
-    """Read the platform's file again. Return None, and log the reason, if it cannot be used.
+    """Read the platform's file again. Return None, and log the reason, if it is rejected.
 
     RELAY_DISCOVERY applies only at the start of the process: a reload takes the address from the file.
     """
--- a/wheatstile/process/signals.py
+++ b/wheatstile/process/signals.py
@@ -1,4 +1,4 @@
-"""The signals of the process: SIGTERM and SIGINT shut down, SIGHUP reloads, SIGUSR1 reports the counters."""
+"""Handles signals: SIGTERM and SIGINT shut down, SIGHUP reloads, SIGUSR1 logs the counters."""
 
 import signal
 from collections.abc import Callable
@@ -11,7 +11,7 @@
 def block_reload_signal() -> None:
     """Block SIGHUP until its handler is installed.
 
-    An unhandled SIGHUP would end the process. While blocked it stays pending, and is delivered later.
+    Without a handler, SIGHUP would end the process. A blocked SIGHUP stays pending until it is unblocked.
     """
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
 
@@ -19,7 +19,10 @@
 def install_handlers(
     on_shutdown: Callable[[], None], on_reload: Callable[[], None], on_report_counters: Callable[[], None]
 ) -> None:
-    """Call these functions in the running event loop, then unblock SIGHUP, which delivers a pending one."""
+    """Call these functions in the running event loop when the signals arrive.
+
+    SIGHUP is unblocked at the end. If one is pending, it is delivered then.
+    """
     signal_handlers.call_on_signal(signal.SIGTERM, on_shutdown)
     signal_handlers.call_on_signal(signal.SIGINT, on_shutdown)
     signal_handlers.call_on_signal(signal.SIGUSR1, on_report_counters)
@@ -28,5 +31,5 @@
 
 
 def ignore_all() -> None:
-    """Ignore all signals that `install_handlers` handles, until the process has ended."""
+    """Ignore all signals that `install_handlers` handles, until the process ends."""
     signal_handlers.ignore(HANDLED_SIGNALS)
