--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures that several folders of tests use. The plugin `known_red` reads KNOWN-RED.txt."""
+"""Fixtures for tests in several directories. The plugin `known_red` reads KNOWN-RED.txt."""
 
 from collections.abc import Iterator
 from typing import Any
@@ -20,7 +20,7 @@
 
 @pytest.fixture
 def balancer(settings: dict[str, Any]) -> Iterator[Balancer]:
-    """Return a balancer that is not started. It is closed with the test."""
+    """Return a balancer that is not started. It is closed at the end of the test."""
     balancer = Balancer(settings)
     try:
         yield balancer
--- a/tests/support/__init__.py
+++ b/tests/support/__init__.py
@@ -1,1 +1,1 @@
-"""Helpers that several test files share."""
+"""Helpers for several test files."""
--- a/tests/support/balancer.py
+++ b/tests/support/balancer.py
@@ -1,4 +1,4 @@
-"""The balancer of a test: its process and configuration, and the ports of one server and of discovery."""
+"""A balancer process for tests, with its configuration and with listeners for one server and discovery."""
 
 import json
 import signal
@@ -49,19 +49,19 @@
     "familyInfo": {},
     "limits": LIMITS | {"mayProbe": False, "dialTimeoutUs": 8_000_000},
 }
-"""WITHOUT_HEALTH_CHECKS, with a connect timeout that is longer than any test delays a connect."""
+"""WITHOUT_HEALTH_CHECKS, with a connect timeout longer than any delay of a connect in the tests."""
 SLOW_HEALTH_CHECKS: dict[str, Any] = {
     "familyInfo": SETTINGS["familyInfo"] | {"messageAimUs": [TIMEOUT_S * 1e6]}
 }
-"""A health check times out later than any test delays its answer."""
+"""The timeout of health checks is longer than any delay of an answer in the tests."""
 
 
 def with_class(repeat: str, scope: str = "all", window_us: int = 0) -> dict[str, Any]:
-    """Return settings with one class, given by the keywords of the platform.
+    """Return settings with one class.
 
     Args:
-        repeat: the idempotency of the class.
-        scope: the deduplication scope.
+        repeat: the idempotency of the class, as a keyword of the platform.
+        scope: the deduplication scope, as a keyword of the platform.
         window_us: the deduplication window; 0 leaves scope and window out.
     """
     service_class = SETTINGS["classes"][0] | {"repeat": repeat}
@@ -71,16 +71,16 @@
 
 
 class Balancer(BalancerProcess):
-    """A balancer that knows one server and discovery, both played by the test.
+    """A balancer that knows one server and discovery. The test acts as both.
 
-    The constructor opens the ports of both and makes a temporary folder. It starts no process.
-    `close` ends the process and removes the folder. The ports and the connections of the test stay open.
+    The constructor opens the listeners of both and creates a temporary directory. It starts no process.
+    `close` ends the process and removes the directory. The listeners and connections of the test stay open.
 
     Attributes:
         settings: the settings that differ from SETTINGS.
-        server: the port of the server.
-        discovery: the port of discovery.
-        folder: the temporary folder, with the configuration file.
+        server: the listener of the server.
+        discovery: the listener of discovery.
+        folder: the temporary directory, which contains the configuration file.
         listen: the address that the balancer listens on, once the configuration is written.
     """
 
@@ -94,12 +94,12 @@
         super().__init__(Path(self.folder.name) / "config.json")
 
     def close(self) -> None:
-        """End the process and remove the folder."""
+        """End the process and remove the temporary directory."""
         self.stop()
         self.folder.cleanup()
 
     def member(self, name: str = "s1", **changes: Any) -> dict[str, Any]:
-        """Return a ready server in the format of discovery, by default at the port of `server`."""
+        """Return a ready server in the format of discovery, by default with the address of `server`."""
         member = {
             "id": name,
             "host_port": self.server.address,
@@ -113,7 +113,7 @@
         return member | changes
 
     def config(self, members: Iterable[dict[str, Any]] | None = None) -> dict[str, Any]:
-        """Return a configuration with these servers, by default one, and a new free port to listen on."""
+        """Return a configuration with these servers, by default one, and with a free port to listen on."""
         with socket.create_server(("127.0.0.1", 0)) as unused:
             self.listen = unused.getsockname()
         known = [self.member()] if members is None else list(members)
@@ -142,8 +142,8 @@
 
         Args:
             members: the servers that the balancer knows, by default one.
-            text: the content of the configuration file in place of the default. The method then does not
-                wait, since the process may reject the file.
+            text: the content of the configuration file, instead of the default. The method then does not
+                wait, because the process may reject the file.
             files: the limit on open files.
             stderr: where the log goes.
         """
@@ -170,7 +170,7 @@
 
         Args:
             text: the new content of the file.
-            changes: without `text`, the top-level keys to replace.
+            changes: the top-level keys to replace if no `text` is given.
         """
         self.path.write_text(text or json.dumps(json.loads(self.path.read_text()) | changes))
         self.process.send_signal(signal.SIGHUP)
@@ -198,9 +198,9 @@
         """Send an OPEN line, and return the connection without waiting for the answer.
 
         Args:
-            number: makes the request id and the key.
-            wait: the time that the client waits, in milliseconds.
-            more: further fields of the line, each after a comma.
+            number: the number from which the request id and the idempotency key are made.
+            wait: the deadline of the client, in milliseconds.
+            more: additional fields of the line, each after a comma.
             group: the affinity group.
             client: the connection to use, by default a new one.
         """
--- a/tests/support/balancer_process.py
+++ b/tests/support/balancer_process.py
@@ -1,4 +1,4 @@
-"""The balancer as a process: its start and end, signals, log and counters."""
+"""Runs the balancer as a process: start and end, signals, log and counters."""
 
 import json
 import os
@@ -19,7 +19,7 @@
 
 
 class BalancerProcess:
-    """A process that serves from a platform configuration file. `launch` starts it, and `stop` ends it.
+    """A balancer process with a platform configuration file. `launch` starts it, and `stop` ends it.
 
     Attributes:
         path: the platform configuration file.
@@ -35,7 +35,7 @@
 
     @property
     def process(self) -> subprocess.Popen[str]:
-        """The process, which has to be started."""
+        """The process. It must have been started."""
         assert self._process, "the balancer is not started"
         return self._process
 
@@ -45,7 +45,7 @@
         self._process = process
 
     def launch(self, files: int = 1024, stderr: int | IO[bytes] = subprocess.PIPE, **variables: str) -> None:
-        """Start the process on the existing configuration file, and do not wait until it serves.
+        """Start the process with the existing configuration file, without waiting until it serves.
 
         Args:
             files: the limit on open files.
@@ -69,9 +69,9 @@
 
     @contextmanager
     def paused(self) -> Iterator[None]:
-        """Pause the process by SIGSTOP, and resume it at the end of the block.
+        """Pause the process by SIGSTOP, and resume it by SIGCONT at the end of the block.
 
-        The process then finds all events of the block ready at the same time.
+        The resumed process finds all events of the block ready at the same time.
         """
         self.process.send_signal(signal.SIGSTOP)
         deadline_s = time.monotonic() + TIMEOUT_S
@@ -82,30 +82,31 @@
         self.process.send_signal(signal.SIGCONT)
 
     def _state(self) -> str:
-        """Return the state of the process by its letter in proc(5)."""
+        """Return the letter that proc(5) defines for the state of the process."""
         status = Path(f"/proc/{self.process.pid}/stat").read_text()
         return status.rpartition(")")[2].split()[0]
 
     def terminate(self) -> None:
-        """Send SIGTERM, and do not wait for the end."""
+        """Send SIGTERM, without waiting for the process to end."""
         self.process.send_signal(signal.SIGTERM)
 
     def begin_shutdown(self) -> None:
         """Send SIGTERM, and return once the balancer's schedule for the shutdown has begun.
 
-        The balancer logs `shutdown_started` just before that, and reports its counters from the event loop
-        only after it. If a test paused the balancer in between, the whole shutdown would follow the pause.
+        The balancer logs `shutdown_started` just before the schedule begins, and reports its counters from
+        the event loop only after that. If a test paused the balancer between the two, the whole shutdown
+        would run after the pause.
         """
         self.terminate()
         self.logged("shutdown_started")
         self.counters()
 
     def wait(self) -> int:
-        """Wait for the end of the process, and return its exit status."""
+        """Wait until the process ends, and return its exit status."""
         return self.process.wait(TIMEOUT_S)
 
     def stop(self) -> str:
-        """Kill the process if it still runs, and return the part of its log that nobody has read."""
+        """Kill the process if it still runs, and return the part of its log that has not been read."""
         if self._process is None:
             return ""
         self._process.kill()
@@ -114,9 +115,9 @@
         return errors
 
     def logged(self, *events: str) -> dict[str, Any]:
-        """Wait for a log entry with one of these events, and return it. Drops the entries before it."""
+        """Wait for a log entry with one of these events, and return it. Earlier entries are dropped."""
         assert self.process.stderr
-        watchdog = threading.Timer(TIMEOUT_S, self.process.kill)  # ends the log, and so the wait
+        watchdog = threading.Timer(TIMEOUT_S, self.process.kill)  # ends the log, and with it the wait
         watchdog.start()
         try:
             while True:
@@ -129,7 +130,7 @@
             watchdog.cancel()
 
     def counters(self) -> dict[str, int]:
-        """Return the counters that the process logs on SIGUSR1. Drops the log entries before them."""
+        """Send SIGUSR1, and return the counters that the process logs. Earlier log entries are dropped."""
         self.process.send_signal(signal.SIGUSR1)
         return self.logged("counters_reported")
 
--- a/tests/support/command_line.py
+++ b/tests/support/command_line.py
@@ -1,4 +1,4 @@
-"""Runs one command of the program, and returns its exit status, standard output and standard error."""
+"""Runs a command of the program, and returns its exit status, standard output and standard error."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 ROOT = Path(__file__).parents[2]
 EXAMPLE_CONFIG = ROOT / "example" / "config.json"
 TIMEOUT_S = 60.0
-"""Upper bound for one command; a correct program never reaches it."""
+"""The timeout for one command. A correct program never reaches it."""
 PROGRAM_VARIABLE_PREFIXES = ("RELAY_", "WHEATSTILE_")
 """Prefixes of the environment variables that the program reads. A command does not inherit them."""
 
@@ -26,7 +26,7 @@
 
 
 def run_command(*arguments: str, **variables: str) -> CommandResult:
-    """Run `wheatstile` with these arguments and environment variables, and wait for its end.
+    """Run `wheatstile` with these arguments and environment variables, and wait until it ends.
 
     Checks that the command printed no traceback.
     """
--- a/tests/support/command_line_folder.py
+++ b/tests/support/command_line_folder.py
@@ -18,7 +18,7 @@
 
 @pytest.fixture
 def folder(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Path:
-    """Make a temporary folder with files, change to it for the test, and return it.
+    """Create a temporary directory with files, make it the working directory of the test, and return it.
 
     `new.json` lists three servers, `few.json` one of them. `bad.json` is an invalid endpoint file. `op.json`
     is an operator's file that names `live.json`, which does not exist yet.
@@ -34,6 +34,6 @@
 
 @pytest.fixture
 def live_file(folder: Path) -> Path:
-    """Publish `new.json` as `live.json` in `folder`, and return its path."""
+    """Publish `new.json` as `live.json` in `folder`, and return the path of `live.json`."""
     assert run_command("servers", "publish", "new.json", "live.json").status == 0
     return folder / "live.json"
--- a/tests/support/described_balancer.py
+++ b/tests/support/described_balancer.py
@@ -12,7 +12,7 @@
 
 SERVERS_PER_ZONE = 12  # enough for several requests, since a server that resets is ejected for a while
 CLIENT_DEADLINE_MS = 2000
-HEALTHY = "PONG x0=0.3"  # reply to a health check
+HEALTHY = "PONG x0=0.3"  # answer to a health check
 CLASS_SETTINGS = {"aimUs": 300000, "deadlineUs": 2000000, "repeat": "retryable"}
 CLASS_NAMES = ("reads", "writes", "orders")
 HEADER = "openapi: 3.1.0\ninfo: {title: t, version: '1'}\npaths:\n"
@@ -25,7 +25,7 @@
 
 
 class DescribedBalancer(Balancer):
-    """A balancer whose operator's file names the descriptions in a folder.
+    """A balancer whose operator's file names a directory of descriptions.
 
     The constructor opens a listener for the servers of each zone, and starts no process.
     """
@@ -53,7 +53,7 @@
         self.operator_file.write_text(json.dumps({"descriptions": section}))
 
     def write_description(self, paths: str) -> None:
-        """Write the description with these paths, each as `operation` returns it."""
+        """Write the description with these paths, which are results of `operation`."""
         write_atomic(self.description, (HEADER + paths).encode())
 
     def start_with_two_zones(self) -> None:
@@ -66,7 +66,7 @@
         )
 
     def start_with_referenced_file(self) -> Path:
-        """Start the balancer on a description that refers to another file. Return that file."""
+        """Start the balancer with a description that refers to another file, and return that file."""
         self.write_operator(paths=["api/shop.yaml"])
         referenced = self.descriptions / "parts" / "p.yaml"
         referenced.parent.mkdir()
@@ -77,9 +77,9 @@
         return referenced
 
     def attempts(self, service_class: str) -> tuple[list[str], str]:
-        """Open one connection, and reset every attempt.
+        """Send one request and reset each of its attempts.
 
-        Return the zones of the attempts in their order, and the first word of the client's final answer.
+        Returns the zones of the attempts in their order, and the keyword of the final answer to the client.
         """
         client = self.client()
         fields = f"c={service_class},d={CLIENT_DEADLINE_MS},g=g{next(self._ids)}"
@@ -101,7 +101,7 @@
                     answer_health_check(*checks[sock])
                 elif reset_attempt(listeners[sock]):
                     zones.append("here" if sock is self.server.sock else "there")
-        raise AssertionError("no final answer came")
+        raise AssertionError("no final answer was received")
 
 
 def answer_health_check(listener: Listener, peer: Peer) -> None:
@@ -114,9 +114,9 @@
 
 
 def reset_attempt(listener: Listener) -> bool:
-    """Accept a connection. Reset it and return True if it is an attempt.
+    """Accept a connection. If it is an attempt, reset it and return True.
 
-    A health check is answered, and its connection stays open in the listener's list.
+    A health check is answered, and its connection is added to the open ones of the listener.
     """
     peer = listener.accept()
     if peer.line() == "STATS":
--- a/tests/support/description_cases.py
+++ b/tests/support/description_cases.py
@@ -1,4 +1,4 @@
-"""Cases of tests/descriptions/corpus: small descriptions, each with the result of their compilation."""
+"""Loads and runs the cases of tests/descriptions/corpus: small descriptions with the expected compilation."""
 
 import json
 from pathlib import Path
@@ -19,8 +19,8 @@
 ASYNCAPI_2_HEADER = "asyncapi: 2.6.0\ninfo: {title: t, version: '1'}\n"
 MAIN_FILE = "a.yaml"
 OPERATOR_FILE = "op.json"
-WHOLE_FILE_MARK = "!"
-RESPONSES_MARK = "$R"
+COMPLETE_FILE_MARKER = "!"
+RESPONSES_PLACEHOLDER = "$R"
 RESPONSES = '"responses": {"default": {"description": "d"}}'
 MICROSECONDS_PER_SECOND = 1_000_000
 DEADLINES_US = {"web": 2_000_000, "slow": 10_000_000, "feed": 3_000_000}
@@ -30,11 +30,11 @@
 
 
 class Stream(msgspec.Struct, forbid_unknown_fields=True):
-    """The content of a stream, by the first route of a case."""
+    """The expected stream of the first route of a case."""
 
     queue: str
     reply: str
-    messages: list[tuple[str, str, int | None]]  # name, discriminator, maximum size in bytes
+    messages: list[tuple[str, str, int | None]]  # name, discriminator and maximum size in bytes of each
 
 
 class Case(msgspec.Struct, forbid_unknown_fields=True):
@@ -44,14 +44,14 @@
     api: str | None = None  # OpenAPI 3.1 document without its header
     events: str | None = None  # AsyncAPI 3.0 document without its header
     events2: str | None = None  # AsyncAPI 2.6 document without its header
-    files: dict[str, str] = msgspec.field(default_factory=dict)  # text by file name
+    files: dict[str, str] = msgspec.field(default_factory=dict)  # texts by file name
     rules: list[str] = msgspec.field(default_factory=list)  # "CONDITION -> CLASS [KEYWORD]"
-    overrides: dict[str, str] = msgspec.field(default_factory=dict)  # keyword by class
+    overrides: dict[str, str] = msgspec.field(default_factory=dict)  # keywords by class name
     options: dict[str, bool] = msgspec.field(default_factory=dict)
-    findings: list[str] | None = None  # None: the descriptions are accepted
-    routes: list[str] | None = None
-    classes: dict[str, str] | None = None
-    match: dict[str, list[str]] | None = None  # templates by "ACTION TARGET"
+    findings: list[str] | None = None  # expected lines of the rejection; None: the descriptions are accepted
+    routes: list[str] | None = None  # expected, as `route_text` returns them
+    classes: dict[str, str] | None = None  # expected texts by class name, as `class_text` returns them
+    match: dict[str, list[str]] | None = None  # expected templates by "ACTION TARGET"
     stream: Stream | None = None
 
 
@@ -64,18 +64,18 @@
     ]
 
 
-def compile_case(case: Case, folder: Path) -> CompiledDescriptions:
-    """Write the files of a case into the current folder and compile those that are not in a subfolder."""
+def compile_case(case: Case, directory: Path) -> CompiledDescriptions:
+    """Write the files of a case into the working directory, and compile those at its top level."""
     paths = []
     for name, text in _files_of(case).items():
-        (folder / name).parent.mkdir(exist_ok=True)
-        (folder / name).write_text(text)
+        (directory / name).parent.mkdir(exist_ok=True)
+        (directory / name).write_text(text)
         paths += [name] if "/" not in name else []
-    return compile_paths(paths, _operator_file_of(case, folder), CLASSES).descriptions
+    return compile_paths(paths, _operator_file_of(case, directory), CLASSES).descriptions
 
 
 def _files_of(case: Case) -> dict[str, str]:
-    """Return the texts of a case's files by name."""
+    """Return the texts of a case's files by file name."""
     texts = {name: _file_text(text) for name, text in case.files.items()}
     if case.api is not None:
         texts[MAIN_FILE] = OPENAPI_HEADER + case.api
@@ -83,30 +83,30 @@
         texts[MAIN_FILE] = ASYNCAPI_3_HEADER + case.events
     if case.events2 is not None:
         texts[MAIN_FILE] = ASYNCAPI_2_HEADER + case.events2
-    return {name: text.replace(RESPONSES_MARK, RESPONSES) for name, text in texts.items()}
+    return {name: text.replace(RESPONSES_PLACEHOLDER, RESPONSES) for name, text in texts.items()}
 
 
 def _file_text(text: str) -> str:
-    """Return the text of a file with its header."""
-    if text.startswith(WHOLE_FILE_MARK):
-        return text.removeprefix(WHOLE_FILE_MARK)
+    """Return the text of a file, with the OpenAPI header unless the text is marked as complete."""
+    if text.startswith(COMPLETE_FILE_MARKER):
+        return text.removeprefix(COMPLETE_FILE_MARKER)
     return OPENAPI_HEADER + text
 
 
-def _operator_file_of(case: Case, folder: Path) -> OperatorFile:
-    """Write the operator's file of a case into the folder, and return it."""
+def _operator_file_of(case: Case, directory: Path) -> OperatorFile:
+    """Write the operator's file of a case into the directory, and return it."""
     section = {
         "rules": [_rule(text) for text in case.rules],
         "classes": {name: {"repeat": keyword} for name, keyword in case.overrides.items()},
         **case.options,
     }
-    path = folder / OPERATOR_FILE
+    path = directory / OPERATOR_FILE
     path.write_text(json.dumps({"descriptions": section}))
     return OperatorFile(Path(OPERATOR_FILE), parse(OPERATOR_FILE, path.read_bytes()))
 
 
 def _rule(text: str) -> dict[str, Any]:
-    """Return a rule as the operator's file has it."""
+    """Return a rule in the format of the operator's file."""
     condition, _, result = text.partition(" -> ")
     service_class, _, keyword = result.partition(" ")
     rule = {"when": condition, "class": service_class}
@@ -116,13 +116,13 @@
 
 
 def route_text(route: Route) -> str:
-    """Return a route as the corpus writes it: "ACTION TEMPLATE CLASS KEYWORD"."""
+    """Return a route in the format of the corpus: "ACTION TEMPLATE CLASS KEYWORD"."""
     keyword = IDEMPOTENCY_KEYWORDS.keyword(route.retry_safety.idempotency)
     return f"{route.operation.action} {route.template} {route.service_class or '-'} {keyword}"
 
 
 def class_text(policy: ClassPolicy) -> str:
-    """Return a class as the corpus writes it: "KEYWORD [SCOPE SECONDS]"."""
+    """Return a class in the format of the corpus: "KEYWORD [SCOPE SECONDS]"."""
     keyword = IDEMPOTENCY_KEYWORDS.keyword(policy.idempotency)
     if policy.idempotency is not Idempotency.IDEMPOTENCY_KEY:
         return keyword
--- a/tests/support/echo_servers.py
+++ b/tests/support/echo_servers.py
@@ -1,4 +1,4 @@
-"""Echo servers in a thread: they establish every session and answer health checks without a test's help."""
+"""Echo servers in a thread, which establish every session and answer health checks."""
 
 import asyncio
 import threading
@@ -15,12 +15,12 @@
     """Servers on loopback, each on its own port, on one event loop in a thread.
 
     A server answers each `STATS` with the same load and each `OPEN` with `UP`, and sends any other line back.
-    The constructor starts the thread, and returns when all ports are open. `close` ends the connections and
+    The constructor starts the thread, and returns once all ports are open. `close` ends the connections and
     the thread.
 
     Attributes:
-        opened: the number of sessions that each server has established, by its name.
-        addresses: the address (`HOST:PORT`) of each server, by its name.
+        opened: the number of established sessions, by the name of the server.
+        addresses: the address (`HOST:PORT`), by the name of the server.
     """
 
     def __init__(self, names: Iterable[str]) -> None:
@@ -62,7 +62,7 @@
         return serve
 
     def _reply(self, name: str, line: bytes) -> bytes:
-        """Return the reply of this server to a line, and count a session."""
+        """Return the reply of this server to a line. Counts the session if the line opens one."""
         if line.startswith(b"STATS"):
             return HEALTHY
         if line.startswith(b"OPEN "):
@@ -71,7 +71,7 @@
         return line
 
     async def _cancel_connections(self) -> None:
-        """Cancel the tasks of all connections, and let them run once so that they end."""
+        """Cancel the tasks of all connections, and let them run once more so that they end."""
         for task in self._tasks:
             task.cancel()
         await asyncio.sleep(0)
--- a/tests/support/endpoint_files.py
+++ b/tests/support/endpoint_files.py
@@ -1,4 +1,4 @@
-"""Builds rows and sealed documents of endpoint files, and rules that they keep to."""
+"""Builds rows and sealed documents of endpoint files, and provides rules that they satisfy."""
 
 import json
 from typing import Any
@@ -16,7 +16,7 @@
 
 
 def endpoint_rows(*names: str, **changes: object) -> list[JsonObject]:
-    """Return a row for each server, at ports from FIRST_PORT on. The changes apply to every row."""
+    """Return a row for each server, with ports from FIRST_PORT on. The changes apply to every row."""
     return [
         {"id": name, "address": f"127.0.0.1:{FIRST_PORT + index}", "site": "a"} | changes
         for index, name in enumerate(names)
@@ -24,5 +24,5 @@
 
 
 def sealed_document(value: JsonObject) -> bytes:
-    """Return the bytes of this document with its seal."""
+    """Encode this document with its seal."""
     return json.dumps(value | {"seal": digest_of(value)}).encode()
--- a/tests/support/known_red.py
+++ b/tests/support/known_red.py
@@ -1,11 +1,11 @@
-"""A pytest plugin that reads KNOWN-RED.txt: the tests that are allowed to fail, and why.
+"""A pytest plugin that reads KNOWN-RED.txt, which lists the tests that are allowed to fail.
 
 An entry begins with a test's id, or with `case:` for a recorded case without a test. Its fields are indented:
 
     tests/store/test_raft_node.py::test_name
         command: the command and seed that show the failure
         environment: NAME=VALUE (optional: the entry holds only where this variable has this value)
-        seen: what was seen
+        seen: what was observed
         issue: number of the open issue
 
 A listed test that fails is reported as an expected failure and printed at the end. An entry that names no
@@ -26,7 +26,7 @@
 
 
 class KnownRedError(ValueError):
-    """An entry of KNOWN-RED.txt that cannot be used; the text names its line."""
+    """An entry of KNOWN-RED.txt cannot be used. The message names its line."""
 
 
 @dataclass(frozen=True)
@@ -39,11 +39,11 @@
 
     @property
     def is_case(self) -> bool:
-        """Whether the entry records a case without a test."""
+        """True if the entry records a case without a test."""
         return self.name.startswith(CASE_PREFIX)
 
     def matches(self, node_id: str) -> bool:
-        """Return whether a test, or one of its parameter sets, has this entry's id."""
+        """Return whether this entry names the test with this id, with or without its parameters."""
         return node_id == self.name or node_id.startswith(f"{self.name}[")
 
     def applies(self, environment: dict[str, str]) -> bool:
@@ -90,7 +90,10 @@
 
 
 def unknown_entries(entries: Iterable[KnownRed], node_ids: list[str], root: Path) -> list[KnownRed]:
-    """Return the entries that name no test, as far as the collected tests show it."""
+    """Return the entries that name no test.
+
+    An entry whose file exists but was not collected is not checked.
+    """
     collected_files = {node_id.partition("::")[0] for node_id in node_ids}
     unknown = []
     for entry in entries:
@@ -103,7 +106,7 @@
 
 
 def pytest_configure(config: pytest.Config) -> None:
-    """Read the file."""
+    """Read KNOWN-RED.txt."""
     path = config.rootpath / FILE_NAME
     try:
         config.stash[ENTRIES] = parse(path.read_text()) if path.is_file() else []
@@ -113,7 +116,10 @@
 
 
 def pytest_collection_finish(session: pytest.Session) -> None:
-    """Stop the run if an entry names no test. A run of chosen tests of a file checks nothing."""
+    """Stop the run if an entry names no test.
+
+    If tests were selected by their ids or by a keyword, the entries are not checked.
+    """
     config = session.config
     if any("::" in argument for argument in config.args) or config.getoption("keyword"):
         return
@@ -127,7 +133,7 @@
 
 @pytest.hookimpl(wrapper=True)
 def pytest_runtest_makereport(item: pytest.Item) -> Generator[None, pytest.TestReport, pytest.TestReport]:
-    """Report the failure of a listed test as expected."""
+    """Report the failure of a listed test as an expected failure."""
     report = yield
     if report.when != "call" or not report.failed:
         return report
--- a/tests/support/merge_scenario.py
+++ b/tests/support/merge_scenario.py
@@ -1,4 +1,4 @@
-"""Selects and merges discovery and an endpoint file as a test changes them, with a clock of its own."""
+"""Runs source selection and merging with a simulated clock, discovery and endpoint file."""
 
 from typing import Any
 
@@ -24,7 +24,7 @@
 def resolved_endpoint(
     name: str, state: api.EndpointState = api.EndpointState.READY, **changes: Any
 ) -> ResolvedEndpoint:
-    """Return a server in site "here", at a port of its own; without an address if it is gone."""
+    """Return a server in site "here" with a unique port, or without an address if the server is gone."""
     default_address = None if state == api.EndpointState.GONE else ("127.0.0.1", 9000 + ord(name))
     address = changes.pop("address", default_address)
     return ResolvedEndpoint(api.Endpoint(name, state, "here", **changes), address)
@@ -38,7 +38,7 @@
 
 
 class MergeScenario:
-    """The state of one merge. `cached` names the servers of the list in the platform's file."""
+    """The inputs and the result of a merge. `cached` names the servers that the platform's file lists."""
 
     def __init__(self, policy: MergePolicy, cached: str = "") -> None:
         self.now_us = 1000 * MICROSECONDS_PER_SECOND
@@ -54,7 +54,7 @@
         self.merge()
 
     def merge(self) -> list[ResolvedEndpoint]:
-        """Select the source and merge. Return what changed."""
+        """Select the source, merge, and return the endpoints that changed."""
         self.selection = select_source(
             self.now_us, self.policy, self.discovery, bool(self.file_endpoints), self.selection
         )
@@ -68,7 +68,7 @@
     def update_discovery(
         self, kind: api.EndpointUpdateKind, states: dict[str, api.EndpointState]
     ) -> list[ResolvedEndpoint]:
-        """Record a report of discovery with these states. Return the servers to withdraw at once."""
+        """Record an update of discovery with these states. Return the servers to withdraw at once."""
         update = {name: resolved_endpoint(name, state) for name, state in states.items()}
         reported = self.discovery.apply_update(self.now_us, update, kind)
         reported_names = {resolved.endpoint.name for resolved in reported}
@@ -80,7 +80,7 @@
         return merge.withdrawn_endpoints(self.merged, reported)
 
     def advance(self, seconds: float, discovery_reports: bool = True) -> EndpointSource:
-        """Advance the clock, and merge each second. Return the source in force at the end."""
+        """Advance the clock, merge after each second, and return the source that is selected at the end."""
         end_us = self.now_us + int(seconds * MICROSECONDS_PER_SECOND)
         while self.now_us < end_us:
             self.now_us = min(end_us, self.now_us + MICROSECONDS_PER_SECOND)
@@ -91,5 +91,5 @@
         return self.selection.source
 
     def ready(self) -> str:
-        """Return the names of the ready servers, sorted and joined."""
+        """Return the names of the ready servers in the merged list, sorted and joined."""
         return "".join(sorted(ready_names(merge.listed_endpoints(self.merged))))
--- a/tests/support/peer.py
+++ b/tests/support/peer.py
@@ -1,4 +1,4 @@
-"""The peers of a balancer that a test plays itself, on loopback: a client, a server, discovery."""
+"""Connections and listeners for a test that acts as a client, a server or discovery on loopback."""
 
 import json
 import select
@@ -7,7 +7,7 @@
 from pathlib import Path
 from typing import Any
 
-TIMEOUT_S = 20.0  # upper bound for any single wait; a correct program never reaches it
+TIMEOUT_S = 20.0  # timeout of any single wait; a correct program never reaches it
 CONNECT_DROPPED_AFTER_S = 0.3  # a connect that takes longer was dropped because the backlog is full
 POLL_INTERVAL_S = 0.002
 SYN_SENT = "02"  # state of a connecting socket in /proc/net/tcp
@@ -15,7 +15,7 @@
 
 
 class Peer:
-    """One end of a connection, which is read by complete lines. `close` ends it."""
+    """One end of a connection, with methods that send and receive lines. `close` closes the connection."""
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock = sock
@@ -23,11 +23,11 @@
         self.buffer = b""
 
     def send(self, *lines: str) -> None:
-        """Send these lines, each with its line end."""
+        """Send these lines, each with a line terminator."""
         self.sock.sendall("".join(line + "\r\n" for line in lines).encode())
 
     def line(self) -> str:
-        """Return the next line without its line end, or an empty string at the end of the connection.
+        """Return the next line without its terminator, or an empty string at the end of the connection.
 
         Raises ConnectionResetError if the other side resets the connection, TimeoutError after TIMEOUT_S.
         """
@@ -48,7 +48,7 @@
         return lines
 
     def ends(self) -> bool:
-        """Wait, and return whether the other side closes or resets the connection before another line."""
+        """Wait for a line or the end of the connection, and return whether the connection ends first."""
         try:
             return self.line() == ""
         except ConnectionResetError:
@@ -59,25 +59,25 @@
         self.send("HTTP/1.1 200 OK", "Transfer-Encoding: chunked", "")
 
     def chunk(self, revision: int, *members: dict[str, Any], complete: bool = False) -> None:
-        """Send one endpoint list on a watch, as one chunk. `complete`: the list replaces the earlier one."""
+        """Send an endpoint list on a watch, as one chunk. If `complete`, it replaces the previous list."""
         body = json.dumps({"revision": revision, "complete": complete, "members": members}) + "\n"
         self.send(f"{len(body):x}", body)
 
     def close(self, reset: bool = False) -> None:
-        """Close this end, on request by a reset."""
+        """Close the connection. If `reset`, it ends with a TCP reset."""
         if reset:
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
         self.sock.close()
 
 
 class Listener:
-    """A port that the balancer connects to, as a server or as discovery.
+    """A listening socket that the balancer connects to, as a server or as discovery.
 
-    The constructor opens the port. Connections are accepted only when a test asks for them.
+    The constructor opens the socket. A connection is accepted only when a test calls a method that does so.
 
     Attributes:
-        address: the address of the port, `HOST:PORT`.
-        health_checks: the open connections on which health checks have come.
+        address: the address of the socket, `HOST:PORT`.
+        health_checks: the open connections on which health checks have been received.
     """
 
     def __init__(self) -> None:
@@ -87,7 +87,7 @@
         self.address = f"127.0.0.1:{self.sock.getsockname()[1]}"
 
     def accept(self) -> Peer:
-        """Return the next connection."""
+        """Accept the next connection, and return it."""
         return Peer(self.sock.accept()[0])
 
     def watch(self) -> tuple[Peer, str]:
@@ -101,7 +101,7 @@
     def accept_session(self, load: float = 0.3) -> tuple[Peer, str]:
         """Wait for an attempt to open a session, and return its connection and its first line.
 
-        Health checks before it are answered with this load, and their connections stay open.
+        Health checks that arrive before it are answered with this load, and their connections stay open.
         """
         session = self.accept_session_unless_readable(None, load)
         assert session
@@ -110,11 +110,11 @@
     def accept_session_unless_readable(
         self, client: socket.socket | None, load: float = 0.3
     ) -> tuple[Peer, str] | None:
-        """Wait as `accept_session` does, but return None as soon as the client's socket is readable."""
+        """Wait like `accept_session`, but return None as soon as the client's socket is readable."""
         while True:
             socks = [self.sock, *(health_check.sock for health_check in self.health_checks)]
             ready = select.select([client, *socks] if client else socks, [], [], TIMEOUT_S)[0]
-            assert ready, "neither an attempt nor an answer to the client came"
+            assert ready, "neither an attempt nor an answer to the client was received"
             if client in ready:
                 return None
             self._answer_health_checks(ready, load)
@@ -138,10 +138,10 @@
     def fill_backlog(self) -> list[socket.socket]:
         """Fill the backlog with connections, and return their sockets, which stay open.
 
-        The next connect then remains pending until `accept_waiting` takes them.
+        The next connect then remains pending until `accept_waiting` accepts these connections.
         """
         self.sock.listen(0)
-        filling: list[socket.socket] = []
+        backlog_sockets: list[socket.socket] = []
         while True:
             sock = socket.socket()
             sock.settimeout(CONNECT_DROPPED_AFTER_S)
@@ -149,30 +149,30 @@
                 sock.connect(self.sock.getsockname())
             except TimeoutError:
                 sock.close()
-                return filling
-            filling.append(sock)
+                return backlog_sockets
+            backlog_sockets.append(sock)
 
     def has_waiting(self) -> bool:
-        """Return whether a connection waits to be accepted."""
+        """Return whether the backlog contains an established connection."""
         return bool(select.select([self.sock], [], [], 0)[0])
 
     def is_connecting(self) -> bool:
-        """Return whether a connect to this port is pending."""
+        """Return whether a connect to this socket is pending."""
         port = f":{self.sock.getsockname()[1]:04X}"
         rows = [row.split() for row in Path("/proc/net/tcp").read_text().splitlines()[1:]]
         return any(remote.endswith(port) and state == SYN_SENT for _, _, remote, state, *_ in rows)
 
     def wait_for_connect(self) -> None:
-        """Wait until a connect to this port is pending."""
+        """Wait until a connect to this socket is pending."""
         deadline_s = time.monotonic() + TIMEOUT_S
         while not self.is_connecting():
             assert time.monotonic() < deadline_s, f"nobody connects to {self.address}"
             time.sleep(POLL_INTERVAL_S)
 
-    def accept_waiting(self, filling: list[socket.socket]) -> Peer:
-        """Accept the connections of `fill_backlog`, and return the pending one once it is established."""
-        filling_addresses = {sock.getsockname() for sock in filling}
+    def accept_waiting(self, backlog_sockets: list[socket.socket]) -> Peer:
+        """Accept the connections of `fill_backlog` and the pending connection, and return the latter."""
+        backlog_addresses = {sock.getsockname() for sock in backlog_sockets}
         while True:
             peer = self.accept()
-            if peer.sock.getpeername() not in filling_addresses:
+            if peer.sock.getpeername() not in backlog_addresses:
                 return peer
--- a/tests/support/program_process.py
+++ b/tests/support/program_process.py
@@ -1,4 +1,4 @@
-"""One command of the program as a process that a test talks to by lines."""
+"""Runs one command of the program as a process, which a test controls by lines on its standard streams."""
 
 import queue
 import subprocess
@@ -60,16 +60,19 @@
         return self.expect("")
 
     def all_output(self) -> list[str]:
-        """Return all lines of the output. Waits until the process has closed it."""
+        """Wait until the process has closed its output, and return all lines of the output."""
         self._reader.join()
         return self.history
 
     def signal(self, number: int) -> None:
-        """Send a signal to this process alone."""
+        """Send a signal to this process, and not to its children."""
         self.process.send_signal(number)
 
     def close(self) -> int:
-        """Close the standard input, wait for the end or kill the process, and return its exit status."""
+        """Close the standard input, wait for the process to end, and return its exit status.
+
+        A process that has not ended after EXIT_TIMEOUT_S is killed.
+        """
         if self.process.stdin:
             self.process.stdin.close()
         try:
--- a/tests/support/served_balancer.py
+++ b/tests/support/served_balancer.py
@@ -1,4 +1,4 @@
-"""A balancer with an endpoint file, and echo servers for its clients."""
+"""A balancer with an endpoint file, and echo servers that serve its clients."""
 
 import itertools
 import json
@@ -18,10 +18,10 @@
 
 
 class ServedBalancer(Balancer):
-    """A balancer whose operator's file names an endpoint file, and three echo servers.
+    """A balancer with three echo servers. Its operator's file names an endpoint file.
 
-    The constructor starts the echo servers and writes the operator's file. It starts no balancer, and writes
-    no endpoint file. `close` ends the balancer and the echo servers, and removes the files.
+    The constructor starts the echo servers and writes the operator's file. It does not start the balancer or
+    write the endpoint file. `close` ends the balancer and the echo servers, and removes the files.
 
     Args:
         known: the servers that the platform's file lists.
@@ -53,7 +53,7 @@
         self.operator_file.write_text(json.dumps({"servers": DEFAULT_SECTION | self.section | changes}))
 
     def document(self, *names: str, generation: int = 1, seal: bool = True, **changes: object) -> bytes:
-        """Return an endpoint file that lists these echo servers. The changes apply to every row."""
+        """Return an endpoint file with these echo servers. The changes apply to every row."""
         rows = [
             {"id": name, "address": self.echo_servers.addresses[name], "site": "here"} | changes
             for name in names
@@ -76,7 +76,7 @@
         return self.logged(ACCEPTED_EVENT)
 
     def wait_generation(self, generation: int) -> None:
-        """Wait until the endpoint file of this generation is accepted."""
+        """Wait until the endpoint file with this generation is accepted."""
         while self.wait_accepted()["generation"] != generation:
             pass
 
@@ -86,7 +86,7 @@
         return source
 
     def open_client(self, group: str | None = None) -> Peer:
-        """Send an OPEN line on a new connection, by default with a new affinity group."""
+        """Send an OPEN line on a new connection, by default for a new affinity group."""
         number = next(self._numbers)
         return self.open(number, CLIENT_DEADLINE_MS, group=group or f"g{next(self._numbers)}")
 
@@ -100,13 +100,13 @@
             client.close()
 
     def served_by(self, clients: int = 12) -> set[str]:
-        """Open sessions, which all have to succeed, and return the names of their servers."""
+        """Open sessions, check that all are established, and return the names of their servers."""
         before = self.echo_servers.opened.copy()
         assert {self.reply_to_new_client() for _ in range(clients)} == {"UP"}
         return set(self.echo_servers.opened - before)
 
     def wait_served_by(self, names: set[str]) -> None:
-        """Open sessions until exactly these servers get six of them."""
+        """Open six sessions at a time until their servers are exactly these."""
         deadline_s = time.monotonic() + TIMEOUT_S
         while self.served_by(6) != names:
             assert time.monotonic() < deadline_s, f"the sessions do not go to {sorted(names)}"
--- a/tests/support/served_balancer_factory.py
+++ b/tests/support/served_balancer_factory.py
@@ -12,7 +12,7 @@
 
 @pytest.fixture
 def make_balancer() -> Iterator[MakeBalancer]:
-    """Return a function that makes a ServedBalancer from its arguments. All are closed with the test."""
+    """Return a function that creates a ServedBalancer. All of them are closed at the end of the test."""
     with ExitStack() as balancers:
 
         def make(known: tuple[str, ...] = ("s1", "s2"), **section: object) -> ServedBalancer:
--- a/tests/support/servers_section.py
+++ b/tests/support/servers_section.py
@@ -1,4 +1,4 @@
-"""The `servers` section, running in the test's process and without sockets."""
+"""Runs the `servers` section in the process of the test, without sockets."""
 
 import asyncio
 import json
@@ -20,19 +20,19 @@
 
 
 class ServersSectionHarness:
-    """A decision loop and a section in mode merge, which follows s.json in a folder and allows every removal.
+    """A decision loop and a `servers` section in mode merge, which reads s.json and allows every removal.
 
-    The constructor starts the section's task in the running event loop; `running_servers_section` ends it.
+    The constructor starts the section's task in the running event loop. `running_servers_section` ends it.
     """
 
-    def __init__(self, folder: Path) -> None:
+    def __init__(self, directory: Path) -> None:
         self.decisions = DecisionLoop(settings(), 1)
         self.upstreams = UpstreamPool(self.decisions, UpstreamLimits(1.0, 1.0, False, 0.0, 100))
         observer = DiscoveryOnlyObserver(self.decisions, self.upstreams)
         self.discovery_watcher = DiscoveryWatcher(self.decisions, observer, UNUSED_ADDRESS)
         self.decisions.start(self.upstreams, self.discovery_watcher)
         self.section = ServersSection(self.decisions, self.upstreams, self.discovery_watcher)
-        self._operator_path = folder / "op"
+        self._operator_path = directory / "op"
         self.follow()
 
     def follow(self, **changes: object) -> None:
@@ -42,11 +42,11 @@
         self.section.follow(OperatorFile(self._operator_path, operator))
 
     def ready(self) -> set[str]:
-        """Return the servers that the decision module may pick."""
+        """Return the names of the servers that are ready for the decision module."""
         return {server.endpoint.name for server in self.decisions.balancer.endpoints.ready}
 
     async def wait_for_counter(self, name: str) -> None:
-        """Wait until this counter is over 0. Raises TimeoutError after TIMEOUT_S."""
+        """Wait until this counter is above zero. Raises TimeoutError after TIMEOUT_S."""
         async with asyncio.timeout(TIMEOUT_S):
             while not self.decisions.counters[name]:
                 await asyncio.sleep(POLL_INTERVAL_S)
@@ -59,9 +59,9 @@
 
 
 @asynccontextmanager
-async def running_servers_section(folder: Path) -> AsyncIterator[ServersSectionHarness]:
-    """Run a section that follows s.json in this folder, until the end of the block."""
-    harness = ServersSectionHarness(folder)
+async def running_servers_section(directory: Path) -> AsyncIterator[ServersSectionHarness]:
+    """Run a section that reads s.json in this directory, until the end of the block."""
+    harness = ServersSectionHarness(directory)
     try:
         yield harness
     finally:
