--- a/tests/config/test_networks.py
+++ b/tests/config/test_networks.py
@@ -36,7 +36,7 @@
         ("::1/128", "is not IPv4"),
     ],
 )
-def test_any_other_text_is_rejected_with_an_error_that_names_it(text: str, reason: str) -> None:
+def test_text_of_another_form_is_rejected_with_an_error_that_names_it(text: str, reason: str) -> None:
     with pytest.raises(NetworkError, match=f'"{text}" {reason}'):
         Networks(["10.0.0.0/8", text])
 
--- a/tests/process/test_reload.py
+++ b/tests/process/test_reload.py
@@ -19,7 +19,7 @@
     ("familyInfo.messageAimUs", [-1]), ("deductions.crossZone", float("inf")),
     ("accounts", [{"name": "a", "share": 0}]),
 )  # fmt: skip
-KEYS_IN_MESSAGES = {"fleetSize": "fleet"}  # the text that names a key, if it is not the key itself
+KEYS_IN_MESSAGES = {"fleetSize": "fleet"}  # keys that messages name by another text
 
 
 @pytest.fixture
--- a/tests/process/test_shutdown_schedule.py
+++ b/tests/process/test_shutdown_schedule.py
@@ -15,7 +15,7 @@
     ("longest_deadline_s", "serve_s", "migrate_s"),
     [(1.0, 0.5, 0.5), (2.0, 0.7, 1.3), (3.0, 1.7, 1.3), (9.0, 1.7, 1.3)],
 )
-def test_last_migration_is_a_margin_before_the_earliest_sigkill(
+def test_migrations_end_a_margin_before_the_earliest_sigkill(
     longest_deadline_s: float, serve_s: float, migrate_s: float
 ) -> None:
     schedule = ShutdownSchedule.for_deadline(longest_deadline_s)
--- a/wheatstile/config/json_locations.py
+++ b/wheatstile/config/json_locations.py
@@ -45,21 +45,21 @@
     """
     containers: list[_Container] = []
     line = 1
-    counted_to = 0  # offset up to which line breaks are counted in `line`
+    counted_offset = 0  # offset up to which line breaks are counted in `line`
     offset = 0
     while token := _TOKEN.match(text, offset):
         offset = token.end()
         punctuation, string, _ = token.groups()
         start = token.start(token.lastindex or 0)
-        line += text.count("\n", counted_to, start)
-        counted_to = start
+        line += text.count("\n", counted_offset, start)
+        counted_offset = start
         parent = containers[-1] if containers else None
         if punctuation in (",", ":"):
             if parent and punctuation == ",":
                 parent.advance()
         elif punctuation in ("}", "]"):
             containers.pop()
-        elif parent and parent.is_object and not parent.member:
+        elif parent and parent.is_object and not parent.member_pointer:
             yield parent.open_member(json.loads(string), line)
         else:
             value_pointer = parent.next_value() if parent else ""
@@ -76,21 +76,21 @@
     pointer: str
     is_object: bool
     index: int = 0  # index of the next element of an array
-    member: str = ""  # pointer of the member whose value is next; empty before its key
+    member_pointer: str = ""  # pointer of the member whose value is next; empty before its key
     key_lines: dict[str, int] = field(default_factory=dict)
 
     def next_value(self) -> str:
         """Return the pointer of the next value."""
-        return self.member or child_pointer(self.pointer, self.index)
+        return self.member_pointer or child_pointer(self.pointer, self.index)
 
     def advance(self) -> None:
         """Handle a comma, which ends an element or a member."""
         self.index += 1
-        self.member = ""
+        self.member_pointer = ""
 
     def open_member(self, key: str, line: int) -> Location:
         """Handle the key of a member, and return the location of the member."""
         first_line = self.key_lines.get(key, 0)
         self.key_lines.setdefault(key, line)
-        self.member = child_pointer(self.pointer, key)
-        return Location(self.member, line, first_line)
+        self.member_pointer = child_pointer(self.pointer, key)
+        return Location(self.member_pointer, line, first_line)
--- a/wheatstile/config/violations.py
+++ b/wheatstile/config/violations.py
@@ -14,7 +14,7 @@
 from wheatstile.config.errors import InvalidConfigurationError
 from wheatstile.config.json_locations import Location, child_pointer, walk
 
-MAX_LISTED_VIOLATIONS = 100  # for each file; the others are only counted
+MAX_LISTED_VIOLATIONS = 100  # limit for one file; further violations are only counted
 BYTE_ORDER_MARK = b"\xef\xbb\xbf"
 _ESCAPED_SURROGATE = re.compile(r"\\u[dD][89a-fA-F]")
 
@@ -109,7 +109,8 @@
         return Violation("", "contains a lone surrogate, which is not valid Unicode text", 1)
     if isinstance(error, RecursionError):
         return Violation("", "nested too deeply", 1)
-    return Violation("", f"no JSON: {error}", 1)  # for an integer with more digits than Python converts
+    # The remaining case is an integer with more digits than Python converts.
+    return Violation("", f"no JSON: {error}", 1)
 
 
 def locate(text: str, violations: Iterable[Violation]) -> list[Violation]:
