--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -1,13 +1,14 @@
 """Measures the decision module without sockets: `python benchmarks/decisions.py [--quick]`.
 
-Prints one table by the number of servers and one by the number of open connections. Each cost is a ratio to
-the first row of the same run, since machines differ. The columns are the median times of
+Prints one table by the number of servers and one by the number of open connections. Each cost is given as a
+ratio to the first row of the same run, since machines differ. The columns show the memory of the module and
+the median time to handle
 
 - decision: one request from its arrival to its `StartAttempt`, with the health checks of both candidates;
 - report: the result of one health check;
-- list: an update of discovery that changes one server;
+- list: one endpoint update that changes one server.
 
-and the memory of the module. docs/operators/large-fleets.md shows the tables.
+docs/operators/large-fleets.md shows the tables.
 """
 
 import argparse
@@ -39,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Costs:
-    """The median time of each kind of event, and the memory of the module, for one row of a table."""
+    """The median time to handle each kind of event, and the memory of the decision module."""
 
     decision_s: float
     report_s: float
@@ -49,29 +50,32 @@
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """One line of a table."""
+    """One row of a table."""
 
     title: str
     costs: Costs
 
 
-def median_s(
-    work: Callable[[int], object],
+def median_duration_s(
+    function: Callable[[int], object],
     repetitions: int,
     prepare: Callable[[int], object] = lambda _: None,
 ) -> float:
-    """Return the median time of one call of `work`, in seconds; both functions get the call's number."""
+    """Return the median time of one call of `function`, in seconds.
+
+    `prepare` is called before each call and is not measured. Both functions receive the number of the call.
+    """
     durations_s = []
     for index in range(repetitions):
         prepare(index)
         started_s = time.perf_counter()
-        work(index)
+        function(index)
         durations_s.append(time.perf_counter() - started_s)
     return median(durations_s)
 
 
 class Measurement:
-    """One decision module with these numbers of servers and connections, and the costs of its events."""
+    """Measures one decision module with these numbers of servers and open connections."""
 
     def __init__(self, server_count: int, connection_count: int) -> None:
         self._names = [f"s{number}" for number in range(server_count)]
@@ -82,17 +86,17 @@
         self._memory_bytes, _ = tracemalloc.get_traced_memory()
         tracemalloc.stop()
 
-    def costs(self, repetitions: int) -> Costs:
-        """Return the costs; each time is the median of this number of repetitions."""
+    def measure_costs(self, repetitions: int) -> Costs:
+        """Return the costs. Each time is the median of this number of repetitions."""
         return Costs(
-            decision_s=median_s(self._decide, repetitions),
-            report_s=median_s(self._report_load, repetitions, self._begin_check),
-            update_s=median_s(self._update_endpoint, repetitions),
+            decision_s=median_duration_s(self._decide, repetitions),
+            report_s=median_duration_s(self._report_load, repetitions, self._begin_check),
+            update_s=median_duration_s(self._update_endpoint, repetitions),
             memory_bytes=self._memory_bytes,
         )
 
     def _decide(self, index: int) -> None:
-        """Handle one request from its arrival to its attempt, and its end."""
+        """Dispatch one request, check that an attempt was started, and disconnect the client."""
         request_id = f"r{index}"
         self._harness.log.clear()
         self._harness.request(request_id, key=request_id, affinity_group=request_id)
@@ -100,25 +104,25 @@
         self._harness.dispatch(api.ClientDisconnected(request_id))
 
     def _begin_check(self, index: int) -> None:
-        """Put a health check in flight, for `_report_load`."""
+        """Start a health check, which `_report_load` answers."""
         balancer = self._harness.balancer
         server = balancer.endpoints.servers[self._names[index % len(self._names)]]
         balancer.health_checks.check(server, lambda _: None, next(iter(balancer.connections.established)))
 
     def _report_load(self, index: int) -> None:
-        """Answer one health check."""
+        """Dispatch the result of one health check."""
         server = self._names[index % len(self._names)]
         self._harness.dispatch(api.HealthCheckResult(server, api.AttemptOutcome.OK, 1000, {"load": 0.4}))
 
     def _update_endpoint(self, index: int) -> None:
-        """Handle one update of discovery, which changes one server."""
+        """Dispatch an endpoint update that changes the state of one server."""
         state = (api.EndpointState.DRAINING, api.EndpointState.READY)[index % 2]
         endpoint = api.Endpoint(self._names[0], state, "here")
         self._harness.dispatch(api.EndpointUpdate(api.EndpointUpdateKind.DELTA, [endpoint]))
 
 
 def table(rows: Sequence[Row]) -> str:
-    """Return the rows with each cost as a ratio to the first row's, then two costs as they are."""
+    """Return the table: each cost as a ratio to that in the first row, then two costs as absolute values."""
     base = astuple(rows[0].costs)
     lines = []
     for row in rows:
@@ -132,18 +136,24 @@
 
 
 def main() -> None:
-    """Print both tables: by servers, and by connections."""
+    """Print one table by the number of servers and one by the number of connections."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--quick", action="store_true", help="fewer repetitions")
     repetitions = QUICK_REPETITIONS if parser.parse_args().quick else REPETITIONS
     by_servers = [
-        Row(f"{count:,} servers, 100 connections", Measurement(count, FEW_CONNECTIONS).costs(repetitions))
+        Row(
+            f"{count:,} servers, 100 connections",
+            Measurement(count, FEW_CONNECTIONS).measure_costs(repetitions),
+        )
         for count in SERVER_COUNTS
     ]
     print(table(by_servers))
     print()
     by_connections = [
-        Row(f"60 servers, {count:,} connections", Measurement(MEDIUM_SERVERS, count).costs(repetitions))
+        Row(
+            f"60 servers, {count:,} connections",
+            Measurement(MEDIUM_SERVERS, count).measure_costs(repetitions),
+        )
         for count in CONNECTION_COUNTS
     ]
     print(table(by_connections))
--- a/benchmarks/descriptions.py
+++ b/benchmarks/descriptions.py
@@ -1,8 +1,10 @@
 """Measures the cost of descriptions: `python benchmarks/descriptions.py [--quick]`.
 
-Prints the tables of docs/descriptions.md: the time and memory to read and compile descriptions in a process
-of its own; the time to match one path, compared with a linear scan and with Werkzeug's router; the response
-time of a running balancer while descriptions are compiled.
+Prints the tables of docs/descriptions.md:
+
+- time and memory of a new process that reads and compiles descriptions;
+- time to match one path, compared with a linear scan and with Werkzeug's router;
+- response time of a running balancer while it compiles descriptions.
 """
 
 import argparse
@@ -32,11 +34,13 @@
 )
 DESCRIPTIONS_APPLIED = "descriptions_applied"
 MAX_CPU_TIME_S = 1800
-MATCHED_PATHS = 97  # approximate number of paths that are matched, spread over the routes
+MATCHED_PATHS = 97  # approximate number of paths to match, spread evenly over the routes
 MICROSECONDS_PER_SECOND = 1e6
 BYTES_PER_KB = 1024
 KB_PER_MB = 1024
-ANSWER = "{'200': {description: ok, content: {application/json: {schema: {$ref: '#/components/schemas/t'}}}}}"
+RESPONSES = (
+    "{'200': {description: ok, content: {application/json: {schema: {$ref: '#/components/schemas/t'}}}}}"
+)
 PARAMETERS = "parameters: [{name: id, in: path, required: true, schema: {type: string}}]"
 
 LOADING_SIZES = (10, 1_000, 10_000)
@@ -53,31 +57,32 @@
 
 
 def path_template(number: int) -> str:
-    """Return the path of one operation."""
+    """Return the path template of one operation."""
     return f"/area{number % 50}/thing{number}/{{id}}/part"
 
 
 def write_description(path: Path, operations: int) -> None:
-    """Write a description with this number of operations, each of which refers to a schema."""
+    """Write an OpenAPI description with this number of operations. Each refers to a schema."""
     lines = ["openapi: 3.1.0", "info: {title: big, version: '1'}", "paths:"]
     for number in range(operations):
         lines.append(f"  {path_template(number)}:")
         lines.append(
-            f"    get: {{tags: [t{number % 7}], x-wheatstile-class: web, {PARAMETERS}, responses: {ANSWER}}}"
+            f"    get: {{tags: [t{number % 7}], x-wheatstile-class: web, "
+            f"{PARAMETERS}, responses: {RESPONSES}}}"
         )
     lines.append("components: {schemas: {t: {type: object, properties: {a: {type: string}}}}}")
     path.write_text("\n".join(lines))
 
 
-def print_loading(folder: Path, sizes: Iterable[int]) -> None:
-    """Print the time and the memory to load descriptions of these sizes."""
-    rows = [measure_loading(folder / f"{size}.yaml", size) for size in sizes]
+def print_loading(directory: Path, sizes: Iterable[int]) -> None:
+    """Print a table with the time and the memory to load descriptions of these sizes."""
+    rows = [measure_loading(directory / f"{size}.yaml", size) for size in sizes]
     print("\nLoading, including the start of the interpreter\n")
     print(tabulate(rows, ["operations", "kB", "s", "peak MB"], "github"))
 
 
 def measure_loading(path: Path, operations: int) -> list[object]:
-    """Return one row: the cost to compile a description in a process of its own."""
+    """Return one row with the cost to compile a description in a new process."""
     write_description(path, operations)
     started_s = time.monotonic()
     process = subprocess.Popen([sys.executable, "-c", COMPILE_PROGRAM, str(path)], cwd=ROOT)
@@ -92,18 +97,18 @@
     ]
 
 
-def mean_us(work: Callable[[], object], duration_s: float) -> float:
-    """Return the mean time of one call in microseconds, measured for about this duration."""
+def mean_duration_us(function: Callable[[], object], duration_s: float) -> float:
+    """Return the mean time of one call, in microseconds. The calls are repeated for about `duration_s`."""
     calls = 0
     started_s = time.perf_counter()
     while (elapsed_s := time.perf_counter() - started_s) < duration_s:
-        work()
+        function()
         calls += 1
     return elapsed_s / calls * MICROSECONDS_PER_SECOND
 
 
 class Routers:
-    """The same routes in our matcher, in a list of regular expressions, and in Werkzeug's router."""
+    """The same routes in `Matcher`, in a list of regular expressions, and in Werkzeug's router."""
 
     def __init__(self, size: int) -> None:
         numbers = range(size)
@@ -118,11 +123,11 @@
         rules = [Rule(path_template(number).replace("{id}", "<id>"), endpoint=number) for number in numbers]
         self._werkzeug: MapAdapter = Map(rules).bind("host")
 
-    def costs_us(self, duration_s: float) -> list[float]:
-        """Return the microseconds of one match by matcher, linear scan and Werkzeug."""
-        self._match_by_werkzeug()  # Werkzeug sorts its rules at the first match
+    def measure_us(self, duration_s: float) -> list[float]:
+        """Return the mean time of one match by `Matcher`, linear scan and Werkzeug, in microseconds."""
+        self._match_by_werkzeug()  # Werkzeug sorts its rules at the first match; this must not be measured
         candidates = (self._match, self._scan, self._match_by_werkzeug)
-        return [mean_us(candidate, duration_s) / len(self._paths) for candidate in candidates]
+        return [mean_duration_us(candidate, duration_s) / len(self._paths) for candidate in candidates]
 
     def _match(self) -> None:
         for path in self._paths:
@@ -138,10 +143,10 @@
 
 
 def print_matching(duration_s: float) -> None:
-    """Print the time of one match, by the number of routes."""
+    """Print a table with the time of one match for each number of routes."""
     rows = []
     for size in MATCHING_SIZES:
-        matcher_us, scan_us, werkzeug_us = Routers(size).costs_us(duration_s)
+        matcher_us, scan_us, werkzeug_us = Routers(size).measure_us(duration_s)
         costs = [f"{cost_us:.1f}" for cost_us in (matcher_us, scan_us, werkzeug_us)]
         rows.append([size, *costs, f"{scan_us / matcher_us:.0f}", f"{werkzeug_us / matcher_us:.1f}"])
     print("\nOne match\n")
@@ -149,10 +154,10 @@
 
 
 def print_reload(operations: int, rounds: int) -> None:
-    """Print the response time of PING while a running balancer has its descriptions compiled."""
+    """Print a table with the response time of PING, idle and while the balancer compiles descriptions."""
     rows = []
-    with tempfile.TemporaryDirectory() as folder:
-        description = Path(folder) / "api.yaml"
+    with tempfile.TemporaryDirectory() as directory:
+        description = Path(directory) / "api.yaml"
         write_description(description, operations)
         section = {"paths": [str(description)], "settle_s": 0.1}
         with MeasuredBalancer({"descriptions": section}) as balancer:
@@ -170,13 +175,13 @@
 
 
 def main() -> None:
-    """Print the tables."""
+    """Run the measurements and print the tables."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--quick", action="store_true", help="fewer operations and shorter measurements")
     quick = parser.parse_args().quick
     resource.setrlimit(resource.RLIMIT_CPU, (MAX_CPU_TIME_S, MAX_CPU_TIME_S))
-    with tempfile.TemporaryDirectory() as folder:
-        print_loading(Path(folder), QUICK_LOADING_SIZES if quick else LOADING_SIZES)
+    with tempfile.TemporaryDirectory() as directory:
+        print_loading(Path(directory), QUICK_LOADING_SIZES if quick else LOADING_SIZES)
     print_matching(0.5 if quick else 2.0)
     print_reload(100 if quick else 1000, 3 if quick else 5)
 
--- a/benchmarks/running_balancer.py
+++ b/benchmarks/running_balancer.py
@@ -1,4 +1,4 @@
-"""Measures a running balancer: memory, processor time, and the latency of its event loop."""
+"""Measures a running balancer: memory, CPU time, and the latency of its event loop."""
 
 import json
 import os
@@ -20,11 +20,11 @@
 SIGNIFICANT_DIGITS = 3
 PING_PAUSE_S = 0.001
 UPDATE_DISPATCHED = "endpoint_update_dispatched"
-"""The event that is logged after the decision module was notified of an endpoint list."""
+"""The log event after an endpoint list was dispatched to the decision module."""
 PERCENTILES = (50.0, 99.0, 100.0)
 
 JsonObject = dict[str, Any]
-"""A JSON object of one of the program's files."""
+"""A JSON object, e.g. the content of an operator's file or of an endpoint file."""
 
 
 class Durations:
@@ -39,31 +39,31 @@
         return int(self._histogram.total_count)
 
     def record_since(self, started_ns: int) -> None:
-        """Record the time since `started_ns` of the monotonic clock."""
+        """Record the time since `started_ns`, a time of the monotonic clock."""
         self._histogram.record_value(max(1, (time.monotonic_ns() - started_ns) // 1000))
 
     def percentile_ms(self, percentile: float) -> str:
-        """Return the duration at this percentile (100: the longest), in milliseconds, as text."""
+        """Return a percentile in milliseconds as text. The percentile 100 is the maximum."""
         return f"{self._histogram.get_value_at_percentile(percentile) / 1000:.1f}"
 
     def summary_ms(self) -> list[str]:
-        """Return the median, the 99th percentile and the maximum, in milliseconds, as text."""
+        """Return the median, the 99th percentile and the maximum in milliseconds, as text."""
         return [self.percentile_ms(percentile) for percentile in PERCENTILES]
 
 
 class MeasuredBalancer(Balancer):
-    """A balancer with an operator's file.
+    """A balancer with an operator's file, used as a context manager.
 
-    Entering the context starts the balancer without servers, and leaving it ends the balancer.
+    Entering the context starts the balancer with an empty endpoint list, and leaving it stops the balancer.
     """
 
     def __init__(self, operator_settings: JsonObject, servers_file: bytes = b"") -> None:
-        """Write the operator's file, and `servers_file` into `servers.json` in the same folder."""
+        """Write the operator's file, and `servers_file` to `servers.json` in the same directory."""
         super().__init__({})
-        folder = Path(self.folder.name)
-        self.servers_file = folder / "servers.json"
+        directory = Path(self.folder.name)
+        self.servers_file = directory / "servers.json"
         self.servers_file.write_bytes(servers_file)
-        operator_file = folder / "operator.json"
+        operator_file = directory / "operator.json"
         operator_file.write_text(json.dumps(operator_settings))
         self.arguments = ("serve", "--file", str(operator_file), "--log-level", "debug")
 
@@ -75,21 +75,21 @@
         self.close()
 
     def resident_kb(self) -> int:
-        """Return the resident memory, in kB."""
+        """Return the resident set size, in kB."""
         status = Path(f"/proc/{self.process.pid}/status").read_text()
         return next(int(line.split()[1]) for line in status.splitlines() if line.startswith("VmRSS"))
 
-    def processor_s(self) -> float:
-        """Return the processor time used so far, user and system, in seconds (proc(5), stat: 14 and 15)."""
+    def cpu_time_s(self) -> float:
+        """Return the user and system CPU time so far, in seconds (fields 14 and 15 of stat, see proc(5))."""
         fields = Path(f"/proc/{self.process.pid}/stat").read_text().rpartition(")")[2].split()
         user_ticks, system_ticks = (int(field) for field in fields[11:13])
         return (user_ticks + system_ticks) / os.sysconf("SC_CLK_TCK")
 
 
 class PingLoop(threading.Thread):
-    """A thread that sends PING on one connection; a late answer shows that the event loop was blocked.
+    """A thread that sends PING on one connection. A late answer shows that the event loop was blocked.
 
-    The constructor connects and starts the thread. `stop` ends both.
+    The constructor connects and starts the thread. `stop` ends the thread and closes the connection.
     """
 
     def __init__(self, address: tuple[str, int]) -> None:
@@ -100,7 +100,7 @@
         self.start()
 
     def run(self) -> None:
-        """Send PING and record the time to each answer until `stop` is called."""
+        """Send PING and record the time to each answer, until `stop` is called."""
         while not self._ended.wait(PING_PAUSE_S):
             started_ns = time.monotonic_ns()
             self._sock.sendall(b"PING\r\n")
@@ -108,7 +108,7 @@
             self._durations.record_since(started_ns)
 
     def stop(self) -> Durations:
-        """End the thread, close the connection, and return the times to the answers."""
+        """End the thread, close the connection, and return the recorded times."""
         self._ended.set()
         self.join()
         self._sock.close()
--- a/benchmarks/servers_file.py
+++ b/benchmarks/servers_file.py
@@ -1,12 +1,13 @@
-"""Measures a balancer with a watched endpoint file: `python benchmarks/servers_file.py [--quick]`.
+"""Measures a balancer that watches an endpoint file: `python benchmarks/servers_file.py [--quick]`.
 
 Prints the tables of docs/resolvers.md:
 
-- renames: time until the decision module has a new file, how long the event loop is blocked, and memory;
-- set-ups: duration of a client's set-up while the file is replaced 50 times a second;
-- in-place: which contents are accepted of a file that is changed in place.
+- renames: time from writing a new file until it is dispatched to the decision module, delays of the event
+  loop, and memory;
+- set-ups: duration of session setups while the file is replaced 50 times a second;
+- in-place: contents that are accepted from a file that is overwritten in place.
 
-The program runs as a process, and all connections are on loopback.
+The balancer runs as a process, and all connections are on loopback.
 """
 
 import argparse
@@ -40,42 +41,42 @@
 from wheatstile.resolvers.atomic_write import write_atomic  # noqa: E402
 from wheatstile.resolvers.canonical_json import digest_of  # noqa: E402
 
-FORK = multiprocessing.get_context("fork")  # the writer must not use processor time of this process
+FORK = multiprocessing.get_context("fork")  # the writer must not use CPU time of this process
 FILE_ACCEPTED = "endpoint_file_accepted"
 SECTION = {"file": "servers.json", "mode": "override", "most_removed": 1.0, "most_bytes": 1 << 24}
 
 RENAME_SIZES = (10, 1_000, 20_000)
-LARGE_SIZE = 20_000  # number of servers with fewer renames
-SET_UP_SIZES = (10, 1_000)
-SET_UP_PHASES = 8
-MIN_RENAME_PAUSE_S = 0.02  # with RENAME_PAUSE_PER_SERVER_S: time for the reader's pause after a poll
-RENAME_PAUSE_PER_SERVER_S = 1e-4
+LARGE_SIZE = 20_000  # fewer renames are measured from this number of servers on
+SETUP_SIZES = (10, 1_000)
+SETUP_PHASES = 8
+MIN_RENAME_PAUSE_S = 0.02  # pause between renames, plus RENAME_PAUSE_PER_SERVER_S for each server
+RENAME_PAUSE_PER_SERVER_S = 1e-4  # the balancer waits after each poll, in proportion to the poll's duration
 REWRITE_INTERVAL_S = 0.02
-FLEET_SIZE = 10  # servers that answer the clients
+ECHO_SERVER_COUNT = 10  # number of servers that serve sessions
 CLIENT_PAUSE_S = 0.002
-GENERATION_GAP = 1_000_000  # more than the generations that a writer publishes in one phase
+GENERATION_GAP = 1_000_000  # greater than the number of generations that a writer publishes in one phase
 IN_PLACE_SERVERS = 20
 FIRST_GENERATION = 999
 LAST_GENERATION = 99_999
-IN_PLACE_PAUSE_S = 0.3  # longer than the settle time
-PAUSING_REWRITES = 40
+IN_PLACE_PAUSE_S = 0.3  # longer than the settle time of 0.2 s
+PAUSED_REWRITES = 40
 
 
 class TableName(enum.StrEnum):
-    """The tables. The values are those of the option `--only`."""
+    """The names of the tables, as accepted by the option `--only`."""
 
     RENAMES = "renames"
-    SET_UPS = "set-ups"
+    SETUPS = "set-ups"
     IN_PLACE = "in-place"
 
 
-def running_balancer(servers_file: bytes) -> MeasuredBalancer:
-    """Return a balancer with an endpoint file of this content. `with` starts and ends it."""
+def balancer_with_file(servers_file: bytes) -> MeasuredBalancer:
+    """Return a context manager for a balancer with an endpoint file of this content."""
     return MeasuredBalancer({"servers": SECTION}, servers_file)
 
 
 def servers_document(servers: int, generation: int, *, sealed: bool = True) -> bytes:
-    """Return an endpoint file of this many servers. Every weight differs from that in the last generation."""
+    """Return an endpoint file with this many servers. All weights change with each generation."""
     rows = [
         {
             "id": f"link-{number}",
@@ -90,23 +91,23 @@
 
 
 def sealed_document(value: JsonObject) -> bytes:
-    """Return the document with its seal."""
+    """Return the sealed document, encoded as JSON."""
     return json.dumps(value | {"seal": digest_of(value)}).encode()
 
 
 def yes_or_no(value: bool) -> str:
-    """Return the text of a table's cell."""
+    """Return the table cell for a boolean value."""
     return "yes" if value else "no"
 
 
 def print_memory() -> None:
-    """Print the resident memory of a balancer whose operator's file switches nothing on."""
+    """Print the resident memory of a balancer whose operator's file enables nothing."""
     with MeasuredBalancer({"servers": {}}) as balancer:
-        print(f"\nResident with the operator's file and nothing on: {balancer.resident_kb()} kB")
+        print(f"\nResident memory with an operator's file that enables nothing: {balancer.resident_kb()} kB")
 
 
 def print_renames(rounds: int) -> None:
-    """Print a table of renames of new files into place. Each file changes every weight."""
+    """Print the table of renames. Each renames a new file with changed weights over the current file."""
     rows = []
     for servers in RENAME_SIZES:
         for sealed in (True, False):
@@ -114,13 +115,13 @@
             rows.append(measure_renames(servers, count, sealed=sealed))
     headers = ["servers", "sealed", "renames", "p50 ms", "p99 ms", "max ms"]
     headers += ["PING idle max ms", "PING p99 ms", "PING max ms", "resident kB"]
-    print("\nFrom the write before a rename until the module has every server; PING during the renames\n")
+    print("\nTime from the write before a rename until the list is dispatched; PING during the renames\n")
     print(tabulate(rows, headers, tablefmt="github", disable_numparse=True))
 
 
 def measure_renames(servers: int, count: int, *, sealed: bool) -> list[object]:
-    """Return one row: renames, PING when idle, PING during the renames, and memory."""
-    with running_balancer(servers_document(servers, 1, sealed=sealed)) as balancer:
+    """Return one row: time of renames, PING when idle and during the renames, and memory."""
+    with balancer_with_file(servers_document(servers, 1, sealed=sealed)) as balancer:
         balancer.logged(UPDATE_DISPATCHED)
         resident_kb = balancer.resident_kb()
         idle_pings = PingLoop(balancer.listen)
@@ -148,18 +149,18 @@
     ]
 
 
-def rewrite_until(file: Path, value: JsonObject, ended: Event) -> None:
-    """Rename a new, sealed generation into place 50 times a second, until the event is set."""
+def rewrite_repeatedly(file: Path, value: JsonObject, ended: Event) -> None:
+    """Replace the file with a new, sealed generation 50 times a second, until the event is set."""
     while not ended.wait(REWRITE_INTERVAL_S):
         value["generation"] += 1
         write_atomic(file, sealed_document(value))
 
 
 @contextmanager
-def rewritten(file: Path, value: JsonObject) -> Iterator[None]:
-    """Let another process rewrite the file until the end of the block."""
+def rewriter_process(file: Path, value: JsonObject) -> Iterator[None]:
+    """Run a process that replaces the file repeatedly until the end of the context."""
     ended = FORK.Event()
-    writer = FORK.Process(target=rewrite_until, args=(file, value, ended))
+    writer = FORK.Process(target=rewrite_repeatedly, args=(file, value, ended))
     writer.start()
     try:
         yield
@@ -170,72 +171,72 @@
 
 
 @dataclass
-class SetUpCosts:
-    """The durations of clients' set-ups, and the share of a core that the balancer used during them."""
+class SetupCosts:
+    """The durations of session setups, and the share of a CPU core that the balancer used."""
 
     durations: Durations = field(default_factory=Durations)
     core_share: float = 0.0
 
     def row(self, servers: int, title: str) -> list[object]:
-        """Return the row of the table for this many servers."""
+        """Return a table row for this many servers."""
         return [servers, title, self.durations.count, *self.durations.summary_ms(), f"{self.core_share:.2f}"]
 
 
 @dataclass
-class SetUpComparison:
-    """The costs without and with a process that rewrites the file."""
+class SetupComparison:
+    """The costs of session setups, without and with a process that replaces the endpoint file."""
 
-    unchanged: SetUpCosts = field(default_factory=SetUpCosts)
-    rewritten: SetUpCosts = field(default_factory=SetUpCosts)
+    unchanged: SetupCosts = field(default_factory=SetupCosts)
+    rewritten: SetupCosts = field(default_factory=SetupCosts)
 
 
-def print_set_ups(phase_s: float) -> None:
-    """Print a table of set-ups. Phases with and without rewriting alternate in one run."""
-    fleet = EchoServers([f"link-{number}" for number in range(FLEET_SIZE)])
+def print_setups(phase_s: float) -> None:
+    """Print the table of session setups, in alternating phases without and with replacement of the file."""
+    echo_servers = EchoServers([f"link-{number}" for number in range(ECHO_SERVER_COUNT)])
     rows = []
-    for servers in SET_UP_SIZES:
-        comparison = measure_set_ups(fleet, servers, phase_s)
+    for servers in SETUP_SIZES:
+        comparison = measure_setups(echo_servers, servers, phase_s)
         rows.append(comparison.unchanged.row(servers, "none"))
         rows.append(comparison.rewritten.row(servers, "50 a second"))
-    fleet.close()
+    echo_servers.close()
     headers = ["servers", "rewriting", "set-ups", "p50 ms", "p99 ms", "max ms", "core used"]
-    print("\nA client's set-up; phases with and without rewriting alternate\n")
+    print("\nSession setups; phases without and with rewriting of the file alternate\n")
     print(tabulate(rows, headers, tablefmt="github", disable_numparse=True))
 
 
-def measure_set_ups(fleet: EchoServers, servers: int, phase_s: float) -> SetUpComparison:
-    """Return the costs of set-ups in phases that alternate: the file is unchanged, or rewritten."""
-    value = fleet_document(fleet, servers)
-    comparison = SetUpComparison()
-    with running_balancer(sealed_document(value)) as balancer:
+def measure_setups(echo_servers: EchoServers, servers: int, phase_s: float) -> SetupComparison:
+    """Measure session setups in alternating phases: the file is unchanged, or replaced repeatedly."""
+    value = echo_servers_document(echo_servers, servers)
+    comparison = SetupComparison()
+    with balancer_with_file(sealed_document(value)) as balancer:
         balancer.logged(UPDATE_DISPATCHED)
         assert balancer.process.stderr
-        # The balancer would block on its log once the pipe is full.
+        # Read the log continuously: the balancer would block on its log once the pipe is full.
         threading.Thread(target=balancer.process.stderr.read, daemon=True).start()
-        for phase in range(SET_UP_PHASES):
+        for phase in range(SETUP_PHASES):
             is_rewritten = phase % 2 == 1
             costs = comparison.rewritten if is_rewritten else comparison.unchanged
-            used_before_s = balancer.processor_s()
-            with rewritten(balancer.servers_file, value) if is_rewritten else nullcontext():
-                set_up_clients(balancer, phase, phase_s, costs.durations)
-            used_s = balancer.processor_s() - used_before_s
-            costs.core_share += used_s / (SET_UP_PHASES / 2 * phase_s)
+            used_before_s = balancer.cpu_time_s()
+            with rewriter_process(balancer.servers_file, value) if is_rewritten else nullcontext():
+                set_up_sessions(balancer, phase, phase_s, costs.durations)
+            used_s = balancer.cpu_time_s() - used_before_s
+            costs.core_share += used_s / (SETUP_PHASES / 2 * phase_s)
     return comparison
 
 
-def fleet_document(fleet: EchoServers, servers: int) -> JsonObject:
-    """Return a document in which the servers of the fleet are ready, and all others draining."""
+def echo_servers_document(echo_servers: EchoServers, servers: int) -> JsonObject:
+    """Return a document in which the echo servers are ready and all other servers are draining."""
     rows = json.loads(servers_document(servers, 1))["servers"]
     for row in rows:
-        if row["id"] in fleet.addresses:
-            row["address"] = fleet.addresses[row["id"]]
+        if row["id"] in echo_servers.addresses:
+            row["address"] = echo_servers.addresses[row["id"]]
         else:
             row["state"] = "draining"
     return {"servers": rows, "generation": 1}
 
 
-def set_up_clients(balancer: MeasuredBalancer, phase: int, duration_s: float, durations: Durations) -> None:
-    """Let one client after another set up a connection and close it, for this time."""
+def set_up_sessions(balancer: MeasuredBalancer, phase: int, duration_s: float, durations: Durations) -> None:
+    """Establish and close sessions one after another for this duration, and record the setup times."""
     end_s = time.monotonic() + duration_s
     number = 0
     while time.monotonic() < end_s:
@@ -249,24 +250,26 @@
 
 
 def print_in_place(rewrites: int) -> None:
-    """Print a table of files that a writer changes in place, with and without a pause in the middle."""
+    """Print the table of files that are overwritten in place, without and with a pause in the middle."""
     rows = []
     for sealed in (True, False):
         rows.append(measure_in_place(rewrites, 0.0, sealed=sealed))
-        rows.append(measure_in_place(PAUSING_REWRITES, IN_PLACE_PAUSE_S, sealed=sealed))
+        rows.append(measure_in_place(PAUSED_REWRITES, IN_PLACE_PAUSE_S, sealed=sealed))
     headers = ["sealed", "pause in the middle s", "rewrites", "files accepted", "mixtures"]
-    print("\nA writer that changes the file in place (settle time 0.2 s); a mixture is an error\n")
+    print(
+        "\nFiles overwritten in place (settle time 0.2 s); an accepted mixture of two contents is an error\n"
+    )
     print(tabulate(rows, headers, "github"))
 
 
 def measure_in_place(rewrites: int, pause_s: float, *, sealed: bool) -> list[object]:
-    """Return one row: this many rewrites, with a pause in the middle of each."""
-    # All documents have the same length, so that a mixture of two is valid JSON.
+    """Return one row for this many rewrites, with a pause in the middle of each."""
+    # All documents have the same length, so that a mixture of two of them is valid JSON.
     documents = [
         servers_document(IN_PLACE_SERVERS, 1000 + number, sealed=sealed) for number in range(rewrites)
     ]
     digests = {document_digest(data) for data in documents}
-    with running_balancer(servers_document(IN_PLACE_SERVERS, FIRST_GENERATION, sealed=sealed)) as balancer:
+    with balancer_with_file(servers_document(IN_PLACE_SERVERS, FIRST_GENERATION, sealed=sealed)) as balancer:
         balancer.logged(UPDATE_DISPATCHED)
         rewrite_in_pieces(balancer.servers_file, documents, pause_s)
         write_atomic(balancer.servers_file, servers_document(30, LAST_GENERATION, sealed=sealed))
@@ -282,12 +285,12 @@
 
 
 def document_digest(data: bytes) -> str:
-    """Return the digest of a document without its seal."""
+    """Return the digest of a document, computed without its seal."""
     return digest_of({key: value for key, value in json.loads(data).items() if key != "seal"})
 
 
 def rewrite_in_pieces(path: Path, documents: list[bytes], pause_s: float) -> None:
-    """Overwrite the file with each document, in two pieces with a pause between them."""
+    """Overwrite the file in place with each document, in two writes with a pause between them."""
     generator = random.Random(3)
     with open(path, "r+b", buffering=0) as file:
         for data in documents:
@@ -301,17 +304,17 @@
 
 
 def main() -> None:
-    """Print the tables."""
+    """Run the measurements and print the tables."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--quick", action="store_true", help="fewer rounds")
-    parser.add_argument("--only", choices=tuple(TableName), help="one of the tables")
+    parser.add_argument("--only", choices=tuple(TableName), help="print only this table")
     options = parser.parse_args()
     wanted = {TableName(options.only)} if options.only else set(TableName)
     if TableName.RENAMES in wanted:
         print_memory()
         print_renames(20 if options.quick else 100)
-    if TableName.SET_UPS in wanted:
-        print_set_ups(1.0 if options.quick else 5.0)
+    if TableName.SETUPS in wanted:
+        print_setups(1.0 if options.quick else 5.0)
     if TableName.IN_PLACE in wanted:
         print_in_place(200 if options.quick else 2000)
 
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -1,7 +1,7 @@
 """Measures the store: `python benchmarks/store.py [--quick]` prints the tables of docs/store.md.
 
-The members are processes on this machine, and all clients run in this process, so they share the cores. The
-rate of writes is also given as a ratio to the rate of fsyncs that the disk reaches alone in the same run.
+The members are processes on this machine and all clients run in this process, so they share the CPU cores.
+The write rate is also given as a ratio to the rate of fsyncs without a store, measured in the same run.
 """
 
 import argparse
@@ -27,7 +27,7 @@
 from wheatstile.store.client import StoreClient  # noqa: E402
 
 CLUSTERS = ("a", "abc", "abcde")
-"""The members of each measured cluster; each letter is a name."""
+"""The members of each measured cluster. Each letter is the name of a member."""
 CLIENT_TIMEOUT_S = 60
 VALUE_BYTES = 100
 FSYNC_BYTES = 256
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """The duration of each measurement, the numbers of clients, and how often a leader is killed."""
+    """The duration of each measurement, the numbers of clients, and the number of leader kills."""
 
     duration_s: float
     client_counts: Sequence[int]
@@ -60,28 +60,28 @@
 
 @dataclass(frozen=True, slots=True)
 class Throughput:
-    """The result of one measurement; `writes_per_fsync` is None for reads, or if there was no fsync."""
+    """The result of one measurement. `writes_per_fsync` is None for reads, or if there was no fsync."""
 
     members: int
     clients: int
-    reading: bool
+    is_reading: bool
     rate_per_s: float
     p50_ms: float
     p99_ms: float
     writes_per_fsync: float | None
 
     def row(self, fsyncs_per_s: float) -> list[str]:
-        """Return the cells of `COLUMNS`; the last one is the rate of writes divided by `fsyncs_per_s`."""
+        """Return the cells of `COLUMNS`. The last one is the write rate divided by `fsyncs_per_s`."""
         writes_per_fsync = "" if self.writes_per_fsync is None else f"{self.writes_per_fsync:.1f}"
         return [
             str(self.members),
             str(self.clients),
-            "read" if self.reading else "write",
+            "read" if self.is_reading else "write",
             f"{self.rate_per_s:.0f}",
             f"{self.p50_ms:.1f}",
             f"{self.p99_ms:.1f}",
             writes_per_fsync,
-            "" if self.reading else f"{self.rate_per_s / fsyncs_per_s:.2f}",
+            "" if self.is_reading else f"{self.rate_per_s / fsyncs_per_s:.2f}",
         ]
 
 
@@ -98,10 +98,10 @@
         return [throughput.row(self.fsyncs_per_s) for throughput in self.throughputs]
 
 
-def measure_fsyncs(folder: Path, duration_s: float) -> float:
-    """Return the rate per second of appends to one file with an fsync after each."""
+def measure_fsyncs(directory: Path, duration_s: float) -> float:
+    """Return the number of appends to one file per second, each followed by an fsync."""
     count = 0
-    descriptor = os.open(folder / "probe", os.O_WRONLY | os.O_CREAT | os.O_APPEND)
+    descriptor = os.open(directory / "probe", os.O_WRONLY | os.O_CREAT | os.O_APPEND)
     started_s = time.perf_counter()
     while time.perf_counter() < started_s + duration_s:
         os.write(descriptor, bytes(FSYNC_BYTES))
@@ -112,11 +112,11 @@
 
 
 @dataclass
-class Load:
-    """Clients that read or write, each with a key of its own and one request at a time."""
+class LoadGenerator:
+    """Clients that read or write concurrently. Each uses its own key and sends one request at a time."""
 
     clients: Sequence[StoreClient]
-    reading: bool
+    is_reading: bool
     times_us: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, MAX_DURATION_US, 3))
 
     async def run(self, duration_s: float) -> float:
@@ -124,19 +124,19 @@
         started_s = time.perf_counter()
         async with asyncio.TaskGroup() as tasks:
             for number, client in enumerate(self.clients):
-                tasks.create_task(self._use(client, f"b/{number}", started_s + duration_s))
+                tasks.create_task(self._send_requests(client, f"b/{number}", started_s + duration_s))
         return float(self.times_us.get_total_count() / (time.perf_counter() - started_s))
 
-    async def _use(self, client: StoreClient, key: str, end_s: float) -> None:
+    async def _send_requests(self, client: StoreClient, key: str, end_s: float) -> None:
         while (started_s := time.perf_counter()) < end_s:
-            if self.reading:
+            if self.is_reading:
                 await client.get(key)
             else:
                 await client.put(key, bytes(VALUE_BYTES))
             self.times_us.record_value(int((time.perf_counter() - started_s) * 1e6))
 
     def percentile_ms(self, percentile: float) -> float:
-        """Return a percentile of the duration of a request, in milliseconds."""
+        """Return a percentile of the request latency, in milliseconds."""
         return float(self.times_us.get_value_at_percentile(percentile) / 1000)
 
 
@@ -144,34 +144,36 @@
     """Measure writes and reads with each number of clients."""
     leader = await cluster.leader()
     return [
-        await measure_throughput(cluster, leader, count, plan.duration_s, reading=reading)
+        await measure_throughput(cluster, leader, count, plan.duration_s, is_reading=is_reading)
         for count in plan.client_counts
-        for reading in (False, True)
+        for is_reading in (False, True)
     ]
 
 
 async def measure_throughput(
-    cluster: ProcessCluster, leader: str, client_count: int, duration_s: float, *, reading: bool
+    cluster: ProcessCluster, leader: str, client_count: int, duration_s: float, *, is_reading: bool
 ) -> Throughput:
-    """Measure writes, or reads on the followers, with a number of clients."""
-    ports = follower_ports(cluster, leader) if reading else cluster.client_ports
-    observed = next(iter(ports)) if reading else leader
+    """Measure writes, or reads from the followers, with this number of clients."""
+    ports = follower_ports(cluster, leader) if is_reading else cluster.client_ports
+    observed = next(iter(ports)) if is_reading else leader
     clients = [StoreClient(ports, CLIENT_TIMEOUT_S) for _ in range(client_count)]
-    await asyncio.gather(*(client.get("b/0") for client in clients))  # opens their connections
+    await asyncio.gather(
+        *(client.get("b/0") for client in clients)
+    )  # opens the connections before the measurement
     fsyncs_before = (await clients[0].status(observed)).fsync_count
-    load = Load(clients, reading)
-    rate_per_s = await load.run(duration_s)
+    generator = LoadGenerator(clients, is_reading)
+    rate_per_s = await generator.run(duration_s)
     fsyncs = (await clients[0].status(observed)).fsync_count - fsyncs_before
     for client in clients:
         client.close()
     return Throughput(
         members=len(cluster.processes),
         clients=client_count,
-        reading=reading,
+        is_reading=is_reading,
         rate_per_s=rate_per_s,
-        p50_ms=load.percentile_ms(50),
-        p99_ms=load.percentile_ms(99),
-        writes_per_fsync=rate_per_s * duration_s / fsyncs if fsyncs and not reading else None,
+        p50_ms=generator.percentile_ms(50),
+        p99_ms=generator.percentile_ms(99),
+        writes_per_fsync=rate_per_s * duration_s / fsyncs if fsyncs and not is_reading else None,
     )
 
 
@@ -186,13 +188,13 @@
 
 
 async def measure_elections(cluster: ProcessCluster, kills: int) -> list[float]:
-    """Return the times from SIGKILL of the leader to the next acknowledged write, sorted, in seconds."""
+    """Kill leaders. Return the sorted times in seconds from each kill to the next acknowledged write."""
     durations_s = []
     for number in range(kills):
         leader = await cluster.leader()
         others = {name: port for name, port in cluster.client_ports.items() if name != leader}
         with closing(StoreClient(others, CLIENT_TIMEOUT_S)) as client:
-            await client.get("e")  # opens its connection
+            await client.get("e")  # opens the connection before the leader is killed
             cluster.kill(leader)
             started_s = time.perf_counter()
             await client.put("e", str(number).encode())
@@ -202,11 +204,11 @@
 
 
 def measure_cluster(names: str, plan: Plan) -> ClusterResult:
-    """Start a cluster, measure it, and end it. Elections are measured on the largest cluster only."""
-    with tempfile.TemporaryDirectory(dir=ROOT / "benchmarks") as folder:
-        fsyncs_per_s = measure_fsyncs(Path(folder), plan.duration_s / 2)
-        known_names = names if len(names) > 1 else "ab"  # `ProcessCluster` needs two names
-        with closing(ProcessCluster(Path(folder), 1, known_names, COMPACT_EVERY, direct=True)) as cluster:
+    """Start a cluster, measure it, and stop it. Elections are measured on the largest cluster only."""
+    with tempfile.TemporaryDirectory(dir=ROOT / "benchmarks") as directory:
+        fsyncs_per_s = measure_fsyncs(Path(directory), plan.duration_s / 2)
+        known_names = names if len(names) > 1 else "ab"  # `ProcessCluster` needs at least two names
+        with closing(ProcessCluster(Path(directory), 1, known_names, COMPACT_EVERY, direct=True)) as cluster:
             cluster.start(*names, voters=names)
             throughputs = asyncio.run(measure_throughputs(cluster, plan))
             elections_s: list[float] = []
@@ -226,7 +228,7 @@
     largest = results[-1]
     elections_s = largest.elections_s
     print(
-        f"\nfsyncs alone: {largest.fsyncs_per_s:.0f} per second. Leader killed to next write, "
+        f"\nfsyncs without a store: {largest.fsyncs_per_s:.0f} per second. From leader kill to next write, "
         f"{len(CLUSTERS[-1])} members, {plan.kills} times: median {statistics.median(elections_s):.2f} s, "
         f"p99 {elections_s[int(len(elections_s) * 0.99)]:.2f} s"
     )
--- a/benchmarks/store_replacement.py
+++ b/benchmarks/store_replacement.py
@@ -1,7 +1,7 @@
-"""Replaces voters of a store of real processes while leaders fail: `python benchmarks/store_replacement.py`.
+"""Replaces voters of a store cluster while leaders fail: `python benchmarks/store_replacement.py`.
 
-Each round replaces one voter, and kills the leader or isolates it during the change. The time to the next
-acknowledged write has a bound, and the members' histories must agree.
+The members are processes. Each round replaces one voter, and kills or isolates the leader during the change.
+The time to the next acknowledged write must not exceed a bound, and the histories of the members must agree.
 """
 
 import argparse
@@ -22,32 +22,32 @@
 STANDBY_MEMBERS = 2
 
 
-def play(voter_count: int, rounds: int, seed: int) -> list[Round]:
-    """Play the rounds on one cluster, check the histories, and return the rounds."""
+def run_rounds(voter_count: int, rounds: int, seed: int) -> list[Round]:
+    """Run the rounds on one cluster, check the histories of its members, and return the results."""
     names = "abcdefgh"[: voter_count + STANDBY_MEMBERS]
-    played: list[Round] = []
+    results: list[Round] = []
 
     async def scenario(cluster: ProcessCluster) -> None:
         replacement = MemberReplacement(cluster, random.Random(seed))
         await replacement.start(names[:voter_count])
         for number in range(rounds):
-            played.append(await replacement.play(number))
-            print(played[-1], flush=True)
+            results.append(await replacement.play(number))
+            print(results[-1], flush=True)
 
-    with tempfile.TemporaryDirectory() as folder:
-        cluster = ProcessCluster(Path(folder), seed, names)
+    with tempfile.TemporaryDirectory() as directory:
+        cluster = ProcessCluster(Path(directory), seed, names)
         check_applied(run_scenario(cluster, scenario, voters=names[:voter_count]))
-    return played
+    return results
 
 
 def main() -> int:
-    """Play the rounds. Return 1 if one of them had no acknowledged write in time, else 0."""
-    parser = argparse.ArgumentParser(description="Replaces voters of the store while leaders fail.")
+    """Run the rounds. Return 1 if a round exceeded the bound on the time to the next write, else 0."""
+    parser = argparse.ArgumentParser(description="Replaces voters of a store cluster while leaders fail.")
     parser.add_argument("--voters", type=int, default=3)
     parser.add_argument("--rounds", type=int, default=50)
     parser.add_argument("--seed", type=int, default=1)
     options = parser.parse_args()
-    times_s = [played.leaderless_s for played in play(options.voters, options.rounds, options.seed)]
+    times_s = [result.leaderless_s for result in run_rounds(options.voters, options.rounds, options.seed)]
     late = sum(time_s > MAX_LEADERLESS_S for time_s in times_s)
     row = [options.voters, len(times_s), late, f"{median(times_s):.2f}", f"{max(times_s):.2f}"]
     print(tabulate([row], ["voters", "rounds", f"over {MAX_LEADERLESS_S:g} s", "p50 s", "longest s"]))
