--- a/benchmarks/soak/__init__.py
+++ b/benchmarks/soak/__init__.py
@@ -1,5 +1,5 @@
-"""A seeded soak of running balancers: clients, servers and discovery on loopback, with faults between them.
+"""A seeded soak test of running balancers with injected faults; all connections are on loopback.
 
-`python benchmarks/soak --seeds 1-50` plays the seeds and checks the rules of the platform's protocol for
-each client, from a record of what both sides of every connection saw.
+`python benchmarks/soak --seeds 1-50` runs the seeds. Clients, servers and discovery record what they send and
+receive, and the records of each run are checked against the rules of the platform's protocol.
 """
--- a/benchmarks/soak/__main__.py
+++ b/benchmarks/soak/__main__.py
@@ -1,4 +1,4 @@
-"""`python benchmarks/soak --seeds 1-50 [--parallel N] [--planted NAME]`: plays seeds and reports them."""
+"""Runs seeds of the soak test: `python benchmarks/soak --seeds 1-50 [--parallel N] [--planted NAME]`."""
 
 import argparse
 import asyncio
@@ -10,21 +10,25 @@
 
 from soak.balancers import PROGRAM, planted_program  # noqa: E402
 from soak.planted_faults import PLANTED_FAULTS  # noqa: E402
-from soak.report import play_seeds  # noqa: E402
+from soak.report import run_seeds  # noqa: E402
 
 
 def main() -> int:
-    """Play the seeds. Return 0 if no rule was broken, else 1."""
-    parser = argparse.ArgumentParser(description="A seeded soak of running balancers.")
+    """Run the seeds. Return 0 if no run violated a rule, else 1."""
+    parser = argparse.ArgumentParser(description="Runs a seeded soak test of running balancers.")
     parser.add_argument("--seeds", default="1-50", help="FIRST-LAST")
-    parser.add_argument("--parallel", type=int, default=3, help="seeds that are played at one time")
-    parser.add_argument("--planted", choices=sorted(PLANTED_FAULTS), help="a fault that has to be found")
+    parser.add_argument("--parallel", type=int, default=3, help="number of seeds that run concurrently")
+    parser.add_argument(
+        "--planted",
+        choices=sorted(PLANTED_FAULTS),
+        help="run balancers with this fault, which the soak has to find",
+    )
     options = parser.parse_args()
     first, _, last = options.seeds.partition("-")
     program = planted_program(options.planted) if options.planted else PROGRAM
-    results = asyncio.run(play_seeds(range(int(first), int(last or first) + 1), options.parallel, program))
+    results = asyncio.run(run_seeds(range(int(first), int(last or first) + 1), options.parallel, program))
     failed = [result.record.seed for result in results if result.violations]
-    print(f"{len(failed)} of {len(results)} seeds broke a rule: {failed}")
+    print(f"{len(failed)} of {len(results)} seeds violated a rule: {failed}")
     return 1 if failed else 0
 
 
--- a/benchmarks/soak/clients.py
+++ b/benchmarks/soak/clients.py
@@ -1,4 +1,4 @@
-"""Clients of the soak: each keeps a session open and in use, and connects again when it ends."""
+"""Clients of the soak test. Each uses one session at a time, and reconnects when the session ends."""
 
 from __future__ import annotations
 
@@ -15,99 +15,111 @@
 
 SAFE_CLASS = "safe"
 CLASSES = (SAFE_CLASS, KEYED_CLASS, UNSAFE_CLASS)
-ANSWER_MARGIN_S = 2.0  # time after the deadline after which a client stops waiting
+ANSWER_MARGIN_S = 2.0  # a client waits for an answer until its timeout and this time have elapsed
 MIN_LINE_INTERVAL_S = 0.1
 MAX_LINE_INTERVAL_S = 0.5
-REST_PROBABILITY = 0.15  # a client that rests after PONG before it sends its request
-MAX_REST_S = 1.5
-EARLY_DISCONNECT_PROBABILITY = 0.08
+IDLE_BEFORE_REQUEST_PROBABILITY = 0.15  # the client sends PING and stays idle before its request
+MAX_IDLE_S = 1.5
+EARLY_DISCONNECT_PROBABILITY = 0.08  # applies to each request
 MAX_DISCONNECT_DELAY_S = 0.3
-SESSION_DISCONNECT_PROBABILITY = 0.05  # for each line
-MIN_RECONNECT_S = 0.02
-MAX_RECONNECT_S = 0.2
-RETRY_DELAY_S = 0.3
-IDLE_CLIENT_S = 1.5
+SESSION_DISCONNECT_PROBABILITY = 0.05  # applies to each echoed line
+MIN_RECONNECT_DELAY_S = 0.02
+MAX_RECONNECT_DELAY_S = 0.2
+MAX_RETRY_DELAY_S = 0.3
+IDLE_CLIENTS_DURATION_S = 1.5
 CONNECT_TIMEOUT_S = 5.0
 
 
-class Front:
-    """Sends clients to balancers that it has admitted, and makes the ids of their requests."""
+class BalancerSelector:
+    """Selects a balancer for each new connection, like a load balancer in front of all of them.
+
+    It also generates the request ids.
+    """
 
     def __init__(self, seed: int, balancers: list[SoakBalancer]) -> None:
         self._ids = itertools.count(1)
         self._seed = seed
         self._balancers = balancers
 
-    def choose(self, rng: random.Random) -> SoakBalancer | None:
-        """Return one of the admitted balancers."""
-        admitted = [balancer for balancer in self._balancers if balancer.is_admitted]
-        return rng.choice(admitted) if admitted else None
+    def select(self, rng: random.Random) -> SoakBalancer | None:
+        """Return a random balancer that accepts new clients, or None."""
+        available = [balancer for balancer in self._balancers if balancer.accepts_new_clients]
+        return rng.choice(available) if available else None
 
-    def new_id(self) -> str:
-        """Return a fresh request id."""
+    def new_request_id(self) -> str:
+        """Return an unused request id."""
         return f"{self._seed:08x}{next(self._ids):08x}"
 
 
 class SoakClient:
-    """One client. `run` ends when the front has closed and its session has ended."""
+    """One client. It has one connection at a time.
+
+    Attributes:
+        is_closing: True if the client must not reconnect after its current connection ends.
+    """
 
     def __init__(
-        self, number: int, record: RunRecord, front: Front, rng: random.Random, wait_s: dict[str, float]
+        self,
+        number: int,
+        record: RunRecord,
+        selector: BalancerSelector,
+        rng: random.Random,
+        timeouts_s: dict[str, float],
     ) -> None:
         self.is_closing = False
         self._key = f"key{number}"
         self._record = record
-        self._front = front
+        self._selector = selector
         self._rng = rng
-        self._wait_s = wait_s
+        self._timeouts_s = timeouts_s
 
     async def run(self) -> None:
-        """Connect again and again until `is_closing` is set."""
+        """Connect repeatedly until `is_closing` is set."""
         while not self.is_closing:
-            balancer = self._front.choose(self._rng)
+            balancer = self._selector.select(self._rng)
             if balancer:
-                with suppress(OSError):  # refused: the process has ended since
+                with suppress(OSError):  # the connection is refused if the process has ended meanwhile
                     await self._connect(balancer)
-            await asyncio.sleep(self._rng.uniform(MIN_RECONNECT_S, MAX_RECONNECT_S))
+            await asyncio.sleep(self._rng.uniform(MIN_RECONNECT_DELAY_S, MAX_RECONNECT_DELAY_S))
 
     async def _connect(self, balancer: SoakBalancer) -> None:
         stream = LineStream.unconnected()
         try:
             await stream.connect(balancer.listen, CONNECT_TIMEOUT_S)
-            if self._rng.random() < REST_PROBABILITY and not await self._rest(stream):
+            if self._rng.random() < IDLE_BEFORE_REQUEST_PROBABILITY and not await self._stay_idle(stream):
                 return
             if stream.ended():
                 return
-            await self._request(stream, balancer)
+            await self._send_request(stream, balancer)
         finally:
             stream.close()
 
-    async def _rest(self, stream: LineStream) -> bool:
-        """Send PING and rest. Return whether the connection is still open."""
+    async def _stay_idle(self, stream: LineStream) -> bool:
+        """Send PING, and send nothing for a while. Return whether to send the request."""
         stream.send_now(b"PING\r\n")
         if await stream.read_line() != b"PONG\r\n":
             return False
-        await asyncio.sleep(self._rng.uniform(0, MAX_REST_S))
+        await asyncio.sleep(self._rng.uniform(0, MAX_IDLE_S))
         return not self.is_closing
 
-    async def _request(self, stream: LineStream, balancer: SoakBalancer) -> None:
+    async def _send_request(self, stream: LineStream, balancer: SoakBalancer) -> None:
         loop = asyncio.get_running_loop()
         service_class = self._rng.choice(CLASSES)
-        wait_s = self._wait_s[service_class]
-        id = self._front.new_id()
-        line = f"OPEN {id} {self._key} c={service_class},d={int(wait_s * 1000)},g={self._key}\r\n"
-        request = ClientRequest(id, service_class, balancer.life, loop.time(), wait_s)
+        timeout_s = self._timeouts_s[service_class]
+        id = self._selector.new_request_id()
+        line = f"OPEN {id} {self._key} c={service_class},d={int(timeout_s * 1000)},g={self._key}\r\n"
+        request = ClientRequest(id, service_class, balancer.process_record, loop.time(), timeout_s)
         self._record.requests.append(request)
         stream.send_now(line.encode())
         if self._rng.random() < EARLY_DISCONNECT_PROBABILITY:
-            with recording_the_end(request):
+            with record_ending(request):
                 await self._disconnect_early(stream, request)
             return
-        with recording_the_end(request):
-            async with asyncio.timeout(wait_s + ANSWER_MARGIN_S):
+        with record_ending(request):
+            async with asyncio.timeout(timeout_s + ANSWER_MARGIN_S):
                 answer = await stream.read_line()
             if answer:
-                await self._on_answer(stream, request, ReceivedLine(loop.time(), text_of(answer)))
+                await self._on_answer(stream, request, ReceivedLine(loop.time(), decode_line(answer)))
 
     async def _disconnect_early(self, stream: LineStream, request: ClientRequest) -> None:
         await asyncio.sleep(self._rng.uniform(0, MAX_DISCONNECT_DELAY_S))
@@ -118,16 +130,18 @@
     async def _on_answer(self, stream: LineStream, request: ClientRequest, answer: ReceivedLine) -> None:
         request.answer = answer
         if request.is_established:
-            await SessionUser(stream, request, self._rng, lambda: self.is_closing).run()
+            await SessionTraffic(stream, request, self._rng, lambda: self.is_closing).run()
             return
         request.end(Ending.REJECTED if answer.text.startswith("BUSY") else Ending.FAILED, answer.at_s)
         if line := await stream.read_line():
-            request.unexpected_lines.append(ReceivedLine(asyncio.get_running_loop().time(), text_of(line)))
-        await asyncio.sleep(self._rng.uniform(0, RETRY_DELAY_S))
+            request.unexpected_lines.append(
+                ReceivedLine(asyncio.get_running_loop().time(), decode_line(line))
+            )
+        await asyncio.sleep(self._rng.uniform(0, MAX_RETRY_DELAY_S))
 
 
-class SessionUser:
-    """Uses an established session: sends a line, waits until it comes back, and so on."""
+class SessionTraffic:
+    """Sends lines on an established session, each after the echo of the line before it."""
 
     def __init__(
         self, stream: LineStream, request: ClientRequest, rng: random.Random, is_closing: Callable[[], bool]
@@ -139,7 +153,7 @@
         self._loop = asyncio.get_running_loop()
 
     async def run(self) -> None:
-        """Use the session until either side ends it."""
+        """Send lines and wait for their echoes until either side ends the session."""
         for number in itertools.count():
             line = f"m{number} {self._request.id}"
             sent_at_s = self._loop.time()
@@ -151,69 +165,69 @@
                 self._request.disconnected_at_s = self._loop.time()
                 self._request.end(Ending.DISCONNECTED, self._loop.time())
                 return
-            if not await self._rest():
+            if not await self._stay_idle():
                 return
 
-    async def _rest(self) -> bool:
-        """Read for a while without sending. Return whether the session is still open."""
+    async def _stay_idle(self) -> bool:
+        """Read without sending for a while. Return whether the session is still open."""
         with suppress(TimeoutError):
             async with asyncio.timeout(self._rng.uniform(MIN_LINE_INTERVAL_S, MAX_LINE_INTERVAL_S)):
                 return await self._read_until(None)
         return True
 
     async def _read_until(self, expected: str | None) -> bool:
-        """Read lines until `expected` arrives. Return False if the session has ended before."""
+        """Read lines until `expected` arrives. Return False if the session ends first."""
         while line := await self._stream.read_line(cancel_safe=True):
-            text = text_of(line)
+            text = decode_line(line)
             if text == expected:
                 return True
             if text in ("MOVE", "BYE"):
                 ending = Ending.MIGRATED if text == "MOVE" else Ending.SERVED
                 self._request.end(ending, self._loop.time())
-                await self._read_past_the_end()
+                await self._read_after_final_line()
                 return False
             if not text.startswith("LOAD "):
                 self._request.unexpected_lines.append(ReceivedLine(self._loop.time(), text))
         self._request.end(Ending.CLOSED, self._loop.time())
         return False
 
-    async def _read_past_the_end(self) -> None:
-        """Record each line that follows the final one."""
+    async def _read_after_final_line(self) -> None:
+        """Record each line after MOVE or BYE as unexpected."""
         with suppress(OSError):
             while line := await self._stream.read_line():
-                self._request.unexpected_lines.append(ReceivedLine(self._loop.time(), text_of(line)))
+                self._request.unexpected_lines.append(ReceivedLine(self._loop.time(), decode_line(line)))
 
 
-class IdleCrowd:
-    """Idle clients that fill the descriptors of a balancer for a while."""
+class IdleClients:
+    """Idle clients that use up the descriptors of a balancer for a while."""
 
-    def __init__(self, size: int) -> None:
-        self._size = size
+    def __init__(self, count: int) -> None:
+        self._count = count
 
-    async def visit(self, balancer: SoakBalancer) -> None:
-        """Open connections, half of them after a PING, and close them after a while."""
+    async def occupy(self, balancer: SoakBalancer) -> None:
+        """Open connections, send PING on every second one, and close all of them after a while."""
         streams: list[LineStream] = []
         try:
-            for number in range(self._size):
+            for number in range(self._count):
                 stream = LineStream.unconnected()
                 streams.append(stream)
                 with suppress(OSError):
                     await stream.connect(balancer.listen, CONNECT_TIMEOUT_S)
                     if number % 2:
                         stream.send_now(b"PING\r\n")
-            await asyncio.sleep(IDLE_CLIENT_S)
+            await asyncio.sleep(IDLE_CLIENTS_DURATION_S)
         finally:
             for stream in streams:
                 stream.close()
 
 
 @contextmanager
-def recording_the_end(request: ClientRequest) -> Iterator[None]:
-    """Record a connection that is closed or reset without a final line, and a client that is cancelled."""
+def record_ending(request: ClientRequest) -> Iterator[None]:
+    """Record the end of a connection that ends without a final line, or whose client task is cancelled."""
     loop = asyncio.get_running_loop()
     try:
         yield
-    except OSError:  # TimeoutError is one: the client stops waiting
+    except OSError:  # includes TimeoutError, when the client stops waiting for its answer
         pass
     except asyncio.CancelledError:
         if request.ending is Ending.OPEN:
@@ -224,6 +238,6 @@
         request.end(Ending.CLOSED, loop.time())
 
 
-def text_of(line: bytes) -> str:
-    """Return a line without its end."""
+def decode_line(line: bytes) -> str:
+    """Return the text of a line without its CRLF."""
     return line.removesuffix(b"\r\n").decode(errors="replace")
--- a/benchmarks/soak/discovery.py
+++ b/benchmarks/soak/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery of the soak: one service for each balancer, which records what it has written to it."""
+"""Discovery services of the soak test, which record the phases of servers that they send."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 import json
 from collections.abc import Callable
 
-from soak.records import BalancerLife, Notification
+from soak.records import Notification, ProcessRecord
 from soak.servers import LOOPBACK
 
 KEEPALIVE_S = 2.0
@@ -17,7 +17,7 @@
 
 
 class EndpointList:
-    """The list of all servers and its revisions, which all discovery services share."""
+    """The endpoint list and its revisions. All discovery services share one."""
 
     def __init__(self) -> None:
         self.revision = 1
@@ -32,24 +32,26 @@
         self._changed_at[name] = self.revision
 
     def changes_after(self, revision: int) -> list[Member]:
-        """Return the entries that changed after a revision."""
+        """Return the entries that changed after this revision."""
         return [member for name, member in self._members.items() if self._changed_at[name] > revision]
 
-    def complete(self) -> dict[str, object]:
-        """Return the whole list, without the servers that are gone."""
+    def complete_list(self) -> dict[str, object]:
+        """Return the complete list without the servers that are gone."""
         members = [member for member in self._members.values() if member["phase"] != "gone"]
         return {"revision": self.revision, "complete": True, "members": members}
 
 
 class DiscoveryService:
-    """Serves the list on one port. It can be down, and its watches can fall silent.
+    """Serves the endpoint list to one balancer on one port.
 
     Attributes:
-        life: the process of the balancer that calls this service.
+        process_record: returns the record of the balancer's latest process.
+        is_down: True if each call is answered with 503.
+        is_silent: True if nothing is sent on the watches.
     """
 
-    def __init__(self, endpoints: EndpointList, life: Callable[[], BalancerLife]) -> None:
-        self.life = life
+    def __init__(self, endpoints: EndpointList, process_record: Callable[[], ProcessRecord]) -> None:
+        self.process_record = process_record
         self.port = 0
         self.is_down = False
         self.is_silent = False
@@ -63,18 +65,18 @@
         self.port = self._server.sockets[0].getsockname()[1]
 
     def go_down(self) -> None:
-        """Reset all watches, and answer each call with 503 until `come_back`."""
+        """Abort all connections, and answer each call with 503 until `recover` is called."""
         self.is_down = True
         for writer in list(self._writers):
             writer.transport.abort()
 
-    def come_back(self) -> None:
-        """Serve again."""
+    def recover(self) -> None:
+        """End an outage or a silence."""
         self.is_down = False
         self.is_silent = False
 
     def close(self) -> None:
-        """End everything."""
+        """Stop listening, and abort all connections."""
         if self._server:
             self._server.close()
         self.go_down()
@@ -97,13 +99,13 @@
             writer.close()
 
     def _send_complete(self, writer: asyncio.StreamWriter) -> None:
-        snapshot = self._endpoints.complete()
+        snapshot = self._endpoints.complete_list()
         body = json.dumps(snapshot).encode()
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
-        self._record(self._endpoints.changes_after(0))
+        self._record_notifications(self._endpoints.changes_after(0))
 
     async def _watch(self, revision: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Send the changes after a revision, then each change, and an empty line at each interval."""
+        """Send the changes after a revision, then each later change, and a keepalive at each interval."""
         loop = asyncio.get_running_loop()
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         next_keepalive_s = 0.0
@@ -113,20 +115,20 @@
                 revision = self._endpoints.revision
                 update = {"revision": revision, "complete": False, "members": changes}
                 send_chunk(writer, json.dumps(update).encode() + b"\n")
-                self._record(changes)
+                self._record_notifications(changes)
             elif not self.is_silent and loop.time() >= next_keepalive_s:
                 send_chunk(writer, b"\n")
                 next_keepalive_s = loop.time() + KEEPALIVE_S
             await asyncio.sleep(POLL_INTERVAL_S)
 
-    def _record(self, members: list[Member]) -> None:
-        """Record that the balancer has been notified of these entries."""
+    def _record_notifications(self, members: list[Member]) -> None:
+        """Record that the balancer was sent these entries."""
         now_s = asyncio.get_running_loop().time()
-        self.life().notifications.extend(
+        self.process_record().notifications.extend(
             Notification(now_s, str(member["id"]), str(member["phase"])) for member in members
         )
 
 
 def send_chunk(writer: asyncio.StreamWriter, line: bytes) -> None:
-    """Write one line as a chunk of the response."""
+    """Write one line as one chunk of a chunked response."""
     writer.write(b"%x\r\n%b\r\n" % (len(line), line))
--- a/benchmarks/soak/planted_faults.py
+++ b/benchmarks/soak/planted_faults.py
@@ -1,4 +1,7 @@
-"""The balancer with a fault that the soak has to find: `python benchmarks/soak/planted_faults.py NAME`."""
+"""Runs a balancer with a planted fault: `python benchmarks/soak/planted_faults.py NAME`.
+
+The soak test has to find each of these faults.
+"""
 
 import sys
 from collections.abc import Callable
@@ -13,16 +16,16 @@
 from wheatstile.net.session_setup import SessionSetup
 from wheatstile.process.main import main
 
-UNMOVED_IDS = "01234567"  # last digits of the ids whose sessions are not migrated
+UNMIGRATED_ID_DIGITS = "01234567"  # last digits of the request ids whose sessions are not migrated
 
 
 def ignore_drain() -> None:
-    """Treat a draining server as a ready one."""
+    """Treat draining servers as ready."""
     endpoints.STATES["draining"] = api.EndpointState.READY
 
 
 def answer_twice() -> None:
-    """Send the answer of each established session a second time."""
+    """Send the answer to each established session twice."""
     send_answer = SessionSetup._send_answer  # noqa: SLF001
 
     def send_twice(setup: SessionSetup, line: bytes) -> None:
@@ -32,12 +35,12 @@
 
 
 def skip_migrations() -> None:
-    """Do not migrate half of the sessions at the shutdown."""
+    """Skip the migration of half of the sessions during a shutdown."""
     migrate = ClientConnection.migrate
 
     def migrate_some(connection: ClientConnection, reason: MigrationReason) -> None:
-        is_unmoved = connection.session and connection.session.id[-1] in UNMOVED_IDS
-        if not (is_unmoved and reason is MigrationReason.SHUTDOWN):
+        is_skipped = connection.session and connection.session.id[-1] in UNMIGRATED_ID_DIGITS
+        if not (is_skipped and reason is MigrationReason.SHUTDOWN):
             migrate(connection, reason)
 
     setattr(ClientConnection, "migrate", migrate_some)  # noqa: B010  # mypy rejects the assignment
--- a/benchmarks/soak/records.py
+++ b/benchmarks/soak/records.py
@@ -1,4 +1,7 @@
-"""What clients, servers, discovery and balancer processes saw in one run. All times are of the event loop."""
+"""The record of one run, with the observations of clients, servers, discovery and balancer processes.
+
+All times are times of the event loop.
+"""
 
 from __future__ import annotations
 
@@ -7,7 +10,7 @@
 
 
 class Ending(StrEnum):
-    """How a client's connection ended, as the client saw it."""
+    """The end of a client's connection as observed by the client."""
 
     OPEN = "still open"
     DISCONNECTED = "the client disconnected"
@@ -19,7 +22,7 @@
 
 
 class Outcome(StrEnum):
-    """How a server treated an attempt."""
+    """The outcome of an attempt, drawn by the server."""
 
     ESTABLISHED = "UP"
     OVERLOADED = "BUSY"
@@ -29,7 +32,7 @@
 
     @property
     def may_have_run(self) -> bool:
-        """Whether the request may have taken effect."""
+        """True if the server may have executed the request."""
         return self is not Outcome.OVERLOADED
 
 
@@ -43,7 +46,7 @@
 
 @dataclass(frozen=True)
 class Echo:
-    """A line that a client sent on a session, and the time until it came back."""
+    """The round trip of one line that a client sent on a session."""
 
     sent_at_s: float
     delay_s: float
@@ -51,13 +54,21 @@
 
 @dataclass
 class ClientRequest:
-    """One request of a client, and the session that it became."""
+    """One request of a client, and the session that it established.
+
+    Attributes:
+        balancer: the balancer process that the client connected to.
+        timeout_s: how long the client waits for its answer; sent as the field `d`.
+        answer: the first line that the client received.
+        disconnected_at_s: when the client itself disconnected, else None.
+        unexpected_lines: received lines that are neither the answer nor part of the session.
+    """
 
     id: str
     service_class: str
-    balancer: BalancerLife
+    balancer: ProcessRecord
     sent_at_s: float
-    wait_s: float
+    timeout_s: float
     answer: ReceivedLine | None = None
     ending: Ending = Ending.OPEN
     ended_at_s: float | None = None
@@ -67,7 +78,7 @@
 
     @property
     def is_established(self) -> bool:
-        """Whether the answer was `UP`."""
+        """True if the answer was UP."""
         return self.answer is not None and self.answer.text.startswith("UP ")
 
     def end(self, ending: Ending, at_s: float) -> None:
@@ -78,7 +89,12 @@
 
 @dataclass
 class Attempt:
-    """One open line that a server received."""
+    """One OPEN line that a server received.
+
+    Attributes:
+        id: the request id.
+        receipt: the token that the server sends with UP, unique for each attempt.
+    """
 
     id: str
     server: str
@@ -91,7 +107,7 @@
 
 @dataclass(frozen=True)
 class Notification:
-    """A server's phase that discovery has written to a balancer."""
+    """The phase of a server, sent to a balancer by discovery or in its configuration."""
 
     at_s: float
     server: str
@@ -99,40 +115,40 @@
 
 
 @dataclass
-class BalancerLife:
-    """One process of a balancer, from its start to its end."""
+class ProcessRecord:
+    """The record of one balancer process from its start to its end."""
 
     name: str
     launched_at_s: float
-    terminated_at_s: float | None = None
+    sigterm_at_s: float | None = None
     """The time of the first SIGTERM."""
-    killed_at_s: float | None = None
+    sigkill_at_s: float | None = None
     """The time of SIGKILL."""
-    was_killed_outright: bool = False
+    was_killed_without_sigterm: bool = False
     exited_at_s: float | None = None
     exit_status: int | None = None
     signals: list[str] = field(default_factory=list)
     notifications: list[Notification] = field(default_factory=list)
     errors: list[str] = field(default_factory=list)
-    """Lines of the log with the level `error`, and what was left behind at the end."""
+    """Log lines that report an error or are not JSON, and leaked descriptors and threads."""
 
 
 @dataclass
 class RunRecord:
-    """Everything that one run recorded."""
+    """The complete record of one run."""
 
     seed: int
     deduplication_window_s: float
     drain_grace_s: float
-    has_crowd: bool
+    has_idle_clients: bool
     requests: list[ClientRequest] = field(default_factory=list)
     attempts: list[Attempt] = field(default_factory=list)
-    lives: list[BalancerLife] = field(default_factory=list)
-    unresponsive: list[tuple[str, float, float]] = field(default_factory=list)
-    """Server, begin and end of each time in which a server answered nothing."""
-    max_lag_s: float = 0.0
-    """The longest delay of the soak's own event loop."""
+    process_records: list[ProcessRecord] = field(default_factory=list)
+    unresponsive_periods: list[tuple[str, float, float]] = field(default_factory=list)
+    """Server, begin and end of each period in which a server sent no answers."""
+    max_loop_lag_s: float = 0.0
+    """The maximum lag of the event loop of the soak test."""
 
     def attempts_of(self, id: str) -> list[Attempt]:
-        """Return the attempts of a request in the order of their arrival."""
+        """Return the attempts of a request in the order in which servers received them."""
         return [attempt for attempt in self.attempts if attempt.id == id]
--- a/benchmarks/soak/run.py
+++ b/benchmarks/soak/run.py
@@ -1,4 +1,4 @@
-"""One seeded run: balancers, servers, discovery and clients, and the faults that the seed draws."""
+"""Runs balancers, servers, discovery and clients for one seed, and injects faults drawn from the seed."""
 
 from __future__ import annotations
 
@@ -10,37 +10,42 @@
 
 from soak.balancers import PROGRAM, SoakBalancer
 from soak.checks import KEYED_CLASS, UNSAFE_CLASS
-from soak.clients import SAFE_CLASS, Front, IdleCrowd, SoakClient
+from soak.clients import SAFE_CLASS, BalancerSelector, IdleClients, SoakClient
 from soak.discovery import EndpointList
 from soak.records import RunRecord
 from soak.servers import SoakServer
 
-BALANCERS = 3
-SERVERS = 5
-CLIENTS = 40
-FAULTS_S = 7.0  # duration of the faults; the restarts that have begun are completed after it
-CROWD_EVERY = 4  # seeds that are a multiple of it have a crowd of idle clients
-CROWD_DESCRIPTORS = 160
-DESCRIPTORS = 1024
+BALANCER_COUNT = 3
+SERVER_COUNT = 5
+CLIENT_COUNT = 40
+FAULT_DURATION_S = 7.0  # approximate; restarts in progress are completed afterwards
+IDLE_CLIENTS_SEED_STEP = 4  # runs whose seed is a multiple of this number have idle clients
+LOW_DESCRIPTOR_LIMIT = 160  # limit in runs with idle clients, and the number of idle clients
+DESCRIPTOR_LIMIT = 1024
 DRAIN_GRACE_S = 1.0
 DEDUPLICATION_WINDOW_S = 1.0
 LONGEST_DEADLINES_S = (1.0, 2.0, 3.0, 5.0)
-REPEATS = {SAFE_CLASS: "retryable", KEYED_CLASS: "dedup", UNSAFE_CLASS: "fragile"}
+REPEAT_SETTINGS = {SAFE_CLASS: "retryable", KEYED_CLASS: "dedup", UNSAFE_CLASS: "fragile"}
 US_PER_S = 1_000_000
-NEW_CLIENTS_AFTER_SIGTERM_S = (0.2, 0.4)  # protocol: new connections keep coming for so long
-QUIET_S = 1.0  # after the clients have left, before leftovers are counted
-LAG_INTERVAL_S = 0.02
+NEW_CLIENTS_AFTER_SIGTERM_RANGE_S = (
+    0.2,
+    0.4,
+)  # protocol: new clients still connect for this long after SIGTERM
+LEAK_CHECK_DELAY_S = (
+    1.0  # time from the last disconnect to the leak check, in addition to the longest deadline
+)
+LOOP_LAG_INTERVAL_S = 0.02
 SHUTDOWN_SIGNALS = (signal.SIGTERM, signal.SIGHUP, signal.SIGUSR1, signal.SIGTERM, signal.SIGHUP)
-SERVER_FAULT_PAUSE_S = (0.3, 1.5)
+FAULT_INTERVAL_RANGE_S = (0.3, 1.5)  # time before each fault of a server, and before each fault of discovery
 
 
 def platform_settings(longest_deadline_s: float) -> dict[str, object]:
-    """Return the platform's settings; the class that cannot be repeated has the longest deadline."""
+    """Return the platform's settings. The class with the longest deadline is the one that forbids repeats."""
     return {
         "classes": service_classes(longest_deadline_s),
         "discovery": "on_request",
-        "familyInfo": {"messageAimUs": [60_000.0] * len(REPEATS), "tellsLoad": True},
-        "fleetSize": BALANCERS,
+        "familyInfo": {"messageAimUs": [60_000.0] * len(REPEAT_SETTINGS), "tellsLoad": True},
+        "fleetSize": BALANCER_COUNT,
         "limits": {
             "dialTimeoutUs": 1_000_000,
             "keepaliveUs": 15_000_000,
@@ -61,7 +66,7 @@
 
 
 def service_classes(longest_deadline_s: float) -> list[dict[str, object]]:
-    """Return the classes of the platform's settings."""
+    """Return the service classes of the platform's settings."""
     deadlines_s = class_deadlines_s(longest_deadline_s)
     return [
         {
@@ -72,12 +77,12 @@
             "dedupScope": "all",
             "dedupWindowUs": int(DEDUPLICATION_WINDOW_S * US_PER_S),
         }
-        for name, repeat in REPEATS.items()
+        for name, repeat in REPEAT_SETTINGS.items()
     ]
 
 
 def class_deadlines_s(longest_deadline_s: float) -> dict[str, float]:
-    """Return the deadline of each class."""
+    """Return the deadline of each service class."""
     return {
         SAFE_CLASS: longest_deadline_s * 0.8,
         KEYED_CLASS: longest_deadline_s * 0.9,
@@ -86,46 +91,47 @@
 
 
 class SoakRun:
-    """All parts of one run. `play` plays it and returns its record."""
+    """One run of the soak test: its balancers, servers, discovery services and clients."""
 
-    def __init__(self, seed: int, folder: Path, program: tuple[str, ...] = PROGRAM) -> None:
+    def __init__(self, seed: int, directory: Path, program: tuple[str, ...] = PROGRAM) -> None:
         self.rng = random.Random(seed)
         self.longest_deadline_s = self.rng.choice(LONGEST_DEADLINES_S)
-        has_crowd = seed % CROWD_EVERY == 0
-        self.record = RunRecord(seed, DEDUPLICATION_WINDOW_S, DRAIN_GRACE_S, has_crowd)
+        has_idle_clients = seed % IDLE_CLIENTS_SEED_STEP == 0
+        self.record = RunRecord(seed, DEDUPLICATION_WINDOW_S, DRAIN_GRACE_S, has_idle_clients)
         self.endpoints = EndpointList()
-        self.servers = [self._server(f"s{number}") for number in range(SERVERS)]
+        self.servers = [self._new_server(f"s{number}") for number in range(SERVER_COUNT)]
         self.balancers = [
             SoakBalancer(
                 f"n{number}",
                 self.record,
                 self.endpoints,
                 platform_settings(self.longest_deadline_s),
-                folder,
-                CROWD_DESCRIPTORS if has_crowd else DESCRIPTORS,
+                directory,
+                LOW_DESCRIPTOR_LIMIT if has_idle_clients else DESCRIPTOR_LIMIT,
                 program,
             )
-            for number in range(BALANCERS)
+            for number in range(BALANCER_COUNT)
         ]
-        front = Front(seed, self.balancers)
-        wait_s = class_deadlines_s(self.longest_deadline_s)
+        selector = BalancerSelector(seed, self.balancers)
+        timeouts_s = class_deadlines_s(self.longest_deadline_s)
         self.clients = [
-            SoakClient(number, self.record, front, self._new_rng(), wait_s) for number in range(CLIENTS)
+            SoakClient(number, self.record, selector, self._new_rng(), timeouts_s)
+            for number in range(CLIENT_COUNT)
         ]
 
     def _new_rng(self) -> random.Random:
         return random.Random(self.rng.getrandbits(64))
 
-    def _server(self, name: str) -> SoakServer:
+    def _new_server(self, name: str) -> SoakServer:
         return SoakServer(name, self.record, self._new_rng())
 
     def publish(self, server: SoakServer) -> None:
-        """Put a server's present entry into the list."""
+        """Publish the current entry of a server in the endpoint list."""
         self.endpoints.set(server.member())
 
-    async def play(self) -> RunRecord:
-        """Play the run to its end, and return what was seen."""
-        lag = asyncio.create_task(self._measure_lag())
+    async def run(self) -> RunRecord:
+        """Run clients and faults until all clients and balancers have ended, and return the record."""
+        lag_task = asyncio.create_task(self._measure_loop_lag())
         try:
             await self._start()
             clients = [asyncio.create_task(client.run()) for client in self.clients]
@@ -137,56 +143,60 @@
             for balancer in self.balancers:
                 balancer.collect_errors()
         finally:
-            lag.cancel()
+            lag_task.cancel()
             for balancer in self.balancers:
                 balancer.close()
             for server in self.servers:
                 server.close()
         return self.record
 
-    async def _measure_lag(self) -> None:
-        """Record the longest delay of this event loop, which is no delay of the program."""
+    async def _measure_loop_lag(self) -> None:
+        """Record the maximum lag of this event loop, which the checks add to their time limits."""
         loop = asyncio.get_running_loop()
         while True:
             before_s = loop.time()
-            await asyncio.sleep(LAG_INTERVAL_S)
-            self.record.max_lag_s = max(self.record.max_lag_s, loop.time() - before_s - LAG_INTERVAL_S)
+            await asyncio.sleep(LOOP_LAG_INTERVAL_S)
+            self.record.max_loop_lag_s = max(
+                self.record.max_loop_lag_s, loop.time() - before_s - LOOP_LAG_INTERVAL_S
+            )
 
     async def _start(self) -> None:
         for server in self.servers:
             await server.start()
             self.publish(server)
         for balancer in self.balancers:
-            for service in balancer.services:
+            for service in balancer.discovery_services:
                 await service.start()
             balancer.launch()
         await asyncio.gather(*(balancer.wait_until_ready() for balancer in self.balancers))
 
     async def _inject_faults(self) -> None:
-        """Run the faults of balancers, servers and discovery side by side."""
+        """Inject faults of balancers, servers and discovery concurrently."""
         async with asyncio.TaskGroup() as tasks:
             for balancer in self.balancers[:-1]:
-                tasks.create_task(self._restart_in_series(balancer, self._new_rng()))
-            tasks.create_task(self._reload_in_series(self.balancers[-1], self._new_rng()))
-            tasks.create_task(self._repeat(self._disturb_servers, self._new_rng()))
-            tasks.create_task(self._repeat(self._disturb_discovery, self._new_rng()))
-            if self.record.has_crowd:
-                tasks.create_task(IdleCrowd(CROWD_DESCRIPTORS).visit(self.balancers[-1]))
-
-    async def _repeat(self, fault: Callable[[random.Random], Awaitable[None]], rng: random.Random) -> None:
-        end_s = asyncio.get_running_loop().time() + FAULTS_S
+                tasks.create_task(self._reload_and_restart(balancer, self._new_rng()))
+            tasks.create_task(self._reload_several_times(self.balancers[-1], self._new_rng()))
+            tasks.create_task(self._inject_repeatedly(self._inject_server_fault, self._new_rng()))
+            tasks.create_task(self._inject_repeatedly(self._inject_discovery_fault, self._new_rng()))
+            if self.record.has_idle_clients:
+                tasks.create_task(IdleClients(LOW_DESCRIPTOR_LIMIT).occupy(self.balancers[-1]))
+
+    async def _inject_repeatedly(
+        self, fault: Callable[[random.Random], Awaitable[None]], rng: random.Random
+    ) -> None:
+        end_s = asyncio.get_running_loop().time() + FAULT_DURATION_S
         while asyncio.get_running_loop().time() < end_s:
-            await asyncio.sleep(rng.uniform(*SERVER_FAULT_PAUSE_S))
+            await asyncio.sleep(rng.uniform(*FAULT_INTERVAL_RANGE_S))
             await fault(rng)
 
-    async def _restart_in_series(self, balancer: SoakBalancer, rng: random.Random) -> None:
-        """Reload a few times, then restart the balancer, with further signals during its shutdown."""
-        await asyncio.sleep(rng.uniform(0.2, FAULTS_S / 2))
+    async def _reload_and_restart(self, balancer: SoakBalancer, rng: random.Random) -> None:
+        """Reload the balancer up to twice, then restart it after SIGTERM or a SIGKILL without SIGTERM."""
+        await asyncio.sleep(rng.uniform(0.2, FAULT_DURATION_S / 2))
         for _ in range(rng.randrange(3)):
             balancer.reload(change_discovery=rng.random() < 0.5)
             await asyncio.sleep(rng.choice((0.0, 0.01, 0.2)))
         if rng.random() < 0.2:
-            balancer.kill_outright()
+            balancer.kill_without_sigterm()
             await asyncio.sleep(rng.uniform(0.0, 1.0))
         else:
             await self._shut_down(balancer, rng)
@@ -194,16 +204,16 @@
         await balancer.wait_until_ready()
 
     async def _shut_down(self, balancer: SoakBalancer, rng: random.Random) -> None:
-        """Send SIGTERM and further signals; the front stops sending new clients a little later."""
+        """Send SIGTERM and further signals, and stop new clients a little later."""
         balancer.signal(signal.SIGTERM)
         async with asyncio.TaskGroup() as tasks:
-            tasks.create_task(self._close_front(balancer, rng))
+            tasks.create_task(self._stop_new_clients(balancer, rng))
             tasks.create_task(self._signal_during_shutdown(balancer, rng))
-            tasks.create_task(balancer.wait_until_killed(self.longest_deadline_s))
+            tasks.create_task(balancer.wait_until_ended(self.longest_deadline_s))
 
-    async def _close_front(self, balancer: SoakBalancer, rng: random.Random) -> None:
-        await asyncio.sleep(rng.uniform(*NEW_CLIENTS_AFTER_SIGTERM_S))
-        balancer.is_admitted = False
+    async def _stop_new_clients(self, balancer: SoakBalancer, rng: random.Random) -> None:
+        await asyncio.sleep(rng.uniform(*NEW_CLIENTS_AFTER_SIGTERM_RANGE_S))
+        balancer.accepts_new_clients = False
 
     async def _signal_during_shutdown(self, balancer: SoakBalancer, rng: random.Random) -> None:
         for number in rng.sample(SHUTDOWN_SIGNALS, rng.randrange(len(SHUTDOWN_SIGNALS))):
@@ -213,13 +223,13 @@
             else:
                 balancer.signal(number)
 
-    async def _reload_in_series(self, balancer: SoakBalancer, rng: random.Random) -> None:
+    async def _reload_several_times(self, balancer: SoakBalancer, rng: random.Random) -> None:
         for _ in range(rng.randrange(1, 6)):
             await asyncio.sleep(rng.choice((0.0, 0.02, rng.uniform(0.2, 1.5))))
             balancer.reload(change_discovery=rng.random() < 0.7)
 
-    async def _disturb_servers(self, rng: random.Random) -> None:
-        """Drain and replace a server, crash and restart one, or let one hang."""
+    async def _inject_server_fault(self, rng: random.Random) -> None:
+        """Drain and replace a server, crash and restart it, or let it hang."""
         ready = [server for server in self.servers if server.phase == "ready"]
         server = rng.choice(ready)
         match rng.randrange(4):
@@ -240,7 +250,7 @@
         await asyncio.sleep(rng.uniform(0.0, 1.0))
         if rng.random() < 0.5:
             server.migrate_clients()
-        successor = self._server(f"s{len(self.servers)}")
+        successor = self._new_server(f"s{len(self.servers)}")
         await successor.restart()
         self.servers.append(successor)
         self.publish(successor)
@@ -249,30 +259,30 @@
         self.publish(server)
         server.crash()
 
-    async def _disturb_discovery(self, rng: random.Random) -> None:
-        """Let one balancer's discovery fail, or its watch fall silent."""
-        service = rng.choice(rng.choice(self.balancers).services)
+    async def _inject_discovery_fault(self, rng: random.Random) -> None:
+        """Make one discovery service fail, or send nothing on its watches, for a while."""
+        service = rng.choice(rng.choice(self.balancers).discovery_services)
         if rng.random() < 0.5:
             service.go_down()
         else:
             service.is_silent = True
         await asyncio.sleep(rng.uniform(0.3, 2.0))
-        service.come_back()
+        service.recover()
 
     async def _end_clients_first(self, clients: list[asyncio.Task[None]]) -> None:
-        """Let all clients leave at one time, count what the balancers still have, and end the balancers."""
+        """Disconnect all clients at once, check the balancers for leaks, and shut the balancers down."""
         for client in self.clients:
             client.is_closing = True
         for task in clients:
             task.cancel()
         await asyncio.wait(clients)
-        await asyncio.sleep(QUIET_S + self.longest_deadline_s)
+        await asyncio.sleep(LEAK_CHECK_DELAY_S + self.longest_deadline_s)
         for balancer in self.balancers:
-            balancer.check_leftovers(len(self.servers))
+            balancer.check_resource_leaks(len(self.servers))
         await self._shut_down_all()
 
     async def _end_balancers_first(self, clients: list[asyncio.Task[None]]) -> None:
-        """End the balancers under clients that use their sessions until SIGKILL."""
+        """Shut the balancers down while clients still use their sessions."""
         for client in self.clients:
             client.is_closing = True
         await self._shut_down_all()
--- a/benchmarks/soak/servers.py
+++ b/benchmarks/soak/servers.py
@@ -1,4 +1,4 @@
-"""Servers of the soak: they answer attempts in every way of the protocol, crash, hang and drain."""
+"""Servers of the soak test. They answer attempts with all outcomes of the protocol, crash, hang and drain."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
 LOOPBACK = "127.0.0.1"
 MAX_ANSWER_DELAY_S = 0.03
-MIN_SLOW_ANSWER_S = 0.3
-MAX_SLOW_ANSWER_S = 2.5
-SESSION_END_PROBABILITY = 0.02  # for each line of a client
-LOAD_LINE_PROBABILITY = 0.1  # for each line of a client
-MAX_SESSIONS = 40  # sessions at which a server reports a load of 1
+MIN_SLOW_ANSWER_DELAY_S = 0.3
+MAX_SLOW_ANSWER_DELAY_S = 2.5
+SESSION_END_PROBABILITY = 0.02  # applies to each echoed line
+LOAD_LINE_PROBABILITY = 0.1  # applies to each echoed line
+FULL_LOAD_CONNECTIONS = 40  # number of connections at which a server reports a load of 1
 MS_PER_S = 1000
-OUTCOMES = {
+OUTCOME_WEIGHTS = {
     Outcome.ESTABLISHED: 0.80,
     Outcome.OVERLOADED: 0.07,
     Outcome.ERROR: 0.05,
@@ -30,11 +30,11 @@
 
 
 class SoakServer:
-    """One server of the list. Its port stays the same when its process restarts.
+    """One server in the endpoint list. It keeps its port after a simulated restart.
 
     Attributes:
-        phase: the phase that discovery lists.
-        up_since_ms: the latest start, Unix time in milliseconds; 0: long ago.
+        phase: the phase in the endpoint list.
+        up_since_ms: time of the last start, as Unix time in milliseconds; 0: started long ago.
     """
 
     def __init__(self, name: str, record: RunRecord, rng: random.Random) -> None:
@@ -46,17 +46,17 @@
         self._rng = rng
         self._receipts = itertools.count()
         self._server: asyncio.Server | None = None
-        self._sessions: dict[asyncio.StreamWriter, Attempt | None] = {}
+        self._connections: dict[asyncio.StreamWriter, Attempt | None] = {}
         self._responsive = asyncio.Event()
         self._responsive.set()
 
     async def start(self) -> None:
-        """Listen, on the port of the process before if there was one."""
+        """Listen on a free port at the first start, and on the same port later."""
         self._server = await asyncio.start_server(self._serve, LOOPBACK, self.port)
         self.port = self._server.sockets[0].getsockname()[1]
 
     async def restart(self) -> None:
-        """Start again after a crash, as a new process."""
+        """Start as a new process whose start time is now."""
         self.up_since_ms = int(time.time() * MS_PER_S)
         await self.start()
 
@@ -64,26 +64,26 @@
         """Stop listening, and reset all connections."""
         if self._server:
             self._server.close()
-        for writer, attempt in list(self._sessions.items()):
-            self._end(writer, attempt, reset=True)
+        for writer, attempt in list(self._connections.items()):
+            self._close_connection(writer, attempt, reset=True)
 
     async def hang(self, duration_s: float) -> None:
-        """Answer nothing for a while."""
+        """Send no answers for this duration."""
         begin_s = asyncio.get_running_loop().time()
         self._responsive.clear()
         await asyncio.sleep(duration_s)
         self._responsive.set()
-        self._record.unresponsive.append((self.name, begin_s, begin_s + duration_s))
+        self._record.unresponsive_periods.append((self.name, begin_s, begin_s + duration_s))
 
     def migrate_clients(self) -> None:
-        """Send `MOVE` to half of the clients, as a draining server may."""
-        for writer, attempt in list(self._sessions.items()):
+        """Send MOVE on about half of the sessions, as a draining server may."""
+        for writer, attempt in list(self._connections.items()):
             if attempt and attempt.outcome is Outcome.ESTABLISHED and self._rng.random() < 0.5:
                 writer.write(b"MOVE\r\n")
-                self._end(writer, attempt)
+                self._close_connection(writer, attempt)
 
     def member(self) -> dict[str, object]:
-        """Return this server's entry of the endpoint list."""
+        """Return the entry of this server in the endpoint list."""
         return {
             "id": self.name,
             "host_port": f"{LOOPBACK}:{self.port}",
@@ -96,21 +96,21 @@
         }
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self._sessions[writer] = None
+        self._connections[writer] = None
         try:
             while line := await reader.readline():
                 if line.startswith(b"OPEN "):
                     await self._serve_attempt(line, reader, writer)
                     return
                 await self._responsive.wait()
-                load = len(self._sessions) / MAX_SESSIONS
+                load = len(self._connections) / FULL_LOAD_CONNECTIONS
                 writer.write(b"PONG x0=%.2f\r\n" % load)
         except (ConnectionError, asyncio.CancelledError):
             pass
         finally:
-            self._end(writer, self._sessions.get(writer), by_server=False)
+            self._close_connection(writer, self._connections.get(writer), by_server=False)
 
-    def _end(
+    def _close_connection(
         self,
         writer: asyncio.StreamWriter,
         attempt: Attempt | None,
@@ -118,8 +118,8 @@
         reset: bool = False,
         by_server: bool = True,
     ) -> None:
-        """Close a connection once, and record which side has ended it."""
-        self._sessions.pop(writer, None)
+        """Close a connection. The first call for an attempt records the time and the side that ended it."""
+        self._connections.pop(writer, None)
         if attempt and attempt.ended_at_s is None:
             attempt.ended_at_s = asyncio.get_running_loop().time()
             attempt.ended_by_server = by_server
@@ -137,8 +137,8 @@
         receipt = f"{self.name}-{next(self._receipts)}"
         attempt = Attempt(id, self.name, asyncio.get_running_loop().time(), receipt)
         self._record.attempts.append(attempt)
-        self._sessions[writer] = attempt
-        outcome = self._rng.choices(list(OUTCOMES), list(OUTCOMES.values()))[0]
+        self._connections[writer] = attempt
+        outcome = self._rng.choices(list(OUTCOME_WEIGHTS), list(OUTCOME_WEIGHTS.values()))[0]
         if not await self._wait_before_answer(reader, outcome):
             return
         attempt.outcome = outcome
@@ -148,13 +148,13 @@
                 await self._echo(attempt, reader, writer)
             case Outcome.OVERLOADED | Outcome.ERROR:
                 writer.write(f"{outcome}\r\n".encode())
-                self._end(writer, attempt)
+                self._close_connection(writer, attempt)
             case _:
-                self._end(writer, attempt, reset=True)
+                self._close_connection(writer, attempt, reset=True)
 
     async def _wait_before_answer(self, reader: asyncio.StreamReader, outcome: Outcome) -> bool:
-        """Wait as long as the answer takes. Return False if the balancer has closed the connection."""
-        answer_due = asyncio.create_task(self._answer_due(outcome))
+        """Wait until the answer is due. Return False if the balancer closes the connection first."""
+        answer_due = asyncio.create_task(self._delay_answer(outcome))
         balancer_closed = asyncio.create_task(reader.read(1))
         tasks = (answer_due, balancer_closed)
         await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
@@ -163,33 +163,35 @@
         await asyncio.wait(tasks)
         return not answer_due.cancelled()
 
-    async def _answer_due(self, outcome: Outcome) -> None:
-        """Return when an answer of this outcome is to be sent; never for an attempt without an answer."""
+    async def _delay_answer(self, outcome: Outcome) -> None:
+        """Wait until an answer with this outcome is due. Never return if there is to be no answer."""
         if outcome is Outcome.NO_ANSWER:
             await asyncio.Event().wait()
         is_slow = self._rng.random() < SLOW_ANSWER_PROBABILITY
-        delay_range_s = (MIN_SLOW_ANSWER_S, MAX_SLOW_ANSWER_S) if is_slow else (0.0, MAX_ANSWER_DELAY_S)
+        delay_range_s = (
+            (MIN_SLOW_ANSWER_DELAY_S, MAX_SLOW_ANSWER_DELAY_S) if is_slow else (0.0, MAX_ANSWER_DELAY_S)
+        )
         await asyncio.sleep(self._rng.uniform(*delay_range_s))
         await self._responsive.wait()
 
     async def _echo(
         self, attempt: Attempt, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Send each line of the client back, sometimes with a load report, and sometimes end the session."""
+        """Echo each line of the client. Sometimes add a load report or end the session."""
         while line := await reader.readline():
             await self._responsive.wait()
-            if writer not in self._sessions:
+            if writer not in self._connections:
                 return
             if self._rng.random() < SESSION_END_PROBABILITY:
                 writer.write(line + b"BYE\r\n")
-                self._end(writer, attempt)
+                self._close_connection(writer, attempt)
                 return
             writer.write(line)
             if self._rng.random() < LOAD_LINE_PROBABILITY:
                 writer.write(b"LOAD %.2f\r\n" % self._rng.random())
 
     def close(self) -> None:
-        """End everything."""
+        """Stop listening, and reset all connections."""
         self._responsive.set()
         self.crash()
 
