--- a/benchmarks/soak/checks.py
+++ b/benchmarks/soak/checks.py
@@ -137,7 +137,7 @@
 
 
 def check_session(record: RunRecord, request: ClientRequest, attempts: list[Attempt]) -> Iterator[str]:
-    """Check that the balancer closes a session only after MOVE, and does not delay its lines."""
+    """Check that sessions are closed only after MOVE, and lines not delayed, while the server answers."""
     if not request.is_established:
         return
     server = attempts[-1].server if attempts else ""
--- a/benchmarks/soak/run.py
+++ b/benchmarks/soak/run.py
@@ -27,13 +27,9 @@
 LONGEST_DEADLINES_S = (1.0, 2.0, 3.0, 5.0)
 REPEAT_SETTINGS = {SAFE_CLASS: "retryable", KEYED_CLASS: "dedup", UNSAFE_CLASS: "fragile"}
 US_PER_S = 1_000_000
-NEW_CLIENTS_AFTER_SIGTERM_RANGE_S = (
-    0.2,
-    0.4,
-)  # protocol: new clients still connect for this long after SIGTERM
-LEAK_CHECK_DELAY_S = (
-    1.0  # time from the last disconnect to the leak check, in addition to the longest deadline
-)
+# Protocol: new clients still connect for this long after SIGTERM.
+NEW_CLIENTS_AFTER_SIGTERM_RANGE_S = (0.2, 0.4)
+LEAK_CHECK_DELAY_S = 1.0  # from the last disconnect to the check, in addition to the longest deadline
 LOOP_LAG_INTERVAL_S = 0.02
 SHUTDOWN_SIGNALS = (signal.SIGTERM, signal.SIGHUP, signal.SIGUSR1, signal.SIGTERM, signal.SIGHUP)
 FAULT_INTERVAL_RANGE_S = (0.3, 1.5)  # time before each fault of a server, and before each fault of discovery
@@ -151,7 +147,7 @@
         return self.record
 
     async def _measure_loop_lag(self) -> None:
-        """Record the maximum lag of this event loop, which the checks add to their time limits."""
+        """Record the maximum lag of this event loop. The checks tolerate it: no balancer causes it."""
         loop = asyncio.get_running_loop()
         while True:
             before_s = loop.time()
--- a/benchmarks/soak/servers.py
+++ b/benchmarks/soak/servers.py
@@ -197,6 +197,6 @@
 
 
 def free_port() -> int:
-    """Return a port on which nothing listens."""
+    """Return a port on which no process listens."""
     with socket.create_server((LOOPBACK, 0)) as unused:
         return int(unused.getsockname()[1])
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -157,9 +157,8 @@
     ports = follower_ports(cluster, leader) if is_reading else cluster.client_ports
     observed = next(iter(ports)) if is_reading else leader
     clients = [StoreClient(ports, CLIENT_TIMEOUT_S) for _ in range(client_count)]
-    await asyncio.gather(
-        *(client.get("b/0") for client in clients)
-    )  # opens the connections before the measurement
+    # Open the connections before the measurement.
+    await asyncio.gather(*(client.get("b/0") for client in clients))
     fsyncs_before = (await clients[0].status(observed)).fsync_count
     generator = LoadGenerator(clients, is_reading)
     rate_per_s = await generator.run(duration_s)
