--- a/benchmarks/descriptions.py
+++ b/benchmarks/descriptions.py
@@ -24,7 +24,7 @@
 
 from running_balancer import MeasuredBalancer, PingLoop  # noqa: E402
 
-from wheatstile.descriptions.route_matcher import Matcher  # noqa: E402
+from wheatstile.descriptions.route_matcher import RouteMatcher  # noqa: E402
 from wheatstile.descriptions.routes import path_tokens, split_path  # noqa: E402
 
 COMPILE_PROGRAM = (
@@ -111,7 +111,7 @@
             path_template(number).replace("{id}", "17")
             for number in range(0, size, max(1, size // MATCHED_PATHS))
         ]
-        self._matcher: Matcher[int] = Matcher()
+        self._matcher: RouteMatcher[int] = RouteMatcher()
         for number in numbers:
             self._matcher.add(path_tokens(path_template(number)), number)
         self._patterns = [re.compile(path_template(number).replace("{id}", "[^/]+")) for number in numbers]
--- a/benchmarks/soak/clients.py
+++ b/benchmarks/soak/clients.py
@@ -76,7 +76,7 @@
             await stream.connect(balancer.listen, CONNECT_TIMEOUT_S)
             if self._rng.random() < REST_PROBABILITY and not await self._rest(stream):
                 return
-            if stream.ended():
+            if stream.is_unusable():
                 return
             await self._request(stream, balancer)
         finally:
--- a/tests/cli/test_check_command.py
+++ b/tests/cli/test_check_command.py
@@ -25,7 +25,7 @@
 def test_check_rejects_an_endpoint_file_that_removes_too_many_of_the_platforms_servers() -> None:
     result = run_command("check", "op.json", RELAY_CONFIG=str(EXAMPLE_CONFIG))
     assert result.status == 1
-    assert "takes 2 of 2 ready servers away" in result.errors
+    assert "removes 2 of 2 ready servers" in result.errors
 
 
 @pytest.mark.usefixtures("live_file")
--- a/tests/cli/test_servers_command.py
+++ b/tests/cli/test_servers_command.py
@@ -24,7 +24,7 @@
 def test_publish_rejects_the_removal_of_too_many_ready_servers() -> None:
     result = run_command("servers", "publish", "few.json", "live.json")
     assert result.status == 1
-    assert "takes 2 of 3 ready servers away" in result.errors
+    assert "removes 2 of 3 ready servers" in result.errors
 
 
 @pytest.mark.usefixtures("live_file")
@@ -59,8 +59,8 @@
     assert "active source: discovery; discovery answers" in run_command(*explain).output
     silent = run_command(*explain, "--silent-s", "11")
     assert silent.status == 0
-    assert "active source: file; discovery has told nothing for 11.0 s" in silent.output
-    assert re.search(r"link-1 .* draining +file; discovery tells it to drain", silent.output)
+    assert "active source: file; discovery has been silent for 11.0 s" in silent.output
+    assert re.search(r"link-1 .* draining +file; discovery reports it as draining", silent.output)
 
 
 def test_rejection_prints_every_violation_to_standard_error() -> None:
--- a/tests/config/test_endpoints.py
+++ b/tests/config/test_endpoints.py
@@ -3,7 +3,7 @@
 import pytest
 
 from wheatstile import interface as api
-from wheatstile.config.endpoints import EndpointSnapshot, parse_host_port, weight_of
+from wheatstile.config.endpoints import EndpointSnapshot, parse_host_port, parse_weight
 
 
 def test_endpoint_list_is_read_with_the_address_of_each_endpoint_that_is_not_gone() -> None:
@@ -46,4 +46,4 @@
     ("value", "weight"), [(2.5, 2.5), ("3", 3.0), (0, 1.0), (-1, 1.0), ("inf", 1.0), ("nan", 1.0)]
 )
 def test_weight_that_is_not_positive_and_finite_counts_as_1(value: float | str, weight: float) -> None:
-    assert weight_of(value) == weight
+    assert parse_weight(value) == weight
--- a/tests/config/test_json_locations.py
+++ b/tests/config/test_json_locations.py
@@ -1,6 +1,6 @@
 """The walk over a JSON text, which yields the pointer and the line of each value."""
 
-from wheatstile.config.json_locations import child_pointer, walk
+from wheatstile.config.json_locations import child_pointer, walk_locations
 
 TEXT = """{
  "a/b": [1,
@@ -16,7 +16,7 @@
 
 
 def test_walk_yields_each_value_with_its_line_and_a_duplicate_key_with_its_first_line() -> None:
-    assert [(location.pointer, location.line, location.first_line) for location in walk(TEXT)] == [
+    assert [(location.pointer, location.line, location.first_line) for location in walk_locations(TEXT)] == [
         ("", 1, 0),
         ("/a~1b", 2, 0),
         ("/a~1b/0", 2, 0),
--- a/tests/config/test_operator.py
+++ b/tests/config/test_operator.py
@@ -48,16 +48,16 @@
 @pytest.mark.parametrize(
     ("text", "reason"),
     [
-        ("", "f:1: /: no JSON"),
+        ("", "f:1: /: not valid JSON"),
         ("[" * 100_000, "nested too deeply"),
         ("[]", "is not an object"),
-        ('{"log": {"level": "info",\n"level": "info"}}', "f:2: /log/level: the key stands twice, first"),
+        ('{"log": {"level": "info",\n"level": "info"}}', "f:2: /log/level: duplicate key, first defined"),
         ('{"a/b~": 1}', "f:1: /a~1b~0: unknown key"),
-        (b'{"log": "\xff"}', "no UTF-8"),
+        (b'{"log": "\xff"}', "not valid UTF-8"),
         (b"\xef\xbb\xbf{}", "byte order mark"),
         ('{"$schema": "\\ud800"}', "surrogate"),
-        ('{"log": 1%s}' % ("1" * 5000), "no JSON"),
-        (" " * (operator.MAX_OPERATOR_FILE_BYTES + 1), "at most"),
+        ('{"log": 1%s}' % ("1" * 5000), "not valid JSON"),
+        (" " * (operator.MAX_OPERATOR_FILE_BYTES + 1), "the limit is"),
     ],
 )  # fmt: skip
 def test_text_that_is_not_an_operators_file_is_rejected_with_the_reason(
--- a/tests/config/test_platform.py
+++ b/tests/config/test_platform.py
@@ -70,7 +70,7 @@
         ({"listen": "127.0.0.1:65536"}, "not HOST:PORT: '127.0.0.1:65536'"),
         ({"seed": 5}, "seed must be a string"),
         ({"limits": {"sockets": 0}}, "the platform's limits.sockets must be a number of 1 or more, not 0"),
-        ({"settings": SETTINGS | {"limits": {}}}, "lacks the key maxAttempts"),
+        ({"settings": SETTINGS | {"limits": {}}}, "the key maxAttempts is missing"),
         ({"settings": {}}, "the key limits is missing"),
         ({"settings": SETTINGS | {"classes": []}}, "classes must name one class or more"),
         ({"known": {"revision": 1, "complete": True}}, "the key members is missing"),
--- a/tests/config/test_settings.py
+++ b/tests/config/test_settings.py
@@ -115,8 +115,8 @@
             lambda settings: settings.update(accounts=[{"share": 0}, {"share": 0.0}]),
             "the sum of accounts[].share must not be 0",
         ),
-        (lambda settings: settings["rules"].pop("coldFrom"), "lacks the key coldFrom"),
-        (lambda settings: settings["classes"][0].pop("repeat"), "lacks the key repeat"),
+        (lambda settings: settings["rules"].pop("coldFrom"), "the key coldFrom is missing"),
+        (lambda settings: settings["classes"][0].pop("repeat"), "the key repeat is missing"),
     ],
 )
 def test_error_names_the_location_of_the_invalid_value(change: Change, text: str) -> None:
--- a/tests/config/test_violations.py
+++ b/tests/config/test_violations.py
@@ -6,10 +6,10 @@
     MAX_LISTED_VIOLATIONS,
     ConfigurationError,
     Violation,
-    load,
+    json_pointer,
+    load_json,
     locate,
-    nearest,
-    pointer,
+    suggestion_or_known_names,
 )
 
 TEXT = """{
@@ -21,8 +21,8 @@
 
 
 def test_pointer_escapes_its_parts() -> None:
-    assert pointer() == ""
-    assert pointer("a/b", 0, "x~y") == "/a~1b/0/x~0y"
+    assert json_pointer() == ""
+    assert json_pointer("a/b", 0, "x~y") == "/a~1b/0/x~0y"
 
 
 def test_violations_are_sorted_by_line_and_a_missing_value_has_the_line_of_its_parent() -> None:
@@ -35,9 +35,9 @@
 
 def test_duplicate_key_is_rejected_with_both_lines() -> None:
     with pytest.raises(ConfigurationError) as caught:
-        load("f", TEXT.encode(), 1000)
-    assert caught.value.lines() == ["f:5: /a~1b: the key stands twice, first on line 2"]
-    assert caught.value.violations == [Violation("/a~1b", "the key stands twice, first on line 2", 5)]
+        load_json("f", TEXT.encode(), 1000)
+    assert caught.value.lines() == ["f:5: /a~1b: duplicate key, first defined on line 2"]
+    assert caught.value.violations == [Violation("/a~1b", "duplicate key, first defined on line 2", 5)]
 
 
 def test_number_of_listed_violations_is_bounded() -> None:
@@ -50,5 +50,5 @@
 
 
 def test_similar_name_is_suggested_and_otherwise_all_names_are_listed() -> None:
-    assert nearest("sarvers", ["servers", "log"]) == ', did you mean "servers"?'
-    assert nearest("unlike", ["servers", "log"]) == "; known are log, servers"
+    assert suggestion_or_known_names("sarvers", ["servers", "log"]) == ', did you mean "servers"?'
+    assert suggestion_or_known_names("unlike", ["servers", "log"]) == "; known values are log, servers"
--- a/tests/decisions/test_server_load.py
+++ b/tests/decisions/test_server_load.py
@@ -4,7 +4,7 @@
 from support.balancer_harness import SECOND_US, BalancerHarness
 
 from wheatstile import interface as api
-from wheatstile.decisions.server_load import UNREACHABLE_LOAD, ServerLoad, load_in
+from wheatstile.decisions.server_load import UNREACHABLE_LOAD, ServerLoad, load_from_report
 
 NOW_US = 100 * SECOND_US
 
@@ -24,20 +24,20 @@
     ],
 )
 def test_load_is_read_from_the_metrics_of_a_report(report: api.LoadReport, load: float | None) -> None:
-    assert load_in(report) == load
+    assert load_from_report(report) == load
 
 
 def test_first_metric_in_the_order_of_preference_is_the_load() -> None:
     report = {"queue": 300.0, "inflight": 100.0, "backlog_s": 0.2, "busy": 0.5, "load": 0.3}
     loads = []
     while report:
-        loads.append(load_in(report))
+        loads.append(load_from_report(report))
         report.popitem()
     assert loads == [0.3, 0.5, 0.2, 0.35, 0.525]
 
 
 def test_count_never_reaches_the_overload_threshold() -> None:
-    load = load_in({"inflight": 1e9})
+    load = load_from_report({"inflight": 1e9})
     assert load is not None
     assert 0.699_999 < load < 0.7
 
--- a/tests/descriptions/test_language.py
+++ b/tests/descriptions/test_condition_parser.py
@@ -3,7 +3,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from wheatstile.descriptions.language import RuleSyntaxError, parse_condition
+from wheatstile.descriptions.condition_parser import RuleSyntaxError, parse_condition
 
 
 @given(st.text(alphabet='abpathmethod ()[]"=!~,in*notr', max_size=40))
--- a/tests/descriptions/test_descriptions_section.py
+++ b/tests/descriptions/test_descriptions_section.py
@@ -157,21 +157,21 @@
     """Change a platform setting that is not part of the request to the worker, then the description."""
     operator = operator_file.read(str(balancer.operator_file))
     config = Config.read({"RELAY_CONFIG": str(balancer.path)})
-    decisions = DecisionLoop(config.settings, config.seed)
-    section = DescriptionsSection(decisions, None)
-    section.follow(operator, config)
+    decision_loop = DecisionLoop(config.settings, config.seed)
+    section = DescriptionsSection(decision_loop, None)
+    section.apply_operator_file(operator, config)
     await wait_until(lambda: "reads" in section.compiled_classes)
 
     fleet_size = config.settings.fleet_size + 1
     changed = replace(config, settings=replace(config.settings, fleet_size=fleet_size))
-    decisions.configure(section.applied(changed.settings))
-    section.follow(operator, changed)
+    decision_loop.configure(section.tightened_settings(changed.settings))
+    section.apply_operator_file(operator, changed)
 
     balancer.write_description(operation("s", "post", "reads"))
     await wait_until(lambda: section.compiled_classes["reads"].idempotency is Idempotency.NON_IDEMPOTENT)
     section.close()
-    assert decisions.balancer.settings.fleet_size == fleet_size
-    assert decisions.balancer.settings.classes["reads"].idempotency is Idempotency.NON_IDEMPOTENT
+    assert decision_loop.balancer.settings.fleet_size == fleet_size
+    assert decision_loop.balancer.settings.classes["reads"].idempotency is Idempotency.NON_IDEMPOTENT
 
 
 async def wait_until(condition: Callable[[], bool]) -> None:
--- a/tests/descriptions/test_reader.py
+++ b/tests/descriptions/test_reader.py
@@ -29,7 +29,7 @@
         ("a.yaml", b"- " * 300 + b"a", "nested deeper than 200 levels"),
         ("a.json", b"[" * 100_000, "nested too deeply"),
         ("a.json", b"[" * 300 + b"]" * 300, "nested deeper than 200 levels"),
-        ("a.json", b'{"a": "' + b'\\"' * 200_000, "no JSON"),
+        ("a.json", b'{"a": "' + b'\\"' * 200_000, "not valid JSON"),
         (
             "a.yaml",
             b"a: !!python/object:os.system x",
--- a/tests/descriptions/test_route_matcher.py
+++ b/tests/descriptions/test_route_matcher.py
@@ -3,7 +3,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from wheatstile.descriptions.route_matcher import Matcher
+from wheatstile.descriptions.route_matcher import RouteMatcher
 from wheatstile.descriptions.routes import Relation, Token, TokenKind, path_tokens, relation, subject_tokens
 
 SEGMENT = st.sampled_from(["a", "b", "ab", "{x}", "a{x}", "{x}b"])
@@ -30,9 +30,9 @@
     return len(tokens) == len(target)
 
 
-def matcher_of(routes: list[tuple[Token, ...]]) -> Matcher[int]:
+def matcher_of(routes: list[tuple[Token, ...]]) -> RouteMatcher[int]:
     """Return a matcher of these routes. The value of a route is its index."""
-    matcher: Matcher[int] = Matcher()
+    matcher: RouteMatcher[int] = RouteMatcher()
     for number, tokens in enumerate(routes):
         matcher.add(tokens, number)
     return matcher
--- a/tests/process/test_config_reload.py
+++ b/tests/process/test_config_reload.py
@@ -46,7 +46,7 @@
     assert (latest.name, latest.listen, latest.seed) == ("n0", ("127.0.0.1", 80), 1)
     assert latest.known == current.known
     assert latest.discovery == ("127.0.0.1", 91)
-    assert latest.client_limits.descriptors == 40
+    assert latest.client_limits.max_descriptors == 40
 
 
 def test_reload_takes_discovery_from_the_file_and_not_from_the_variable(
--- a/tests/resolvers/test_endpoint_file.py
+++ b/tests/resolvers/test_endpoint_file.py
@@ -56,11 +56,11 @@
     (two_servers(weight=10**400), "/servers/0/weight: Number out of range"),
     (two_servers(weight=10**305, wieght=1), '/servers/0/wieght: unknown key, did you mean "weight"?'),
     (two_servers(wieght=1), '/servers/0/wieght: unknown key, did you mean "weight"?'),
-    (two_servers(state="redy"), '"redy" is not known, did you mean "ready"?'),
+    (two_servers(state="redy"), 'unknown value "redy", did you mean "ready"?'),
     (two_servers(started_at_us=-1), "/servers/0/started"),
     (two_servers(id=""), "/servers/0/id"),
     ({"servers": []}, "empty list"),
-    ({"servers": endpoint_rows(*map(str, range(51)))}, "51 servers; 50 at most"),
+    ({"servers": endpoint_rows(*map(str, range(51)))}, "the file has 51 servers; the limit is 50"),
     ({"servers": endpoint_rows("x"), "generation": -1}, "/generation: "),
     ({"servers": endpoint_rows("x"), "seal": "md5:1"}, "/seal: "),
     ({"servers": endpoint_rows("x"), "seal": digest_of({})}, "/seal: does not match"),
@@ -74,8 +74,8 @@
     ),
     ({}, "/servers: is missing"),
     (b"[]", "is not an object"),
-    (b" " * 5001, "5001 bytes; 5000 at most"),
-    (b'{"servers": 1, "servers": 2}', "stands twice"),
+    (b" " * 5001, "the file has 5001 bytes; the limit is 5000"),
+    (b'{"servers": 1, "servers": 2}', "duplicate key, first defined"),
 ]
 
 
--- a/tests/resolvers/test_source.py
+++ b/tests/resolvers/test_endpoint_file_source.py
@@ -45,11 +45,11 @@
             write_file(tmp_path, "a", generation=2)
             await harness.wait_until_ready("a")
 
-            harness.follow(recheck_s=0.2)
+            harness.apply_operator_file(recheck_s=0.2)
             write_file(tmp_path, "b", generation=1)
 
             await harness.wait_for_counter("endpoint_file_rejected")
             assert harness.ready() == {"a"}
-            assert harness.decisions.counters["endpoint_file_accepted_file"] == 1
+            assert harness.decision_loop.counters["endpoint_file_accepted_file"] == 1
 
     asyncio.run(check())
--- a/tests/resolvers/test_endpoint_merger.py
+++ b/tests/resolvers/test_endpoint_merger.py
@@ -51,8 +51,8 @@
 
     def __init__(self, harness: ServersSectionHarness, monkeypatch: pytest.MonkeyPatch) -> None:
         self.endpoints: list[api.Endpoint] = []
-        self._real_dispatch = harness.decisions.dispatch
-        monkeypatch.setattr(harness.decisions, "dispatch", self._dispatch)
+        self._real_dispatch = harness.decision_loop.dispatch
+        monkeypatch.setattr(harness.decision_loop, "dispatch", self._dispatch)
 
     def _dispatch(self, event: api.Event) -> None:
         if isinstance(event, api.EndpointUpdate):
@@ -100,14 +100,14 @@
         async with running_servers_section(endpoint_directory) as harness:
             observer = harness.discovery_watcher.observer
             late = snapshot(1, False, member("late"))
-            real_dispatch = harness.decisions.dispatch
+            real_dispatch = harness.decision_loop.dispatch
 
             def dispatch_before_late_change(event: api.Event) -> None:
                 real_dispatch(event)
-                monkeypatch.setattr(harness.decisions, "dispatch", real_dispatch)
+                monkeypatch.setattr(harness.decision_loop, "dispatch", real_dispatch)
                 asyncio.get_running_loop().call_soon(observer.on_update, late, DELTA)
 
-            monkeypatch.setattr(harness.decisions, "dispatch", dispatch_before_late_change)
+            monkeypatch.setattr(harness.decision_loop, "dispatch", dispatch_before_late_change)
 
             await harness.wait_until_ready("s1", "late")
 
--- a/tests/resolvers/test_regular_file.py
+++ b/tests/resolvers/test_regular_file.py
@@ -5,21 +5,21 @@
 import pytest
 
 from wheatstile.config.violations import ConfigurationError
-from wheatstile.resolvers.regular_file import opened_regular, read_all, snapshot
+from wheatstile.resolvers.regular_file import opened_regular_file, read_regular_file, snapshot
 
 
 def test_file_is_read_up_to_one_byte_more_than_the_limit(tmp_path: Path) -> None:
     path = tmp_path / "f"
     path.write_bytes(b"12345")
 
-    assert read_all(path, 5) == b"12345"
-    assert read_all(path, 3) == b"1234"
+    assert read_regular_file(path, 5) == b"12345"
+    assert read_regular_file(path, 3) == b"1234"
 
 
 def test_version_changes_with_the_content(tmp_path: Path) -> None:
     path = tmp_path / "f"
     path.write_bytes(b"old")
-    with opened_regular(path) as descriptor:
+    with opened_regular_file(path) as descriptor:
         before = snapshot(descriptor, 10)
         assert snapshot(descriptor, 10).version == before.version
 
@@ -32,4 +32,4 @@
 
 def test_directory_is_rejected(tmp_path: Path) -> None:
     with pytest.raises(ConfigurationError, match="is a directory"):
-        read_all(tmp_path, 10)
+        read_regular_file(tmp_path, 10)
--- a/tests/resolvers/test_section.py
+++ b/tests/resolvers/test_section.py
@@ -118,7 +118,7 @@
     removing_two = balancer.document("s1", generation=2)
     at_other_site = balancer.document("s1", "s2", "s3", generation=2, site="there")
     cases = [
-        (removing_two[:40], "endpoint_file_rejected", "no JSON"),
+        (removing_two[:40], "endpoint_file_rejected", "not valid JSON"),
         (at_other_site, "endpoint_file_rejected", 'site "here"'),
         (removing_two, "endpoint_file_approval_required", "2 of 3 ready"),
     ]
--- a/tests/store/raft_nodes.py
+++ b/tests/store/raft_nodes.py
@@ -91,7 +91,7 @@
 
 
 def tick_until_campaign(node: RaftNode) -> list[Message]:
-    """Tick for two election time-outs, and return the pre-vote requests that the node has sent."""
+    """Tick for two election timeouts, and return the pre-vote requests that the node has sent."""
     for _ in range(2 * node.state.timing.election_ticks):
         node.tick()
     return [message for message in node.ready().messages if message.kind is MessageKind.PRE_VOTE]
--- a/tests/store/test_raft_model.py
+++ b/tests/store/test_raft_model.py
@@ -30,7 +30,7 @@
 
 
 def start_node(name: str, hard_state: HardState | None = None, log: tuple[Entry, ...] = ()) -> RaftNode:
-    """Return a node whose election time-outs are not random."""
+    """Return a node whose election timeouts are not random."""
     return RaftNode(name, NAMES, lambda low, _high: low, hard_state=hard_state, entries=log)
 
 
--- a/tests/support/description_cases.py
+++ b/tests/support/description_cases.py
@@ -22,7 +22,7 @@
 COMPLETE_FILE_MARKER = "!"
 RESPONSES_PLACEHOLDER = "$R"
 RESPONSES = '"responses": {"default": {"description": "d"}}'
-MICROSECONDS_PER_SECOND = 1_000_000
+US_PER_S = 1_000_000
 DEADLINES_US = {"web": 2_000_000, "slow": 10_000_000, "feed": 3_000_000}
 CLASSES = {
     name: ClassPolicy(name, client_deadline_us=deadline_us) for name, deadline_us in DEADLINES_US.items()
@@ -126,7 +126,7 @@
     keyword = IDEMPOTENCY_KEYWORDS.keyword(policy.idempotency)
     if policy.idempotency is not Idempotency.IDEMPOTENCY_KEY:
         return keyword
-    window_s = policy.deduplication_window_us // MICROSECONDS_PER_SECOND
+    window_s = policy.deduplication_window_us // US_PER_S
     return f"{keyword} {SCOPE_KEYWORDS.keyword(policy.deduplication_scope)} {window_s}"
 
 
--- a/tests/support/known_red.py
+++ b/tests/support/known_red.py
@@ -76,7 +76,7 @@
         if not separator or key not in REQUIRED_FIELDS + OPTIONAL_FIELDS:
             raise KnownRedError(f'{FILE_NAME}:{number}: "{line.strip()}" is not a field of an entry')
         if not entries:
-            raise KnownRedError(f'{FILE_NAME}:{number}: field "{key}" stands before the first entry')
+            raise KnownRedError(f'{FILE_NAME}:{number}: field "{key}" precedes the first entry')
         entries[-1].fields[key] = value.strip()
     for entry in entries:
         _check_fields(entry)
--- a/tests/support/merge_scenario.py
+++ b/tests/support/merge_scenario.py
@@ -9,7 +9,7 @@
 from wheatstile.resolvers.merge import MergedEndpoint
 from wheatstile.resolvers.ready_endpoints import ready_names
 from wheatstile.resolvers.source_selection import (
-    MICROSECONDS_PER_SECOND,
+    US_PER_S,
     EndpointSource,
     MergeMode,
     MergePolicy,
@@ -32,16 +32,14 @@
 
 def merge_policy(mode: MergeMode = MergeMode.FALLBACK, recovery_delay_s: int = 30) -> MergePolicy:
     """Return a policy by which the file replaces discovery after DISCOVERY_TIMEOUT_S of silence."""
-    return MergePolicy(
-        mode, DISCOVERY_TIMEOUT_S * MICROSECONDS_PER_SECOND, recovery_delay_s * MICROSECONDS_PER_SECOND
-    )
+    return MergePolicy(mode, DISCOVERY_TIMEOUT_S * US_PER_S, recovery_delay_s * US_PER_S)
 
 
 class MergeScenario:
     """The inputs and the result of a merge. `cached` names the servers that the platform's file lists."""
 
     def __init__(self, policy: MergePolicy, cached: str = "") -> None:
-        self.now_us = 1000 * MICROSECONDS_PER_SECOND
+        self.now_us = 1000 * US_PER_S
         self.policy = policy
         self.discovery = DiscoveryState(self.now_us)
         self.file_endpoints: dict[str, ResolvedEndpoint] = {}
@@ -81,9 +79,9 @@
 
     def advance(self, seconds: float, discovery_reports: bool = True) -> EndpointSource:
         """Advance the clock, merge after each second, and return the source that is selected at the end."""
-        end_us = self.now_us + int(seconds * MICROSECONDS_PER_SECOND)
+        end_us = self.now_us + int(seconds * US_PER_S)
         while self.now_us < end_us:
-            self.now_us = min(end_us, self.now_us + MICROSECONDS_PER_SECOND)
+            self.now_us = min(end_us, self.now_us + US_PER_S)
             if discovery_reports:
                 self.discovery.record_report(self.now_us)
             self.merge()
--- a/tests/support/replay_state.py
+++ b/tests/support/replay_state.py
@@ -4,7 +4,7 @@
 
 from support.balancer_harness import PendingTimer
 from wheatstile import interface as api
-from wheatstile.simulator.wire import timer_text
+from wheatstile.simulator.wire import format_timer
 
 
 @dataclass
@@ -77,7 +77,7 @@
             case api.CheckHealth():
                 parts = ["check", action.server]
             case api.SetTimer():
-                parts = ["timer", action.delay_us, timer_text(action.token)]
+                parts = ["timer", action.delay_us, format_timer(action.token)]
             case api.WatchEndpoints():
                 parts = ["watch"]
         return " ".join(map(str, parts))
--- a/tests/support/servers_section.py
+++ b/tests/support/servers_section.py
@@ -26,29 +26,29 @@
     """
 
     def __init__(self, directory: Path) -> None:
-        self.decisions = DecisionLoop(settings(), 1)
-        self.upstreams = UpstreamPool(self.decisions, UpstreamLimits(1.0, 1.0, False, 0.0, 100))
-        observer = DiscoveryOnlyObserver(self.decisions, self.upstreams)
-        self.discovery_watcher = DiscoveryWatcher(self.decisions, observer, UNUSED_ADDRESS)
-        self.decisions.start(self.upstreams, self.discovery_watcher)
-        self.section = ServersSection(self.decisions, self.upstreams, self.discovery_watcher)
+        self.decision_loop = DecisionLoop(settings(), 1)
+        self.upstreams = UpstreamPool(self.decision_loop, UpstreamLimits(1.0, 1.0, False, 0.0, 100))
+        observer = DiscoveryOnlyObserver(self.decision_loop, self.upstreams)
+        self.discovery_watcher = DiscoveryWatcher(self.decision_loop, observer, UNUSED_ADDRESS)
+        self.decision_loop.start(self.upstreams, self.discovery_watcher)
+        self.section = ServersSection(self.decision_loop, self.upstreams, self.discovery_watcher)
         self._operator_path = directory / "op"
-        self.follow()
+        self.apply_operator_file()
 
-    def follow(self, **changes: object) -> None:
+    def apply_operator_file(self, **changes: object) -> None:
         """Apply the operator's file with these changes to its `servers` section, as a reload does."""
         defaults = {"file": "s.json", "mode": "merge", "recheck_s": 0.1, "most_removed": 1.0}
         operator = parse("op", json.dumps({"servers": defaults | changes}).encode())
-        self.section.follow(OperatorFile(self._operator_path, operator))
+        self.section.apply_operator_file(OperatorFile(self._operator_path, operator))
 
     def ready(self) -> set[str]:
         """Return the names of the servers that are ready for the decision module."""
-        return {server.endpoint.name for server in self.decisions.balancer.endpoints.ready}
+        return {server.endpoint.name for server in self.decision_loop.balancer.endpoints.ready_servers}
 
     async def wait_for_counter(self, name: str) -> None:
         """Wait until this counter is above zero. Raises TimeoutError after TIMEOUT_S."""
         async with asyncio.timeout(TIMEOUT_S):
-            while not self.decisions.counters[name]:
+            while not self.decision_loop.counters[name]:
                 await asyncio.sleep(POLL_INTERVAL_S)
 
     async def wait_until_ready(self, *names: str) -> None:
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -76,7 +76,7 @@
             'KNOWN-RED.txt:1: entry "a.py::test_a" has no "issue"',
         ),
         ("a.py::test_a\n    cause: c\n", 'KNOWN-RED.txt:2: "cause: c" is not a field of an entry'),
-        ("    issue: 1\n", 'KNOWN-RED.txt:1: field "issue" stands before the first entry'),
+        ("    issue: 1\n", 'KNOWN-RED.txt:1: field "issue" precedes the first entry'),
     ],
 )
 def test_malformed_entry_is_rejected_with_its_line_number(text: str, reason: str) -> None:
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -124,8 +124,8 @@
     ],
 )
 def test_timer_token_is_formatted_and_parsed(token: api.TimerToken, text: str) -> None:
-    assert wire.timer_text(token) == text
-    assert wire.timer_token(text) == token
+    assert wire.format_timer(token) == text
+    assert wire.parse_timer(text) == token
 
 
 @pytest.mark.parametrize("text", ["unheard-of", "hold", "hold:x", "hold:x:d8", "slot::d8", "other:1:d8", ""])
@@ -175,7 +175,7 @@
         (["FLEET\tbalancer=3\tkind=replace\tbuffer=9"], "list 9"),
         (["ROW\tserver=s1\tstatus=Running"], "ROW beyond"),
         (["ROSTER\tbuffer=1\trowsIn=2", "BELL\tbalancer=3\ttag=x"], "2 more ROW lines are due"),
-        (["CONFIGURE\tbalancer=4\tprng=1\tprofileData={]"], "no JSON"),
+        (["CONFIGURE\tbalancer=4\tprng=1\tprofileData={]"], "not valid JSON"),
     ],
 )
 def test_malformed_line_ends_the_host_with_the_reason(lines: list[str], reason: str) -> None:
@@ -191,7 +191,7 @@
 @pytest.mark.parametrize("key", ["classes", "fleetSize", "discovery", "limits", "rules"])
 def test_error_names_the_missing_setting(key: str) -> None:
     settings = {name: value for name, value in SETTINGS.items() if name != key}
-    with pytest.raises(SettingsError, match=f"lacks the key {key}"):
+    with pytest.raises(SettingsError, match=f"the key {key} is missing"):
         parse_settings(json.dumps(settings))
 
 
--- a/wheatstile/cli/check.py
+++ b/wheatstile/cli/check.py
@@ -14,7 +14,7 @@
 from wheatstile.config import operator
 from wheatstile.config.operator import OperatorFile, Servers
 from wheatstile.config.platform import Config, ConfigError
-from wheatstile.config.violations import ConfigurationError, Violation, load, locate
+from wheatstile.config.violations import ConfigurationError, Violation, load_json, locate
 from wheatstile.resolvers.endpoint_file import EndpointFile, EndpointFileRules
 from wheatstile.resolvers.source_selection import MergeMode
 from wheatstile.resolvers.update_guard import ActiveEndpoints
@@ -71,7 +71,7 @@
     if not section.file:
         return
     _check_state_directory(operator_file, report)
-    path = operator_file.near(section.file)
+    path = operator_file.resolve_path(section.file)
     if not path.exists():
         report.reasons.append(_format_violation(operator_file, "/servers/file", f"file not found: {path}"))
         return
@@ -88,7 +88,7 @@
     state_dir = operator_file.settings.servers.state_dir
     if not state_dir:
         return
-    directory = operator_file.near(state_dir)
+    directory = operator_file.resolve_path(state_dir)
     if not (directory.is_dir() and os.access(directory, os.W_OK)):
         reason = f"{directory} is not a writable directory"
         report.reasons.append(_format_violation(operator_file, "/servers/state_dir", reason))
@@ -121,7 +121,7 @@
     from wheatstile.cli.description_sets import compile_descriptions
     from wheatstile.descriptions.findings import InvalidDescriptionError
 
-    paths = [operator_file.near(path) for path in section.paths]
+    paths = [operator_file.resolve_path(path) for path in section.paths]
     try:
         compiled = compile_descriptions(paths, operator_file, platform).descriptions
     except InvalidDescriptionError as error:
@@ -133,6 +133,6 @@
 def _format_violation(operator_file: OperatorFile, pointer: str, reason: str) -> str:
     """Format a violation of the operator's file at this JSON pointer, with its line number."""
     data = Path(operator_file.path).read_bytes()
-    text, _ = load(str(operator_file.path), data, len(data))
+    text, _ = load_json(str(operator_file.path), data, len(data))
     violations = locate(text, [Violation(pointer, reason)])
     return ConfigurationError(str(operator_file.path), violations).lines()[0]
--- a/wheatstile/cli/description_changes.py
+++ b/wheatstile/cli/description_changes.py
@@ -6,7 +6,7 @@
 
 from wheatstile.descriptions.compile_types import CompiledDescriptions, Route
 from wheatstile.descriptions.keywords import IDEMPOTENCY_KEYWORDS, SCOPE_KEYWORDS
-from wheatstile.descriptions.model import RetrySafety, seconds_text
+from wheatstile.descriptions.model import RetrySafety, format_seconds
 from wheatstile.descriptions.strictness import is_narrower, is_stricter
 from wheatstile.interface import Idempotency
 
@@ -53,7 +53,7 @@
         loosens = is_stricter(old.idempotency, new.idempotency)
         effect = "becomes repeatable" if loosens else "is no longer repeatable"
         keywords = f"{_keyword(old.idempotency)} -> {_keyword(new.idempotency)}"
-        origin = f"({new.reason}, {new.location.short()})"
+        origin = f"({new.reason}, {new.location.file_and_line()})"
         yield DescriptionChange(f"{name}: {effect}, {keywords} {origin}", loosens)
     elif old.idempotency is Idempotency.IDEMPOTENCY_KEY:
         yield from _deduplication_changes(name, old, new)
@@ -66,8 +66,8 @@
         loosens = is_narrower(old.deduplication_scope, new.deduplication_scope)
         yield DescriptionChange(f"{name}: scope {old_scope} -> {new_scope}", loosens)
     if old.deduplication_window_us != new.deduplication_window_us:
-        old_window = seconds_text(old.deduplication_window_us)
-        new_window = seconds_text(new.deduplication_window_us)
+        old_window = format_seconds(old.deduplication_window_us)
+        new_window = format_seconds(new.deduplication_window_us)
         loosens = new.deduplication_window_us > old.deduplication_window_us
         yield DescriptionChange(f"{name}: deduplication window {old_window} -> {new_window}", loosens)
 
--- a/wheatstile/cli/descriptions.py
+++ b/wheatstile/cli/descriptions.py
@@ -16,7 +16,7 @@
 from wheatstile.descriptions.compile_types import ClassPolicy
 from wheatstile.descriptions.findings import InvalidDescriptionError
 from wheatstile.descriptions.keywords import IDEMPOTENCY_KEYWORDS, SCOPE_KEYWORDS
-from wheatstile.descriptions.model import MESSAGE_ACTIONS, seconds_text
+from wheatstile.descriptions.model import MESSAGE_ACTIONS, format_seconds
 from wheatstile.descriptions.reader import Compilation
 from wheatstile.interface import Idempotency
 
@@ -87,7 +87,7 @@
     idempotency = IDEMPOTENCY_KEYWORDS.keyword(policy.idempotency)
     if policy.idempotency is not Idempotency.IDEMPOTENCY_KEY:
         return idempotency
-    window = seconds_text(policy.deduplication_window_us)
+    window = format_seconds(policy.deduplication_window_us)
     scope = SCOPE_KEYWORDS.keyword(policy.deduplication_scope)
     return f"{idempotency}, deduplication window {window}, scope {scope}"
 
--- a/wheatstile/cli/endpoint_explanation.py
+++ b/wheatstile/cli/endpoint_explanation.py
@@ -9,12 +9,12 @@
 from wheatstile.cli.endpoint_changes import ServerRow
 from wheatstile.config.endpoints import EndpointSnapshot, ResolvedEndpoint
 from wheatstile.config.operator import Servers
-from wheatstile.config.violations import ConfigurationError, Violation, load
+from wheatstile.config.violations import ConfigurationError, Violation, load_json
 from wheatstile.resolvers.discovery_state import DiscoveryState
 from wheatstile.resolvers.endpoint_file import EndpointFile
 from wheatstile.resolvers.merge import merge_endpoints
-from wheatstile.resolvers.regular_file import read_all
-from wheatstile.resolvers.source_selection import MICROSECONDS_PER_SECOND, MergePolicy, select_source
+from wheatstile.resolvers.regular_file import read_regular_file
+from wheatstile.resolvers.source_selection import US_PER_S, MergePolicy, select_source
 
 EXPLANATION_COLUMNS = ("server", "address", "site", "weight", "state", "reason")
 SHOWN_VALUE_COUNT = len(EXPLANATION_COLUMNS) - 2
@@ -32,7 +32,7 @@
     ) -> None:
         self._file = file
         self._discovery = discovery
-        now_us = int(silent_s * MICROSECONDS_PER_SECOND)
+        now_us = int(silent_s * US_PER_S)
         policy = MergePolicy.from_settings(section)
         self.selection = select_source(now_us, policy, discovery, True, None)
         self._merged = merge_endpoints(now_us, self.selection, discovery, file.servers, {})
@@ -49,8 +49,8 @@
 
 def read_discovery_answer(path: str, max_bytes: int) -> DiscoveryState:
     """Return the state of discovery after the answer in this file. Raises ConfigurationError."""
-    data = read_all(Path(path), max_bytes)
-    _, value = load(path, data, max_bytes)
+    data = read_regular_file(Path(path), max_bytes)
+    _, value = load_json(path, data, max_bytes)
     try:
         snapshot = EndpointSnapshot.read(value)
     except (ValueError, KeyError, TypeError, OSError) as error:
--- a/wheatstile/cli/endpoint_files.py
+++ b/wheatstile/cli/endpoint_files.py
@@ -4,12 +4,12 @@
 from pathlib import Path
 from typing import Any
 
-from wheatstile.config.violations import ConfigurationError, Violation, load
+from wheatstile.config.violations import ConfigurationError, Violation, load_json
 from wheatstile.resolvers.approval import approval_path
 from wheatstile.resolvers.atomic_write import write_atomic
 from wheatstile.resolvers.canonical_json import SEAL_KEY, digest_of
 from wheatstile.resolvers.endpoint_file import EndpointFile, EndpointFileRules, parse_endpoint_file
-from wheatstile.resolvers.regular_file import read_all
+from wheatstile.resolvers.regular_file import read_regular_file
 from wheatstile.resolvers.update_guard import ActiveEndpoints, evaluate
 
 JsonObject = dict[str, Any]
@@ -21,14 +21,14 @@
 
 def read_endpoint_file(path: str, rules: EndpointFileRules) -> EndpointFile:
     """Return the endpoint file at `path`. Raises ConfigurationError."""
-    return parse_endpoint_file(path, read_all(Path(path), rules.max_bytes), rules)
+    return parse_endpoint_file(path, read_regular_file(Path(path), rules.max_bytes), rules)
 
 
 def read_unsealed(path: str, rules: EndpointFileRules) -> JsonObject:
     """Return the JSON of a valid endpoint file, without its seal. Raises ConfigurationError."""
-    data = read_all(Path(path), rules.max_bytes)
+    data = read_regular_file(Path(path), rules.max_bytes)
     parse_endpoint_file(path, data, rules, check_seal=False)
-    _, value = load(path, data, rules.max_bytes)
+    _, value = load_json(path, data, rules.max_bytes)
     return {key: element for key, element in value.items() if key != SEAL_KEY}
 
 
--- a/wheatstile/config/endpoints.py
+++ b/wheatstile/config/endpoints.py
@@ -27,7 +27,7 @@
     return host, int(port)
 
 
-def weight_of(value: float | str) -> float:
+def parse_weight(value: float | str) -> float:
     """Return the weight as a number. DEFAULT_WEIGHT replaces one that is not positive and finite.
 
     Raises ValueError or TypeError if the value is not a number.
@@ -77,7 +77,7 @@
         state=state,
         zone=str(member.get("locality", "")),
         cell=int(member.get("cell", 0)),
-        weight=weight_of(member.get("size", DEFAULT_WEIGHT)),
+        weight=parse_weight(member.get("size", DEFAULT_WEIGHT)),
         started_at_us=int(member.get("up_since_ms", 0)) * US_PER_MS,
     )
     is_gone = state is api.EndpointState.GONE
--- a/wheatstile/config/errors.py
+++ b/wheatstile/config/errors.py
@@ -13,7 +13,7 @@
     """A required key is missing."""
 
     def __init__(self, key: str) -> None:
-        super().__init__(f"settings: lacks the key {key}")
+        super().__init__(f"settings: the key {key} is missing")
         self.key = key
 
 
--- a/wheatstile/config/json_locations.py
+++ b/wheatstile/config/json_locations.py
@@ -37,7 +37,7 @@
     return f"{parent}/{escaped}"
 
 
-def walk(text: str) -> Iterator[Location]:
+def walk_locations(text: str) -> Iterator[Location]:
     """Yield the location of each value, in the order of the text.
 
     Stops at the first character that is not JSON. May raise IndexError, TypeError or ValueError if the text
--- a/wheatstile/config/operator.py
+++ b/wheatstile/config/operator.py
@@ -12,7 +12,7 @@
 from msgspec import Meta
 
 from wheatstile.config import shape
-from wheatstile.config.violations import ConfigurationError, Violation, load, locate, pointer
+from wheatstile.config.violations import ConfigurationError, Violation, json_pointer, load_json, locate
 
 MAX_OPERATOR_FILE_BYTES = 1 << 20
 
@@ -143,14 +143,14 @@
     path: Path
     settings: Operator
 
-    def near(self, path: str) -> Path:
+    def resolve_path(self, path: str) -> Path:
         """Resolve a path in the file against the directory of the file."""
         return self.path.parent / path
 
 
 def parse(file: str, data: bytes) -> Operator:
     """Parse an operator's file. Raises ConfigurationError with every violation and its location."""
-    text, value = load(file, data, MAX_OPERATOR_FILE_BYTES)
+    text, value = load_json(file, data, MAX_OPERATOR_FILE_BYTES)
     if not isinstance(value, dict):
         raise ConfigurationError(file, [Violation("", "is not an object", 1)])
     violations = list(shape.find_violations(value, Operator))
@@ -188,5 +188,5 @@
         try:
             Networks([network])
         except NetworkError as error:
-            violations.append(Violation(pointer("servers", "networks", index), str(error)))
+            violations.append(Violation(json_pointer("servers", "networks", index), str(error)))
     return violations
--- a/wheatstile/config/platform.py
+++ b/wheatstile/config/platform.py
@@ -35,7 +35,7 @@
     idle_timeout_s: float  # an unused connection is closed after this time
     reports_message_latency: bool  # True if slow servers are reported to the decision module
     message_latency_objective_ms: float  # shortest objective of all classes; 0 if none is set
-    descriptors: int  # maximum number of open file descriptors of the process
+    max_descriptors: int  # maximum number of open file descriptors of the process
 
     @property
     def health_check_timeout_s(self) -> float:
@@ -53,7 +53,7 @@
 class ClientLimits:
     """The limits for connections from clients."""
 
-    descriptors: int  # maximum number of open file descriptors of the process
+    max_descriptors: int  # maximum number of open file descriptors of the process
     deadlines_ms: dict[str, int]  # longest time that a client waits, by class
     max_retry_after_ms: int  # longest retry delay in a rejection; 0 if rejections carry no delay
 
@@ -102,7 +102,7 @@
     config = Section(document)
     settings = Section(config.require("settings"))
     limits = settings.section("limits")
-    descriptors = _descriptors(config)
+    max_descriptors = _max_descriptors(config)
     deadlines_ms = _deadlines_ms(settings)
     decision_settings = read_settings(config.require("settings"))
     return Config(
@@ -115,13 +115,13 @@
         # latencies that the latency monitor measures do not replace load reports, because they are rare and
         # an overloaded server may still answer lines at once.
         settings=replace(decision_settings, reports_message_latency=False),
-        upstream_limits=_upstream_limits(settings, limits, descriptors),
-        client_limits=ClientLimits(descriptors, deadlines_ms, _max_retry_after_ms(decision_settings)),
+        upstream_limits=_upstream_limits(settings, limits, max_descriptors),
+        client_limits=ClientLimits(max_descriptors, deadlines_ms, _max_retry_after_ms(decision_settings)),
         longest_deadline_s=max(deadlines_ms.values()) / MS_PER_S,
     )
 
 
-def _descriptors(config: Section) -> int:
+def _max_descriptors(config: Section) -> int:
     """Return the maximum number of open file descriptors: the platform's limit, at most the hard limit."""
     platform_limits = Section(config.require("limits"), "the platform's limits.")
     _, hard_limit = resource.getrlimit(resource.RLIMIT_NOFILE)
@@ -135,7 +135,7 @@
     }
 
 
-def _upstream_limits(settings: Section, limits: Section, descriptors: int) -> UpstreamLimits:
+def _upstream_limits(settings: Section, limits: Section, max_descriptors: int) -> UpstreamLimits:
     # `read_settings` has checked the objective of each class. Any surplus objective is unchecked, and may
     # raise TypeError, which Config.read reports.
     objectives_us = cast(list[float], message_latency_objectives_us(settings))
@@ -145,7 +145,7 @@
         idle_timeout_s=limits.number("keepaliveUs", 1) / US_PER_S,
         reports_message_latency=is_reported and bool(objectives_us),
         message_latency_objective_ms=min(objectives_us, default=0.0) / US_PER_MS,
-        descriptors=descriptors,
+        max_descriptors=max_descriptors,
     )
 
 
--- a/wheatstile/config/settings.py
+++ b/wheatstile/config/settings.py
@@ -42,7 +42,7 @@
     try:
         value = json.loads(text)
     except ValueError as error:
-        raise SettingsError(f"settings: no JSON: {error}") from None
+        raise SettingsError(f"settings: not valid JSON: {error}") from None
     return read_settings(value)
 
 
--- a/wheatstile/config/shape.py
+++ b/wheatstile/config/shape.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from wheatstile.config.violations import Violation, nearest, pointer
+from wheatstile.config.violations import Violation, json_pointer, suggestion_or_known_names
 
 Path = tuple[str | int, ...]
 """The keys and indices from the root of the document to a value."""
@@ -33,7 +33,9 @@
         for key, element in value.items():
             yield from find_violations(element, arguments[1], (*path, key))
     elif isinstance(value, str) and origin is Literal and value not in arguments:
-        yield Violation(pointer(*path), f'"{value}" is not known{nearest(value, arguments)}')
+        yield Violation(
+            json_pointer(*path), f'unknown value "{value}"{suggestion_or_known_names(value, arguments)}'
+        )
     else:
         yield from _value_violations(value, expected, path)
 
@@ -50,7 +52,7 @@
     try:
         msgspec.convert(value, expected)
     except msgspec.ValidationError as error:
-        yield Violation(pointer(*path), str(error).partition(" - at ")[0])
+        yield Violation(json_pointer(*path), str(error).partition(" - at ")[0])
 
 
 def _struct_violations(
@@ -61,7 +63,7 @@
         if key in fields:
             yield from find_violations(element, fields[key].type, (*path, key))
         else:
-            yield Violation(pointer(*path, key), f"unknown key{nearest(key, fields)}")
+            yield Violation(json_pointer(*path, key), f"unknown key{suggestion_or_known_names(key, fields)}")
     for name, field in fields.items():
         if field.required and name not in value:
-            yield Violation(pointer(*path, name), "is missing")
+            yield Violation(json_pointer(*path, name), "is missing")
--- a/wheatstile/config/violations.py
+++ b/wheatstile/config/violations.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from wheatstile.config.errors import InvalidConfigurationError
-from wheatstile.config.json_locations import Location, child_pointer, walk
+from wheatstile.config.json_locations import Location, child_pointer, walk_locations
 
 MAX_LISTED_VIOLATIONS = 100  # limit for one file; further violations are only counted
 BYTE_ORDER_MARK = b"\xef\xbb\xbf"
@@ -55,7 +55,7 @@
     """An object has the same key twice."""
 
 
-def pointer(*parts: str | int) -> str:
+def json_pointer(*parts: str | int) -> str:
     """Return the JSON pointer (RFC 6901) to this path of keys and indices."""
     path = ""
     for part in parts:
@@ -63,13 +63,15 @@
     return path
 
 
-def load(file: str, data: bytes, max_bytes: int) -> tuple[str, Any]:
+def load_json(file: str, data: bytes, max_bytes: int) -> tuple[str, Any]:
     """Decode and parse a JSON file, and return its text and its value.
 
     Raises ConfigurationError if the file is too long, is not JSON, or has an object with the same key twice.
     """
     if len(data) > max_bytes:
-        raise ConfigurationError(file, [Violation("", f"{len(data)} bytes; {max_bytes} at most")])
+        raise ConfigurationError(
+            file, [Violation("", f"the file has {len(data)} bytes; the limit is {max_bytes}")]
+        )
     text = _decode(file, data)
     try:
         value = json.loads(text, object_pairs_hook=_reject_duplicate_keys)
@@ -91,7 +93,7 @@
         return data.decode()
     except UnicodeDecodeError as error:
         line = data.count(b"\n", 0, error.start) + 1
-        reason = f"no UTF-8: {error.reason} at byte {error.start}"
+        reason = f"not valid UTF-8: {error.reason} at byte {error.start}"
         raise ConfigurationError(file, [Violation("", reason, line)]) from None
 
 
@@ -104,13 +106,13 @@
 
 def _parse_violation(error: ValueError | RecursionError) -> Violation:
     if isinstance(error, json.JSONDecodeError):
-        return Violation("", f"no JSON: {error.msg}, column {error.colno}", error.lineno)
+        return Violation("", f"not valid JSON: {error.msg}, column {error.colno}", error.lineno)
     if isinstance(error, UnicodeEncodeError):
         return Violation("", "contains a lone surrogate, which is not valid Unicode text", 1)
     if isinstance(error, RecursionError):
         return Violation("", "nested too deeply", 1)
     # The remaining case is an integer with more digits than Python converts.
-    return Violation("", f"no JSON: {error}", 1)
+    return Violation("", f"not valid JSON: {error}", 1)
 
 
 def locate(text: str, violations: Iterable[Violation]) -> list[Violation]:
@@ -121,7 +123,7 @@
     reported = list(violations)
     lines = {violation.pointer: violation.line for violation in reported}
     unlocated = {violation.pointer for violation in reported if not violation.line}
-    for location in walk(text):
+    for location in walk_locations(text):
         if location.pointer in unlocated:
             lines[location.pointer] = location.line
             unlocated.discard(location.pointer)
@@ -135,7 +137,7 @@
 
 def _lines_of_parents(text: str, pointers: Iterable[str]) -> dict[str, int]:
     """Return the line of the nearest existing parent of each value that is missing."""
-    known_lines = {location.pointer: location.line for location in walk(text)}
+    known_lines = {location.pointer: location.line for location in walk_locations(text)}
     lines = {}
     for missing in pointers:
         parent = missing
@@ -145,21 +147,21 @@
     return lines
 
 
-def nearest(name: str, known: Iterable[str]) -> str:
+def suggestion_or_known_names(name: str, known: Iterable[str]) -> str:
     """Return the end of an error message: a similar known name if there is one, else all known names."""
     names = sorted(known)
     close = get_close_matches(name, names, 1)
-    return f', did you mean "{close[0]}"?' if close else f"; known are {', '.join(names)}"
+    return f', did you mean "{close[0]}"?' if close else f"; known values are {', '.join(names)}"
 
 
 def _duplicate_keys(text: str) -> list[Violation]:
     """Return a violation for each key that an object has twice."""
     try:
-        return [_duplicate_key(location) for location in walk(text) if location.first_line]
+        return [_duplicate_key(location) for location in walk_locations(text) if location.first_line]
     except (IndexError, TypeError, ValueError):  # the text after the duplicate key is not JSON
-        return [Violation("", "a key stands twice in one object", 1)]
+        return [Violation("", "duplicate key in one object", 1)]
 
 
 def _duplicate_key(location: Location) -> Violation:
-    reason = f"the key stands twice, first on line {location.first_line}"
+    reason = f"duplicate key, first defined on line {location.first_line}"
     return Violation(location.pointer, reason, location.line)
--- a/wheatstile/decisions/admission.py
+++ b/wheatstile/decisions/admission.py
@@ -57,7 +57,7 @@
         """
         self._update_peak()
         fleet_size = self._context.settings.fleet_size
-        assumed_connections = MIN_CONNECTIONS_PER_SERVER * len(self._endpoints.ready) / fleet_size
+        assumed_connections = MIN_CONNECTIONS_PER_SERVER * len(self._endpoints.ready_servers) / fleet_size
         scale = max(self._peak_connections, assumed_connections)
         return self.bucket.try_acquire(self._context.now_us, scale)
 
--- a/wheatstile/decisions/balancer.py
+++ b/wheatstile/decisions/balancer.py
@@ -172,7 +172,7 @@
     def _on_health_check(self, event: api.HealthCheckResult) -> None:
         server = self.health_checks.on_result(event)
         if server and event.outcome.is_ok:
-            self._rebalancer.on_server_read(server)
+            self._rebalancer.on_health_check_succeeded(server)
 
     def _on_message_latency(self, event: api.MessageLatencyChanged) -> None:
         if connection := self.connections.get(event.id):
--- a/wheatstile/decisions/candidate_selection.py
+++ b/wheatstile/decisions/candidate_selection.py
@@ -56,13 +56,13 @@
         """
         return self._pick(connection, excluded, local_zone_only=False)
 
-    def pick_near(self, connection: Connection) -> Server | None:
+    def pick_preferring_local_zone(self, connection: Connection) -> Server | None:
         """Draw an eligible server as `pick` does; prefer the local zone if a cross-zone cost is set."""
         return self._pick(connection, None, local_zone_only=self._context.settings.cross_zone_cost > 0)
 
     def draw_candidates(self, connection: Connection) -> list[Server]:
         """Draw up to two candidates for a connection."""
-        first = self.pick_near(connection)
+        first = self.pick_preferring_local_zone(connection)
         if first is None:
             return []
         second = self.pick(connection, excluded=first)
@@ -71,7 +71,7 @@
     def best_candidate(self, connection: Connection) -> Server | None:
         """Return the less loaded of the eligible candidates whose health checks have been answered."""
         eligible = [server for server in connection.candidates if self._is_usable(server, connection)]
-        return min(self._without_ejected(eligible), key=self._load_with_crossing, default=None)
+        return min(self._without_ejected(eligible), key=self._load_with_cross_zone_cost, default=None)
 
     def _is_usable(self, candidate: Server, connection: Connection) -> bool:
         if self._health_checks.is_in_flight(candidate):
@@ -79,7 +79,7 @@
         is_reachable = self._fleet_load.load_of(candidate) < UNREACHABLE_LOAD
         return is_reachable and self.is_eligible(candidate, connection)
 
-    def _load_with_crossing(self, server: Server) -> float:
+    def _load_with_cross_zone_cost(self, server: Server) -> float:
         """Return a server's load, increased by the cross-zone cost if it is in another zone."""
         load = self._fleet_load.load_of(server)
         settings = self._context.settings
@@ -108,7 +108,7 @@
         """Draw from all ready servers, by weight."""
         eligible = [
             server
-            for server in self._endpoints.ready
+            for server in self._endpoints.ready_servers
             if server is not excluded and self.is_eligible(server, connection)
         ]
         eligible = self._without_ejected(eligible)
--- a/wheatstile/decisions/endpoint_table.py
+++ b/wheatstile/decisions/endpoint_table.py
@@ -13,7 +13,7 @@
 
     def __init__(self) -> None:
         self.servers: dict[str, Server] = {}  # keyed by name
-        self.ready: list[Server] = []  # sorted by name
+        self.ready_servers: list[Server] = []  # sorted by name
         self.ready_loads: list[ServerLoad] = []  # loads of the ready servers
         self.lookup_table: WeightedLookupTable[Server] = WeightedLookupTable([], [])
 
@@ -26,9 +26,13 @@
                 started_servers.append(server)
         if event.kind != api.EndpointUpdateKind.DELTA:
             self._mark_absent_as_gone(event.endpoints)
-        self.ready = [server for _, server in sorted(self.servers.items()) if server.endpoint.is_ready]
-        self.ready_loads = [server.load for server in self.ready]
-        self.lookup_table = WeightedLookupTable(self.ready, [server.endpoint.weight for server in self.ready])
+        self.ready_servers = [
+            server for _, server in sorted(self.servers.items()) if server.endpoint.is_ready
+        ]
+        self.ready_loads = [server.load for server in self.ready_servers]
+        self.lookup_table = WeightedLookupTable(
+            self.ready_servers, [server.endpoint.weight for server in self.ready_servers]
+        )
         return started_servers
 
     def _apply(self, endpoint: api.Endpoint) -> tuple[Server, bool]:
--- a/wheatstile/decisions/exploration.py
+++ b/wheatstile/decisions/exploration.py
@@ -74,7 +74,7 @@
         self._context.set_timer(SLOT_US, api.TimerKind.EXPLORATION_SLOT)
         self._slot += 1
         self._expire_moves()
-        if not self._context.health_checks_enabled or len(self._endpoints.ready) < MIN_SERVERS:
+        if not self._context.health_checks_enabled or len(self._endpoints.ready_servers) < MIN_SERVERS:
             return
         first_index = self._draw_skip_count()  # also drawn in even slots, where it is not used
         is_odd_slot = self._slot % 2 == 1
@@ -83,7 +83,7 @@
         else:
             self._compare_all()
 
-    def take_pending(self, key: str) -> ExplorationMove | None:
+    def pop_pending_move(self, key: str) -> ExplorationMove | None:
         """Remove and return the move of a client that reconnects; None if it has none or it has expired."""
         move = self._pending.pop(key, None)
         if move is None or move.expires_at_us <= self._context.now_us:
@@ -142,7 +142,7 @@
         if move.origin.ejection.is_active(self._context.now_us):
             return
         x_j = self._fleet_load.load_of(connection.server)
-        probability = return_probability(move.x_i, x_j, len(self._endpoints.ready), move.gamma)
+        probability = return_probability(move.x_i, x_j, len(self._endpoints.ready_servers), move.gamma)
         if move.origin.endpoint.is_ready and self._context.random.random() < probability:
             move.is_return = True
             self._migrate(connection, move)
--- a/wheatstile/decisions/rebalancing.py
+++ b/wheatstile/decisions/rebalancing.py
@@ -62,17 +62,17 @@
         if established:
             weights = [1.0 + connection.load for connection in established]
             connection = self._context.random.choices(established, weights)[0]
-            self._health_checks.check_server_of(connection, self.on_load_read)
+            self._health_checks.check_server_of(connection, self.on_load_checked)
 
     def on_repeated_load_check_due(self, connection: Connection) -> None:
         """Check the server of a connection again after a severe overload."""
-        self._health_checks.check_server_of(connection, self.on_load_read)
+        self._health_checks.check_server_of(connection, self.on_load_checked)
 
     def on_rebalance_due(self, connection: Connection) -> None:
         """Check the server of a connection, then rebalance it."""
         self._health_checks.check_server_of(connection, self.rebalance)
 
-    def on_server_read(self, server: Server) -> None:
+    def on_health_check_succeeded(self, server: Server) -> None:
         """Rebalance a server after any health check, not only a load check, that reports severe overload."""
         if self._context.settings.reports_message_latency:
             return
@@ -80,7 +80,7 @@
             return
         connections = self._connections.established_at(server)
         if connections:
-            self.on_load_read(connections[0])
+            self.on_load_checked(connections[0])
 
     def on_message_latency(self, connection: Connection, latency_ms: float) -> None:
         """Schedule a rebalance of a server that misses its latency objective, at most once per interval."""
@@ -92,7 +92,7 @@
         if is_late and self._try_begin_interval(server):
             self._context.set_jittered_timer(MAX_REBALANCE_JITTER_US, api.TimerKind.REBALANCE, connection.id)
 
-    def on_load_read(self, connection: Connection) -> None:
+    def on_load_checked(self, connection: Connection) -> None:
         """Rebalance a connection's server if it is overloaded and the fleet is not.
 
         A server that did not answer is first checked a second time, since it may only have paused. A severely
--- a/wheatstile/decisions/request_lifecycle.py
+++ b/wheatstile/decisions/request_lifecycle.py
@@ -135,7 +135,7 @@
         """Send a client to the destination of its exploration move. Return whether it was sent."""
         if self._is_shutting_down or not connection.key:
             return False
-        move = self._exploration.take_pending(connection.key)
+        move = self._exploration.pop_pending_move(connection.key)
         if move is None or not self._selector.is_available(move.destination, connection):
             return False
         self._exploration.on_destination_chosen(connection, move)
@@ -149,7 +149,7 @@
         """
         if not event.midflow or connection.is_repeated_setup:
             return False
-        probable_server = self._selector.pick_near(connection)
+        probable_server = self._selector.pick_preferring_local_zone(connection)
         if probable_server is None or self._is_shutting_down:
             return False
         self._attempt_starter.start(connection, probable_server)
--- a/wheatstile/decisions/server_load.py
+++ b/wheatstile/decisions/server_load.py
@@ -14,7 +14,7 @@
 LOAD_METRIC_PREFERENCE = (LoadMetric.LOAD, LoadMetric.BUSY_SHARE, LoadMetric.BACKLOG_S, *COUNT_METRICS)
 
 
-def load_in(report: LoadReport) -> float | None:
+def load_from_report(report: LoadReport) -> float | None:
     """Return the load in a report, from the first metric of LOAD_METRIC_PREFERENCE that it contains.
 
     A count ranks servers but never reaches OVERLOAD_THRESHOLD. Return None if the report has no such metric.
@@ -48,7 +48,7 @@
 
     def record_report(self, report: LoadReport, now_us: int) -> None:
         """Record the load in a report; the load becomes unknown if the report contains none."""
-        self.value = load_in(report)
+        self.value = load_from_report(report)
         self.reported_at_us = now_us
 
     def record_message_latency(self, latency_ms: float) -> None:
--- a/wheatstile/decisions/slow_start.py
+++ b/wheatstile/decisions/slow_start.py
@@ -57,7 +57,9 @@
         """
         settings = self._context.settings
         capacity = max(settings.slow_start_initial_capacity, age_us / settings.slow_start_duration_us)
-        connections_per_server = OVERLOAD_THRESHOLD * len(self._connections) / len(self._endpoints.ready)
+        connections_per_server = (
+            OVERLOAD_THRESHOLD * len(self._connections) / len(self._endpoints.ready_servers)
+        )
         target_connections = connections_per_server / max(self._fleet_load.mean(), MIN_MEAN_LOAD) * capacity
         period_us = max(MIN_REFILL_PERIOD_US, settings.slow_start_overload_window_us)
         return target_connections * settings.slow_start_overload_factor / period_us
--- a/wheatstile/descriptions/compile_types.py
+++ b/wheatstile/descriptions/compile_types.py
@@ -4,10 +4,10 @@
 from dataclasses import dataclass
 from typing import TypeAlias
 
+from wheatstile.descriptions.condition_parser import Condition
 from wheatstile.descriptions.findings import Finding, SourceLocation
-from wheatstile.descriptions.language import Condition
 from wheatstile.descriptions.model import HTTP_METHODS, Operation, RetrySafety
-from wheatstile.descriptions.route_matcher import Matcher
+from wheatstile.descriptions.route_matcher import RouteMatcher
 from wheatstile.descriptions.routes import Token, split_path, split_subject
 from wheatstile.interface import DeduplicationScope, Idempotency
 
@@ -67,7 +67,7 @@
     routes: tuple[Route, ...]
     classes: ClassPolicies  # only classes that have routes
     warnings: tuple[Finding, ...]
-    matchers: Mapping[str, Matcher[Route]]  # key: the action of an operation
+    matchers: Mapping[str, RouteMatcher[Route]]  # key: the action of an operation
 
     def match(self, action: str, target: str) -> list[Route]:
         """Return the routes that match a path or subject, with the most specific one first.
--- a/wheatstile/descriptions/language.py
+++ b/wheatstile/descriptions/condition_parser.py
@@ -17,7 +17,7 @@
 from lark import Lark, Token, Transformer, UnexpectedInput, UnexpectedToken
 from lark.exceptions import VisitError
 
-from wheatstile.config.violations import nearest
+from wheatstile.config.violations import suggestion_or_known_names
 from wheatstile.descriptions.findings import DescriptionError
 from wheatstile.descriptions.model import Operation, OperationKind
 
@@ -161,7 +161,7 @@
 def _field(token: Token) -> Field:
     """Return the function that reads the values of a field. Raises RuleSyntaxError for an unknown field."""
     if token.value not in FIELDS:
-        reason = f'unknown field "{token.value}"{nearest(token.value, FIELDS)}'
+        reason = f'unknown field "{token.value}"{suggestion_or_known_names(token.value, FIELDS)}'
         raise RuleSyntaxError(reason, token.column or 1)
     return FIELDS[token.value]
 
--- a/wheatstile/descriptions/document.py
+++ b/wheatstile/descriptions/document.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable, Iterable, Sequence
 from typing import Protocol
 
-from wheatstile.config.violations import pointer
+from wheatstile.config.violations import json_pointer
 from wheatstile.descriptions.findings import Finding, InvalidDescriptionError, SourceLocation
 from wheatstile.descriptions.model import Description, JsonValue, Operation
 from wheatstile.descriptions.references import DocumentNode
@@ -74,7 +74,7 @@
         closest = max(closest.context, key=_closeness)
     message = str(closest.message).partition(VALIDATOR_DETAILS)[0]
     reason = " ".join(message.split())[:MAX_REASON_CHARACTERS]
-    return Finding(locate(pointer(*closest.absolute_path)), reason)
+    return Finding(locate(json_pointer(*closest.absolute_path)), reason)
 
 
 def _closeness(error: SchemaError) -> tuple[int, bool]:
--- a/wheatstile/descriptions/document_folder.py
+++ b/wheatstile/descriptions/document_folder.py
@@ -8,7 +8,7 @@
 from wheatstile.descriptions.parsed_file import MAX_FILE_BYTES, ParsedFile
 from wheatstile.descriptions.parser import parse
 from wheatstile.descriptions.references import DocumentNode, DocumentStore
-from wheatstile.resolvers.regular_file import opened_regular, snapshot
+from wheatstile.resolvers.regular_file import opened_regular_file, snapshot
 
 MAX_FILES = 1000  # descriptions and referenced files together
 
@@ -47,7 +47,7 @@
         if len(self._read_files) >= MAX_FILES:
             raise ValueError(f"more than {MAX_FILES} files")
         try:
-            with opened_regular(path) as descriptor:
+            with opened_regular_file(path) as descriptor:
                 data = snapshot(descriptor, MAX_FILE_BYTES).data
         except OSError as error:
             raise ValueError(f"{name}: {error.strerror or error}") from None
--- a/wheatstile/descriptions/extensions.py
+++ b/wheatstile/descriptions/extensions.py
@@ -18,9 +18,9 @@
     UnknownKeywordError,
 )
 from wheatstile.descriptions.model import (
-    MICROSECONDS_PER_SECOND,
     NO_CLASS,
     NO_TIMEOUT,
+    US_PER_S,
     AssignedClass,
     DeclaredTimeout,
     Extension,
@@ -89,7 +89,7 @@
 
 
 def timeout_of(*holders: DocumentNode) -> DeclaredTimeout:
-    """Return the declared time-out; NO_TIMEOUT if none is declared."""
+    """Return the declared timeout; NO_TIMEOUT if none is declared."""
     node = nearest_extension(Extension.TIMEOUT_MS, holders)
     if node is None:
         return NO_TIMEOUT
@@ -118,7 +118,7 @@
     if window_node is None:
         return Deduplication(scope, 0)
     window_s = _positive_number(window_node, WINDOW_LIMIT_S, "seconds")
-    return Deduplication(scope, int(window_s * MICROSECONDS_PER_SECOND))
+    return Deduplication(scope, int(window_s * US_PER_S))
 
 
 def _keyword_member(node: DocumentNode, table: KeywordTable[Member]) -> Member:
--- a/wheatstile/descriptions/findings.py
+++ b/wheatstile/descriptions/findings.py
@@ -18,7 +18,7 @@
     def __str__(self) -> str:
         return f"{self.file}:{self.line}: {self.pointer or '/'}"
 
-    def short(self) -> str:
+    def file_and_line(self) -> str:
         """Return the location without its JSON pointer: `FILE:LINE`."""
         return f"{self.file}:{self.line}"
 
@@ -40,7 +40,7 @@
     severity: Severity = Severity.CONFLICT
 
     def __str__(self) -> str:
-        related = f" (against {self.related.short()})" if self.related else ""
+        related = f" (against {self.related.file_and_line()})" if self.related else ""
         prefix = "warning: " if self.severity is Severity.WARNING else ""
         return f"{self.location}: {prefix}{self.reason}{related}"
 
--- a/wheatstile/descriptions/model.py
+++ b/wheatstile/descriptions/model.py
@@ -11,7 +11,7 @@
 JsonValue: TypeAlias = "bool | int | float | str | list[JsonValue] | dict[str, JsonValue] | None"
 """A value of a JSON or YAML document."""
 
-MICROSECONDS_PER_SECOND = 1_000_000
+US_PER_S = 1_000_000
 
 
 class Extension(StrEnum):
@@ -25,9 +25,9 @@
     TIMEOUT_MS = "x-wheatstile-timeout-ms"
 
 
-def seconds_text(duration_us: int) -> str:
+def format_seconds(duration_us: int) -> str:
     """Return a duration in seconds as text, such as `2.5 s`."""
-    return f"{duration_us / MICROSECONDS_PER_SECOND:g} s"
+    return f"{duration_us / US_PER_S:g} s"
 
 
 @dataclass(frozen=True, slots=True)
@@ -49,9 +49,9 @@
 
 
 class DeclaredTimeout(NamedTuple):
-    """The time-out of an operation, and the location that declares it."""
+    """The timeout of an operation, and the location that declares it."""
 
-    timeout_us: int  # 0: no time-out is declared
+    timeout_us: int  # 0: no timeout is declared
     location: SourceLocation | None
 
 
--- a/wheatstile/descriptions/operator_rules.py
+++ b/wheatstile/descriptions/operator_rules.py
@@ -5,11 +5,11 @@
 from pathlib import Path
 
 from wheatstile.config.operator import MAX_OPERATOR_FILE_BYTES, DescriptionRule, OperatorFile
-from wheatstile.config.violations import ConfigurationError, Violation, load, locate, pointer
+from wheatstile.config.violations import ConfigurationError, Violation, json_pointer, load_json, locate
 from wheatstile.descriptions.compile_types import ClassificationRule, ClassPolicies
+from wheatstile.descriptions.condition_parser import RuleSyntaxError, parse_condition
 from wheatstile.descriptions.findings import Finding, InvalidDescriptionError, SourceLocation
 from wheatstile.descriptions.keywords import IDEMPOTENCY_KEYWORDS
-from wheatstile.descriptions.language import RuleSyntaxError, parse_condition
 from wheatstile.descriptions.route_compiler import unknown_class_reason
 from wheatstile.interface import Idempotency
 
@@ -57,8 +57,12 @@
     if operator is None:
         return OperatorRules()
     section = operator.settings.descriptions
-    rule_pointers = [pointer("descriptions", "rules", index, "when") for index in range(len(section.rules))]
-    override_pointers = {name: pointer("descriptions", "classes", name, "repeat") for name in section.classes}
+    rule_pointers = [
+        json_pointer("descriptions", "rules", index, "when") for index in range(len(section.rules))
+    ]
+    override_pointers = {
+        name: json_pointer("descriptions", "classes", name, "repeat") for name in section.classes
+    }
     locations = _locations(operator.path, [*rule_pointers, *override_pointers.values()])
     rule_locations = [locations[rule_pointer] for rule_pointer in rule_pointers]
     overrides = {
@@ -102,7 +106,7 @@
     try:
         with file.open("rb") as source:
             data = source.read(MAX_OPERATOR_FILE_BYTES + 1)
-        text, _ = load(name, data, MAX_OPERATOR_FILE_BYTES)
+        text, _ = load_json(name, data, MAX_OPERATOR_FILE_BYTES)
     except (OSError, ConfigurationError):
         return {missing: SourceLocation(name, 1, missing) for missing in pointers}
     located = locate(text, [Violation(requested, "") for requested in pointers])
--- a/wheatstile/descriptions/parser.py
+++ b/wheatstile/descriptions/parser.py
@@ -56,14 +56,14 @@
     """Parse JSON. Raises InvalidDescriptionError for invalid JSON, and for duplicate keys in an object."""
     try:
         # `_decode` has checked the size of the file. The text may be longer after it is encoded again.
-        _, value = violations.load(file, text.encode(), 2 * MAX_FILE_BYTES)
+        _, value = violations.load_json(file, text.encode(), 2 * MAX_FILE_BYTES)
     except violations.ConfigurationError as error:
         findings = [
             Finding(SourceLocation(file, violation.line or 1, violation.pointer), violation.reason)
             for violation in error.violations
         ]
         raise InvalidDescriptionError(findings) from None
-    lines = {pointer: line for pointer, line, _ in json_locations.walk(text)}
+    lines = {pointer: line for pointer, line, _ in json_locations.walk_locations(text)}
     if len(lines) > MAX_VALUES:
         raise parse_error(file, 1, f"more than {MAX_VALUES} values")
     for pointer, line in lines.items():
--- a/wheatstile/descriptions/references.py
+++ b/wheatstile/descriptions/references.py
@@ -11,7 +11,7 @@
 from referencing.exceptions import Unresolvable
 from referencing.typing import URI
 
-from wheatstile.config.violations import pointer as pointer_to
+from wheatstile.config.violations import json_pointer
 from wheatstile.descriptions.findings import (
     Finding,
     InvalidDescriptionError,
@@ -83,7 +83,7 @@
         return [(str(key), self._child(key, value)) for key, value in pairs]
 
     def _child(self, key: str | int, value: JsonValue) -> "DocumentNode":
-        return DocumentNode(self.store, self.uri, self.file, self.pointer + pointer_to(key), value)
+        return DocumentNode(self.store, self.uri, self.file, self.pointer + json_pointer(key), value)
 
     def resolved(self) -> "DocumentNode":
         """Return the node, or the node that its chain of references leads to.
--- a/wheatstile/descriptions/route_compiler.py
+++ b/wheatstile/descriptions/route_compiler.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 from urllib.parse import urlsplit
 
-from wheatstile.config.violations import nearest
+from wheatstile.config.violations import suggestion_or_known_names
 from wheatstile.descriptions.compile_types import (
     ClassificationRule,
     ClassPolicies,
@@ -20,7 +20,7 @@
     Operation,
     OperationKind,
     RetrySafety,
-    seconds_text,
+    format_seconds,
 )
 from wheatstile.descriptions.routes import RouteSyntaxError, Token, path_tokens, subject_tokens
 from wheatstile.descriptions.strictness import is_stricter
@@ -29,7 +29,7 @@
 
 def unknown_class_reason(name: str, classes: ClassPolicies) -> str:
     """Return the reason in a finding about a class that is not in the platform's settings."""
-    return f'the class "{name}" is not in the settings{nearest(name, classes)}'
+    return f'the class "{name}" is not in the settings{suggestion_or_known_names(name, classes)}'
 
 
 @dataclass(frozen=True, slots=True)
@@ -144,18 +144,18 @@
         has_key = retry_safety.idempotency is Idempotency.IDEMPOTENCY_KEY
         if has_key and 0 < window_us < deadline_us:
             reason = (
-                f"the deduplication window of {operation.name}, {seconds_text(window_us)}, is shorter than "
-                f'the client deadline of the class "{policy.name}", {seconds_text(deadline_us)}'
+                f"the deduplication window of {operation.name}, {format_seconds(window_us)}, is shorter than "
+                f'the client deadline of the class "{policy.name}", {format_seconds(deadline_us)}'
             )
             self.findings.add_conflict(retry_safety.location, reason, policy.override_location)
 
     def _check_timeout(self, operation: Operation, policy: ClassPolicy) -> None:
-        """Report a declared time-out that is longer than the client deadline of the class."""
+        """Report a declared timeout that is longer than the client deadline of the class."""
         deadline_us = policy.client_deadline_us
         if operation.timeout_us > deadline_us and operation.timeout_location:
             reason = (
-                f"the time-out of {operation.name}, {seconds_text(operation.timeout_us)}, is longer than "
-                f'the client deadline of the class "{policy.name}", {seconds_text(deadline_us)}'
+                f"the timeout of {operation.name}, {format_seconds(operation.timeout_us)}, is longer than "
+                f'the client deadline of the class "{policy.name}", {format_seconds(deadline_us)}'
             )
             self.findings.add_conflict(operation.timeout_location, reason, policy.override_location)
 
--- a/wheatstile/descriptions/route_index.py
+++ b/wheatstile/descriptions/route_index.py
@@ -4,18 +4,18 @@
 
 from wheatstile.descriptions.compile_types import Route
 from wheatstile.descriptions.findings import FindingCollector
-from wheatstile.descriptions.route_matcher import Matcher
+from wheatstile.descriptions.route_matcher import RouteMatcher
 from wheatstile.descriptions.routes import Relation, relation
 
 
-def build_matchers(routes: Iterable[Route], findings: FindingCollector) -> dict[str, Matcher[Route]]:
+def build_matchers(routes: Iterable[Route], findings: FindingCollector) -> dict[str, RouteMatcher[Route]]:
     """Return a matcher for each action.
 
     Overlapping routes are reported as a conflict if neither is more specific.
     """
-    matchers: dict[str, Matcher[Route]] = {}
+    matchers: dict[str, RouteMatcher[Route]] = {}
     for route in sorted(routes, key=lambda route: (route.operation.location, route.template)):
-        matcher = matchers.setdefault(route.operation.action, Matcher())
+        matcher = matchers.setdefault(route.operation.action, RouteMatcher())
         for tokens, other in list(matcher.overlapping(route.tokens)):
             match relation(route.tokens, tokens):
                 case Relation.SAME:
--- a/wheatstile/descriptions/route_matcher.py
+++ b/wheatstile/descriptions/route_matcher.py
@@ -81,7 +81,7 @@
     return sum(relation(entry.tokens, other.tokens) is Relation.NARROWER for other in others)
 
 
-class Matcher(Generic[Value]):
+class RouteMatcher(Generic[Value]):
     """A tree of routes, keyed by their tokens. A match follows the tokens of the target from the root."""
 
     def __init__(self) -> None:
--- a/wheatstile/descriptions/section.py
+++ b/wheatstile/descriptions/section.py
@@ -57,7 +57,7 @@
 
 
 def _description_paths(operator: OperatorFile) -> list[Path]:
-    return [operator.near(path) for path in operator.settings.descriptions.paths]
+    return [operator.resolve_path(path) for path in operator.settings.descriptions.paths]
 
 
 class DescriptionsSection:
@@ -66,12 +66,14 @@
     startup: the result of the compilation at startup; None if descriptions were enabled later.
     """
 
-    def __init__(self, decisions: DecisionLoop, startup: StartupCompilation | None) -> None:
-        self.decisions = decisions
+    def __init__(self, decision_loop: DecisionLoop, startup: StartupCompilation | None) -> None:
+        self.decision_loop = decision_loop
         self.compiled_classes: CompiledClasses = {}
         self._config: Config
         self._task: asyncio.Task[None] | None = None
-        self._request = b""  # current request to the worker; empty before the first call of `follow`
+        self._request = (
+            b""  # current request to the worker; empty before the first call of `apply_operator_file`
+        )
         self._read_files: list[str] = []  # files that the last compilation read, including referenced files
         self._compiled_files: list[FileState] | None = None  # states of the files at the last compilation
         if startup:
@@ -80,11 +82,11 @@
             self._compiled_files = startup.files
             _log_applied(startup.summary)
 
-    def applied(self, settings: Settings) -> Settings:
+    def tightened_settings(self, settings: Settings) -> Settings:
         """Return the platform's settings, made at least as strict as the current descriptions."""
         return tighten_settings(settings, self.compiled_classes)
 
-    def follow(self, operator: OperatorFile, config: Config) -> None:
+    def apply_operator_file(self, operator: OperatorFile, config: Config) -> None:
         """Watch the descriptions that the operator's file lists, compiled with the platform's settings.
 
         Does not restart the watch if the request to the worker is unchanged.
@@ -109,7 +111,7 @@
         if not self.compiled_classes:
             return
         self.compiled_classes = {}
-        self.decisions.configure(self._config.settings)
+        self.decision_loop.configure(self._config.settings)
         log.info("descriptions_disabled")
 
     def close(self) -> None:
@@ -165,7 +167,7 @@
     def _apply(self, result: CompilationResult) -> None:
         """Apply the result. On a rejection, log the reasons and keep the current descriptions."""
         if isinstance(result, CompilationRejected):
-            self.decisions.counters["descriptions_rejected"] += 1
+            self.decision_loop.counters["descriptions_rejected"] += 1
             log.warning(
                 "descriptions_rejected",
                 reasons=result.reasons[:MAX_LOGGED_REASONS],
@@ -173,7 +175,7 @@
             )
             return
         self.compiled_classes = result.classes
-        self.decisions.configure(self.applied(self._config.settings))
+        self.decision_loop.configure(self.tightened_settings(self._config.settings))
         _log_applied(result)
 
 
@@ -198,7 +200,7 @@
 
 
 async def _wait_for_change(watchers: Sequence[FileWatcher], timeout_s: float) -> None:
-    """Wait until a watcher reports a change or the time-out expires."""
+    """Wait until a watcher reports a change or the timeout expires."""
     tasks = [asyncio.create_task(watcher.changed.wait()) for watcher in watchers]
     try:
         await asyncio.wait(tasks, timeout=timeout_s, return_when=asyncio.FIRST_COMPLETED)
--- a/wheatstile/descriptions/worker.py
+++ b/wheatstile/descriptions/worker.py
@@ -31,7 +31,7 @@
 def handle_request(request: CompileRequest) -> CompilationResult:
     """Compile the descriptions in a request. Return a summary, or the reasons for the rejection."""
     operator = OperatorFile(Path(request.operator_path), request.settings)
-    paths = [operator.near(path) for path in operator.settings.descriptions.paths]
+    paths = [operator.resolve_path(path) for path in operator.settings.descriptions.paths]
     policies = class_policies(request.classes)
     try:
         compilation = compile_paths(paths, operator, policies, request.max_attempts)
--- a/wheatstile/descriptions/yaml_parser.py
+++ b/wheatstile/descriptions/yaml_parser.py
@@ -10,7 +10,7 @@
 
 import yaml
 
-from wheatstile.config.violations import pointer as pointer_to
+from wheatstile.config.violations import json_pointer
 from wheatstile.descriptions.findings import InvalidDescriptionError
 from wheatstile.descriptions.model import JsonValue
 from wheatstile.descriptions.parsed_file import MAX_NESTING_DEPTH, MAX_VALUES, ParsedFile, parse_error
@@ -106,7 +106,7 @@
         self, top: _OpenContainer, mapping: dict[str, JsonValue], event: yaml.ScalarEvent, line: int
     ) -> None:
         key = event.value
-        pointer = top.pointer + pointer_to(key)
+        pointer = top.pointer + json_pointer(key)
         if key == MERGE_KEY and event.implicit[0]:
             raise self._error(
                 line, "merge keys (<<) are not part of YAML 1.2: write out the members", pointer
@@ -156,7 +156,7 @@
             return pointer
         if top.key is None:
             raise self._key_error(line, top)
-        return top.pointer + pointer_to(top.key)
+        return top.pointer + json_pointer(top.key)
 
     def _open(
         self, value: dict[str, JsonValue] | list[JsonValue], event: yaml.CollectionStartEvent, line: int
--- a/wheatstile/net/client_connection.py
+++ b/wheatstile/net/client_connection.py
@@ -21,7 +21,7 @@
 class ConnectionOwner(SetupContext, Protocol):
     """Interface of the listener that a client connection uses."""
 
-    decisions: DecisionLoop
+    decision_loop: DecisionLoop
     limits: ClientLimits
 
     def register_id(self, session_id: str) -> bool:
@@ -47,9 +47,9 @@
         self.task: asyncio.Task[None]
         self.session: Session | None = None
         self._owner = owner
-        self._decisions = owner.decisions
+        self._decision_loop = owner.decision_loop
         self._stream = ClientStream(sock)
-        self._first_line_reader = FirstLineReader(self._stream, owner.decisions.counters)
+        self._first_line_reader = FirstLineReader(self._stream, owner.decision_loop.counters)
         self._migration: asyncio.Future[MigrationReason] = asyncio.get_running_loop().create_future()
 
     def has_pending_input(self) -> bool:
@@ -74,7 +74,7 @@
         except ClientDisconnectedError as error:
             reset = error.reset
         except ProtocolError:
-            self._decisions.counters["protocol_errors"] += 1
+            self._decision_loop.counters["protocol_errors"] += 1
             await self._stop_reading()
             await self._stream.send_last_line(ERROR_LINE)
         finally:
@@ -94,7 +94,7 @@
         """
         line = await self._first_line_reader.read()
         if not line:
-            self._decisions.counters["clients_rejected_at_shutdown"] += 1
+            self._decision_loop.counters["clients_rejected_at_shutdown"] += 1
             return self._owner.rejection_line(RETRY_AFTER_MS)
         request = OpenRequest.parse(line)
         if request.service_class not in self._owner.limits.deadlines_ms:
@@ -102,13 +102,13 @@
         if not self._owner.register_id(request.id):
             raise ProtocolError(f'session id "{request.id}" is in use or was used recently')
         if not self._owner.has_capacity():
-            self._decisions.counters["clients_rejected_out_of_descriptors"] += 1
+            self._decision_loop.counters["clients_rejected_out_of_descriptors"] += 1
             return self._owner.rejection_line(RETRY_AFTER_MS)
         return await self._run_session(request)
 
     async def _run_session(self, request: OpenRequest) -> bytes:
         """Set up and relay the session. Return the last line to send to the client, or b"" for none."""
-        session = Session(request, self._stream, self._decisions, self._migration)
+        session = Session(request, self._stream, self._decision_loop, self._migration)
         self.session = session
         self._owner.add_session(self, session)
         session.client_reader = asyncio.create_task(relay_client(session))
--- a/wheatstile/net/client_listener.py
+++ b/wheatstile/net/client_listener.py
@@ -40,8 +40,8 @@
         connections: all connections by task, oldest first.
     """
 
-    def __init__(self, decisions: DecisionLoop, upstreams: UpstreamPool, limits: ClientLimits) -> None:
-        self.decisions = decisions
+    def __init__(self, decision_loop: DecisionLoop, upstreams: UpstreamPool, limits: ClientLimits) -> None:
+        self.decision_loop = decision_loop
         self.upstreams = upstreams
         self.limits = limits
         self.connections: dict[asyncio.Task[None], ClientConnection] = {}
@@ -54,7 +54,7 @@
 
         The ids of open sessions are checked separately: they may have been dropped from the recent ids.
         """
-        if session_id in self._recent_ids or session_id in self.decisions.sessions:
+        if session_id in self._recent_ids or session_id in self.decision_loop.sessions:
             return False
         self._recent_ids[session_id] = None
         if len(self._recent_ids) > MAX_RECENT_IDS:
@@ -71,22 +71,22 @@
     def add_session(self, connection: ClientConnection, session: Session) -> None:
         """Register the session that was requested on a connection, which is then no longer pending."""
         self._pending.pop(connection, None)
-        self.decisions.sessions[session.id] = session
+        self.decision_loop.sessions[session.id] = session
 
     def remove_session(self, connection: ClientConnection, session: Session) -> None:
         """Remove a session that has ended. The connection is pending until it is closed."""
-        if self.decisions.sessions.pop(session.id, None):
+        if self.decision_loop.sessions.pop(session.id, None):
             self._pending[connection] = connection.task
 
     def _free_descriptors(self) -> int:
         """Return the number of descriptors that neither sessions nor the balancer itself need."""
-        used_by_sessions = DESCRIPTORS_PER_SESSION * len(self.decisions.sessions)
+        used_by_sessions = DESCRIPTORS_PER_SESSION * len(self.decision_loop.sessions)
         reserved = RESERVED_DESCRIPTORS + self.upstreams.max_health_check_connections
-        return self.limits.descriptors - reserved - used_by_sessions
+        return self.limits.max_descriptors - reserved - used_by_sessions
 
     def _reserved_for_pending(self) -> int:
         """Return the number of descriptors that are reserved for pending connections."""
-        return int(self.limits.descriptors * PENDING_SHARE)
+        return int(self.limits.max_descriptors * PENDING_SHARE)
 
     def has_capacity(self) -> bool:
         """Return whether another session would leave enough descriptors for pending connections."""
@@ -104,7 +104,7 @@
             oldest = next(iter(self._pending))
             evicted = next((pending for pending in self._pending if not pending.has_pending_input()), oldest)
             self._pending.pop(evicted).cancel()
-            self.decisions.counters["client_connections_evicted"] += 1
+            self.decision_loop.counters["client_connections_evicted"] += 1
 
     def rejection_line(self, retry_after_ms: int) -> bytes:
         """Return the line that rejects a client. The settings limit the retry-after time in it."""
@@ -145,7 +145,7 @@
         return True
 
     def _on_accept_error(self, listener: socket.socket, error: OSError) -> None:
-        self.decisions.counters[f"accepts_failed_{errno.errorcode.get(error.errno or 0, '?')}"] += 1
+        self.decision_loop.counters[f"accepts_failed_{errno.errorcode.get(error.errno or 0, '?')}"] += 1
         if is_out_of_descriptors(error):
             self._reject_with_spare_descriptor(listener)
 
@@ -164,7 +164,7 @@
 
     def _reject(self, sock: socket.socket) -> None:
         """Send a rejection and close the socket."""
-        self.decisions.counters["clients_rejected_out_of_descriptors"] += 1
+        self.decision_loop.counters["clients_rejected_out_of_descriptors"] += 1
         with sock, suppress(OSError):
             sock.setblocking(False)
             sock.send(self.rejection_line(RETRY_AFTER_MS))
@@ -174,7 +174,7 @@
         connection = self.connections.pop(task)
         self._pending.pop(connection, None)
         if not task.cancelled() and (error := task.exception()):
-            self.decisions.counters["client_connections_failed"] += 1
+            self.decision_loop.counters["client_connections_failed"] += 1
             session_id = connection.session.id if connection.session else ""
             log.error("client_connection_failed", session_id=session_id, exc_info=error)
 
--- a/wheatstile/net/discovery_watcher.py
+++ b/wheatstile/net/discovery_watcher.py
@@ -33,14 +33,14 @@
 class DiscoveryOnlyObserver:
     """Applies endpoint lists unchanged, for a balancer whose only endpoint source is discovery."""
 
-    def __init__(self, decisions: DecisionLoop, upstreams: UpstreamPool) -> None:
-        self.decisions = decisions
+    def __init__(self, decision_loop: DecisionLoop, upstreams: UpstreamPool) -> None:
+        self.decision_loop = decision_loop
         self.upstreams = upstreams
 
     def on_update(self, result: EndpointSnapshot, kind: api.EndpointUpdateKind) -> None:
         """Update the upstream pool, then the decision module."""
         self.upstreams.update(result.members, kind is not api.EndpointUpdateKind.DELTA)
-        self.decisions.dispatch(api.EndpointUpdate(kind, result.endpoints))
+        self.decision_loop.dispatch(api.EndpointUpdate(kind, result.endpoints))
 
     def on_keepalive(self) -> None:
         """Do nothing."""
@@ -52,8 +52,8 @@
 class DiscoveryWatcher:
     """Watches discovery. Passes each list to the observer, and reports failures to the decision module."""
 
-    def __init__(self, decisions: DecisionLoop, observer: EndpointObserver, address: Address) -> None:
-        self.decisions = decisions
+    def __init__(self, decision_loop: DecisionLoop, observer: EndpointObserver, address: Address) -> None:
+        self.decision_loop = decision_loop
         self.observer = observer
         self.address = address
         self.revision = 0
@@ -75,7 +75,7 @@
         if self._watch is None or self._watch.done():
             self._watch = asyncio.create_task(self._run())
 
-    def follow(self, address: Address) -> None:
+    def set_address(self, address: Address) -> None:
         """Switch to discovery at another address. Cancelling the old watch does not count as a failure.
 
         The current list stays in use meanwhile. Its revision is not valid at the new address, and changes
@@ -88,7 +88,7 @@
         self.address = address
         self._needs_complete_list = True
         self._watch = None
-        self.decisions.dispatch(api.EndpointUpdate(api.EndpointUpdateKind.MOVED))
+        self.decision_loop.dispatch(api.EndpointUpdate(api.EndpointUpdateKind.MOVED))
 
     def close(self) -> None:
         """Cancel the watch."""
@@ -105,9 +105,9 @@
             self._is_failure_logged = True
         except Exception:
             log.exception("endpoint_watch_failed")
-        self.decisions.counters["endpoint_watch_failures"] += 1
+        self.decision_loop.counters["endpoint_watch_failures"] += 1
         self.observer.on_failure()
-        self.decisions.dispatch(api.EndpointUpdate(api.EndpointUpdateKind.FAILED))
+        self.decision_loop.dispatch(api.EndpointUpdate(api.EndpointUpdateKind.FAILED))
 
     async def _fetch_and_watch(self) -> None:
         if self._needs_complete_list:
@@ -131,7 +131,7 @@
             return
         if is_first_message:
             # An update without endpoints reports that the watch works, which resets the backoff.
-            self.decisions.dispatch(api.EndpointUpdate(api.EndpointUpdateKind.DELTA))
+            self.decision_loop.dispatch(api.EndpointUpdate(api.EndpointUpdateKind.DELTA))
         self.observer.on_keepalive()
 
     def _should_apply(self, snapshot: EndpointSnapshot) -> bool:
--- a/wheatstile/net/graceful_shutdown.py
+++ b/wheatstile/net/graceful_shutdown.py
@@ -22,7 +22,7 @@
         """Migrate all sessions, evenly over `duration_s`. New clients are still served meanwhile."""
         loop = asyncio.get_running_loop()
         end_s = loop.time() + duration_s
-        while self._clients.decisions.sessions and (remaining_s := end_s - loop.time()) > 0:
+        while self._clients.decision_loop.sessions and (remaining_s := end_s - loop.time()) > 0:
             established = self._established()
             if established:
                 established[0].migrate(MigrationReason.SHUTDOWN)
@@ -45,7 +45,7 @@
 
         Returns when all connections are closed. Each peer has LINGER_S to read its last line.
         """
-        self._clients.decisions.dispatch(api.ShutdownStarted())
+        self._clients.decision_loop.dispatch(api.ShutdownStarted())
         while self._clients.accept(listener):
             pass
         listener.close()
--- a/wheatstile/net/health_checker.py
+++ b/wheatstile/net/health_checker.py
@@ -31,7 +31,7 @@
     @property
     def max_open(self) -> int:
         """The maximum number of open health check connections."""
-        return max(MIN_CONNECTIONS, int(self.limits.descriptors * DESCRIPTOR_SHARE))
+        return max(MIN_CONNECTIONS, int(self.limits.max_descriptors * DESCRIPTOR_SHARE))
 
     def close_longest_idle(self) -> None:
         """Request the close of the longest-idle connection if the maximum number is open."""
@@ -61,12 +61,12 @@
     """Checks one server at the decision module's request. Dispatches one HealthCheckResult per request."""
 
     def __init__(
-        self, upstream: Upstream, decisions: DecisionLoop, connections: HealthCheckConnections
+        self, upstream: Upstream, decision_loop: DecisionLoop, connections: HealthCheckConnections
     ) -> None:
         self.upstream = upstream
         self._pending_checks = 0  # number of requested checks without a result
         self._wake_up = asyncio.Event()  # set to request a check or the close of the idle connection
-        self._decisions = decisions
+        self._decision_loop = decision_loop
         self._connections = connections
         self._stream: LineStream | None = None
         self._task: asyncio.Task[None] | None = None
@@ -99,7 +99,7 @@
             log.error("health_checker_failed", server=self.upstream.name, exc_info=error)
         while self._pending_checks:
             self._pending_checks -= 1
-            self._decisions.dispatch(
+            self._decision_loop.dispatch(
                 api.HealthCheckResult(self.upstream.name, api.AttemptOutcome.CONNECT_FAILED)
             )
 
@@ -137,20 +137,20 @@
         A server may close an idle connection while the check is being sent on it. A reset of a reused
         connection is therefore not a failure: the check stays pending and is repeated on a new connection.
         """
-        if self._stream and self._stream.ended():
+        if self._stream and self._stream.is_unusable():
             self._close()
         reused = self._stream is not None
-        start_us = self._decisions.now()
+        start_us = self._decision_loop.now()
         reply = await self._exchange()
         if reply.outcome is not api.AttemptOutcome.OK:
             self._close()  # a late answer would be mistaken for that of the next check
         if reused and reply.outcome is api.AttemptOutcome.RESET:
-            self._decisions.counters["health_checks_repeated"] += 1
+            self._decision_loop.counters["health_checks_repeated"] += 1
             return
-        self._decisions.counters[f"health_checks_{reply.outcome}"] += 1
+        self._decision_loop.counters[f"health_checks_{reply.outcome}"] += 1
         self._pending_checks -= 1
-        elapsed_us = self._decisions.now() - start_us
-        self._decisions.dispatch(
+        elapsed_us = self._decision_loop.now() - start_us
+        self._decision_loop.dispatch(
             api.HealthCheckResult(self.upstream.name, reply.outcome, elapsed_us, reply.report)
         )
 
--- a/wheatstile/net/latency_monitor.py
+++ b/wheatstile/net/latency_monitor.py
@@ -15,15 +15,15 @@
 class LatencyMonitor:
     """Reports the message latency of slow servers to the decision module, and once after they recover."""
 
-    def __init__(self, upstreams: UpstreamPool, decisions: DecisionLoop) -> None:
+    def __init__(self, upstreams: UpstreamPool, decision_loop: DecisionLoop) -> None:
         self._upstreams = upstreams
-        self._decisions = decisions
+        self._decision_loop = decision_loop
 
     async def run(self) -> None:
         """Read the latency samples of all servers every REPORT_INTERVAL_S. Never returns."""
         while True:
             await asyncio.sleep(REPORT_INTERVAL_S)
-            now_us = self._decisions.now()
+            now_us = self._decision_loop.now()
             for upstream in list(self._upstreams.by_name.values()):
                 if self._upstreams.limits.reports_message_latency:
                     self._report(upstream, now_us)
@@ -39,7 +39,7 @@
         if latency_ms > threshold_ms or upstream.is_slow:
             upstream.is_slow = latency_ms > threshold_ms
             session_id = next(iter(upstream.unanswered_since_us))
-            self._decisions.dispatch(api.MessageLatencyChanged(session_id, upstream.name, latency_ms))
+            self._decision_loop.dispatch(api.MessageLatencyChanged(session_id, upstream.name, latency_ms))
 
 
 def _unanswered_ms(upstream: Upstream, now_us: int, threshold_ms: float) -> list[float]:
--- a/wheatstile/net/line_stream.py
+++ b/wheatstile/net/line_stream.py
@@ -129,7 +129,7 @@
         except OSError:
             return False
 
-    def ended(self) -> bool:
+    def is_unusable(self) -> bool:
         """Return whether an idle connection is unusable: closed by the peer, or with unexpected input."""
         try:
             return self.has_buffered_input or self.peek() is not None
--- a/wheatstile/net/session.py
+++ b/wheatstile/net/session.py
@@ -49,13 +49,13 @@
         self,
         request: OpenRequest,
         client: ClientStream,
-        decisions: DecisionLoop,
+        decision_loop: DecisionLoop,
         migration: asyncio.Future[MigrationReason],
     ) -> None:
         self.id = request.id
         self.request = request
         self.client = client
-        self.decisions = decisions
+        self.decision_loop = decision_loop
         self.migration = migration
         self.attempt: UpstreamAttempt | None = None
         self.attempt_number = 0
--- a/wheatstile/net/session_relay.py
+++ b/wheatstile/net/session_relay.py
@@ -43,7 +43,7 @@
 
     def __init__(self, session: Session, remove_session: Callable[[], None]) -> None:
         self._session = session
-        self._decisions = session.decisions
+        self._decision_loop = session.decision_loop
         self._remove_session = remove_session
         self._client_write_lock = asyncio.Lock()  # held during a send, so that MOVE follows a complete line
         self._final_line = b""  # the server's final line, set after it was sent to the client
@@ -56,7 +56,7 @@
         """
         assert self._session.attempt
         server = self._session.attempt.upstream.name
-        start_us = self._decisions.now()
+        start_us = self._decision_loop.now()
         reset = False
         upstream_relay = asyncio.create_task(self.relay_upstream())
         try:
@@ -69,7 +69,7 @@
             await asyncio.wait([upstream_relay])
             self._session.close_attempt(reset)
             self._remove_session()
-            self._dispatch_end(server, self._decisions.now() - start_us)
+            self._dispatch_end(server, self._decision_loop.now() - start_us)
 
     async def _run_until_end(self, upstream_relay: asyncio.Task[RelayEnd]) -> bytes:
         """Wait for a disconnect or a migration. Return the last line to send to the client, or b""."""
@@ -91,7 +91,7 @@
             self._end = RelayEnd(api.AttemptOutcome.RESET)
         line = await self._stop_client_writes(MIGRATE_LINE)
         if line:
-            self._decisions.counters[f"sessions_migrated_{reason}"] += 1
+            self._decision_loop.counters[f"sessions_migrated_{reason}"] += 1
         return line
 
     async def _stop_client_writes(self, last_line: bytes) -> bytes:
@@ -114,8 +114,8 @@
     def _dispatch_end(self, server: str, elapsed_us: int) -> None:
         """Report the end of the session to the decision module."""
         end = self._end
-        self._decisions.counters[f"sessions_ended_{end.outcome}"] += 1
-        self._decisions.dispatch(
+        self._decision_loop.counters[f"sessions_ended_{end.outcome}"] += 1
+        self._decision_loop.dispatch(
             api.AttemptEnded(
                 self._session.id,
                 self._session.attempt_number,
@@ -165,7 +165,7 @@
             if keyword == LOAD_KEYWORD:
                 self._dispatch_load(rest)
             elif keyword not in FINAL_KEYWORDS:
-                upstream.on_upstream_line(self._session.id, self._decisions.now())
+                upstream.on_upstream_line(self._session.id, self._decision_loop.now())
         return line
 
     def _upstream_end(self, reset: bool) -> RelayEnd:
@@ -183,7 +183,7 @@
             return
         if load >= 0 and isfinite(load):
             server = self._session.attempt.upstream.name
-            self._decisions.dispatch(api.ConnectionLoadChanged(self._session.id, server, load))
+            self._decision_loop.dispatch(api.ConnectionLoadChanged(self._session.id, server, load))
 
 
 def keyword_of(line: bytes) -> bytes:
@@ -202,7 +202,7 @@
             if not session.established:
                 raise ProtocolError("client sent more input before the answer")
             if session.attempt and session.attempt.stream:
-                session.attempt.upstream.on_client_line(session.id, session.decisions.now())
+                session.attempt.upstream.on_client_line(session.id, session.decision_loop.now())
                 with suppress(OSError):  # relay_upstream handles a server disconnect
                     await session.attempt.stream.send(lines)
     except LineTooLongError as error:
--- a/wheatstile/net/session_setup.py
+++ b/wheatstile/net/session_setup.py
@@ -33,7 +33,7 @@
 
     def __init__(self, session: Session, context: SetupContext) -> None:
         self._session = session
-        self._decisions = session.decisions
+        self._decision_loop = session.decision_loop
         self._context = context
         # Read once, since a configuration reload may remove the class later.
         self._max_timeout_ms = context.max_timeout_ms(session.request)
@@ -44,7 +44,7 @@
         Raises ClientDisconnectedError or ProtocolError if the client disconnects or violates the protocol.
         """
         request = self._session.request
-        self._decisions.counters["sessions_requested"] += 1
+        self._decision_loop.counters["sessions_requested"] += 1
         max_setup_s = REOPEN_TIMEOUT_S if request.reopen_at else self._max_timeout_ms / 1000
         try:
             async with asyncio.timeout(min(request.timeout_ms / 1000, max_setup_s) + ANSWER_GRACE_S):
@@ -53,18 +53,18 @@
                 return await self._run_attempts()
         except TimeoutError:
             # Safeguard: the decision module should have decided an answer within the client's timeout.
-            self._decisions.counters["sessions_overdue"] += 1
-            self._decisions.dispatch(api.ClientDisconnected(self._session.id))
+            self._decision_loop.counters["sessions_overdue"] += 1
+            self._decision_loop.dispatch(api.ClientDisconnected(self._session.id))
             return ERROR_LINE
         except (ClientDisconnectedError, ProtocolError):
-            self._decisions.counters["clients_disconnected_early"] += 1
-            self._decisions.dispatch(api.ClientDisconnected(self._session.id))
+            self._decision_loop.counters["clients_disconnected_early"] += 1
+            self._decision_loop.dispatch(api.ClientDisconnected(self._session.id))
             raise
 
     async def _run_attempts(self) -> bytes | None:
         """Carry out the module's actions until the session is established or has a final answer."""
         session = self._session
-        self._decisions.dispatch(session.request.to_event(self._max_timeout_ms))
+        self._decision_loop.dispatch(session.request.to_event(self._max_timeout_ms))
         while True:
             action = await session.run_while_client_connected(session.actions.get())
             if not isinstance(action, api.StartAttempt):
@@ -80,18 +80,18 @@
     def _final_answer(self, action: api.Reject | api.Fail) -> bytes:
         """Return the line for the module's final answer."""
         if isinstance(action, api.Reject):
-            self._decisions.counters["sessions_rejected"] += 1
+            self._decision_loop.counters["sessions_rejected"] += 1
             return self._context.rejection_line(ceil(action.retry_after_us / 1000))
-        self._decisions.counters["sessions_failed"] += 1
+        self._decision_loop.counters["sessions_failed"] += 1
         return ERROR_LINE
 
     async def _start_attempt(self, action: api.StartAttempt) -> AttemptResult:
         """Run one attempt and report its result. If the session is established, answer the client first."""
         timeout_us = action.timeout_us or self._max_timeout_ms * 1000
         open_line = self._session.request.line_with_timeout
-        start_us = self._decisions.now()
+        start_us = self._decision_loop.now()
         result = await self._run_attempt(action.server, open_line, timeout_us / 1e6, action.send_before_us)
-        elapsed_us = self._decisions.now() - start_us
+        elapsed_us = self._decision_loop.now() - start_us
         if result.established:
             self._on_established(action.server, result, elapsed_us)
         else:
@@ -108,14 +108,14 @@
             self._dispatch_existing(server)
         else:
             event = api.Established(session.id, session.attempt_number, server, elapsed_us)
-            self._decisions.dispatch(event)
+            self._decision_loop.dispatch(event)
 
     def _on_attempt_ended(self, server: str, result: AttemptResult, elapsed_us: int) -> None:
         """Close the attempt, then report its end. The module may start the next attempt in response."""
         session = self._session
         closed = result.outcome is api.AttemptOutcome.OK
         session.close_attempt()
-        self._decisions.dispatch(
+        self._decision_loop.dispatch(
             api.AttemptEnded(
                 session.id, session.attempt_number, server, result.outcome, elapsed_us, closed, result.report
             )
@@ -140,12 +140,12 @@
             self._dispatch_existing(server)
             return None
         # Counted but not logged, since any client can request to reopen a session at any server.
-        self._decisions.counters[f"session_reopens_failed_{result.outcome}"] += 1
+        self._decision_loop.counters[f"session_reopens_failed_{result.outcome}"] += 1
         return ERROR_LINE
 
     def _dispatch_existing(self, server: str) -> None:
         session = self._session
-        self._decisions.dispatch(
+        self._decision_loop.dispatch(
             api.ExistingConnection(session.id, session.request.service_class, server, session.request.key)
         )
 
@@ -177,14 +177,14 @@
             session.attempt.connect_and_open(open_line_if_allowed, timeout_s, reopening)
         )
         result = await self._wait_for_attempt(attempt)
-        self._decisions.counters[f"attempts_{result.counter_suffix}"] += 1
+        self._decision_loop.counters[f"attempts_{result.counter_suffix}"] += 1
         return result
 
     def _may_send(self, send_before_us: int | None) -> bool:
         """Return whether the open line may be sent: before the limit, and no final answer is decided."""
         if self._session.final_answer_decided.is_set():
             return False
-        return send_before_us is None or self._decisions.now() < send_before_us
+        return send_before_us is None or self._decision_loop.now() < send_before_us
 
     async def _wait_for_attempt(self, attempt: asyncio.Task[AttemptResult]) -> AttemptResult:
         """Return the attempt's result. Cancel the attempt if the module decides the final answer first.
--- a/wheatstile/net/unresponsive_upstream_detector.py
+++ b/wheatstile/net/unresponsive_upstream_detector.py
@@ -21,7 +21,7 @@
         """Check all sessions every CHECK_INTERVAL_S. Never returns."""
         while True:
             await asyncio.sleep(CHECK_INTERVAL_S)
-            now_us = self._clients.decisions.now()
+            now_us = self._clients.decision_loop.now()
             for connection in list(self._clients.connections.values()):
                 session = connection.session
                 if session and session.unanswered_us(now_us) > UNRESPONSIVE_AFTER_US:
--- a/wheatstile/net/upstream_pool.py
+++ b/wheatstile/net/upstream_pool.py
@@ -14,9 +14,9 @@
 class UpstreamPool:
     """Holds all servers by name, creates attempts and starts health checks."""
 
-    def __init__(self, decisions: DecisionLoop, limits: UpstreamLimits) -> None:
+    def __init__(self, decision_loop: DecisionLoop, limits: UpstreamLimits) -> None:
         self.by_name: dict[str, Upstream] = {}
-        self._decisions = decisions
+        self._decision_loop = decision_loop
         self._health_check_connections = HealthCheckConnections(limits)
         self._health_checkers: dict[Upstream, HealthChecker] = {}
 
@@ -71,10 +71,10 @@
         upstream = self.by_name.get(server)
         if upstream is None:
             result = api.HealthCheckResult(server, api.AttemptOutcome.CONNECT_FAILED)
-            self._decisions.dispatch(result)
+            self._decision_loop.dispatch(result)
             return
         if upstream not in self._health_checkers:
             self._health_checkers[upstream] = HealthChecker(
-                upstream, self._decisions, self._health_check_connections
+                upstream, self._decision_loop, self._health_check_connections
             )
         self._health_checkers[upstream].request_check()
--- a/wheatstile/process/balancer_process.py
+++ b/wheatstile/process/balancer_process.py
@@ -44,27 +44,27 @@
         self.config = config
         self.operator = operator
         self.shutdown_requested = asyncio.Event()
-        self.decisions = DecisionLoop(config.settings, config.seed)
-        self.upstreams = UpstreamPool(self.decisions, config.upstream_limits)
-        discovery_only = DiscoveryOnlyObserver(self.decisions, self.upstreams)
-        self.discovery_watcher = DiscoveryWatcher(self.decisions, discovery_only, config.discovery)
-        self.client_listener = ClientListener(self.decisions, self.upstreams, config.client_limits)
+        self.decision_loop = DecisionLoop(config.settings, config.seed)
+        self.upstreams = UpstreamPool(self.decision_loop, config.upstream_limits)
+        discovery_only = DiscoveryOnlyObserver(self.decision_loop, self.upstreams)
+        self.discovery_watcher = DiscoveryWatcher(self.decision_loop, discovery_only, config.discovery)
+        self.client_listener = ClientListener(self.decision_loop, self.upstreams, config.client_limits)
         self.sections = OperatorSections(
-            self.decisions, self.upstreams, self.discovery_watcher, startup_compilation
+            self.decision_loop, self.upstreams, self.discovery_watcher, startup_compilation
         )
         signals.install_handlers(self.shutdown_requested.set, self.reload, self.report_counters)
 
     def report_counters(self) -> None:
         """Log the value of every counter above zero, as a field with the counter's name."""
-        self.decisions.counters["log_lines_dropped"] = logs.STDERR.dropped_lines
-        log.info("counters_reported", **+self.decisions.counters)
+        self.decision_loop.counters["log_lines_dropped"] = logs.STDERR.dropped_lines
+        log.info("counters_reported", **+self.decision_loop.counters)
 
     def reload(self) -> None:
         """Read the operator's file and the platform's file again, and apply each one that is valid.
 
         A file that is rejected changes nothing.
         """
-        self.decisions.counters["config_reloads"] += 1
+        self.decision_loop.counters["config_reloads"] += 1
         self._reload_operator_file()
         self._reload_platform_config()
 
@@ -73,32 +73,32 @@
             return
         latest = reload_operator_file(self.operator)
         if latest is None:
-            self.decisions.counters["config_reloads_rejected"] += 1
+            self.decision_loop.counters["config_reloads_rejected"] += 1
             return
         self.operator = latest
-        self.sections.follow(latest, self.config)
+        self.sections.apply_operator_file(latest, self.config)
         log.info("operator_file_reloaded", file=str(latest.path))
 
     def _reload_platform_config(self) -> None:
         reloaded = reload_platform_config(self.config)
         if reloaded is None:
-            self.decisions.counters["config_reloads_rejected"] += 1
+            self.decision_loop.counters["config_reloads_rejected"] += 1
             return
         self.config = reloaded.config
         self.sections.configure(self.operator, self.config)
         self.upstreams.limits = self.config.upstream_limits
         self.client_listener.limits = self.config.client_limits
-        self.discovery_watcher.follow(self.config.discovery)
+        self.discovery_watcher.set_address(self.config.discovery)
         log.info("config_reloaded", discovery=self.config.discovery, pending_restart=reloaded.pending_restart)
 
     def _start_components(self) -> None:
-        self.decisions.start(self.upstreams, self.discovery_watcher)
+        self.decision_loop.start(self.upstreams, self.discovery_watcher)
         self.discovery_watcher.on_update(self.config.known, api.EndpointUpdateKind.CACHED)
         # If discovery is polled, the decision module requests the first watch.
         if not self.config.settings.poll_endpoints:
             self.discovery_watcher.watch()
         if self.operator:
-            self.sections.follow(self.operator, self.config)
+            self.sections.apply_operator_file(self.operator, self.config)
 
     async def run(self) -> None:
         """Serve until a shutdown is requested, then shut down gracefully and ignore all later signals.
@@ -124,13 +124,13 @@
     async def _serve(self, listener: socket.socket) -> None:
         monitors = {
             "unresponsive_upstream_detector": UnresponsiveUpstreamDetector(self.client_listener).run,
-            "latency_monitor": LatencyMonitor(self.upstreams, self.decisions).run,
+            "latency_monitor": LatencyMonitor(self.upstreams, self.decision_loop).run,
         }
         async with running_in_background(monitors):
             async with running_in_background({"accept": lambda: self.client_listener.serve(listener)}):
                 log.info("serving_started", name=self.config.name, servers=len(self.upstreams.by_name))
                 await self.shutdown_requested.wait()
-                log.info("shutdown_started", connections=len(self.decisions.sessions))
+                log.info("shutdown_started", connections=len(self.decision_loop.sessions))
                 await migrate_clients(self.client_listener, self.config.longest_deadline_s)
             await answer_pending_clients(self.client_listener, listener)
             self.discovery_watcher.close()
--- a/wheatstile/process/operator_sections.py
+++ b/wheatstile/process/operator_sections.py
@@ -18,31 +18,31 @@
 
     def __init__(
         self,
-        decisions: DecisionLoop,
+        decision_loop: DecisionLoop,
         upstreams: UpstreamPool,
         discovery_watcher: DiscoveryWatcher,
         startup_compilation: "StartupCompilation | None",
     ) -> None:
-        self.decisions = decisions
+        self.decision_loop = decision_loop
         self.upstreams = upstreams
         self.discovery_watcher = discovery_watcher
         self.startup_compilation = startup_compilation
         self.servers: ServersSection | None = None
         self.descriptions: DescriptionsSection | None = None
 
-    def follow(self, operator: "OperatorFile", config: Config) -> None:
+    def apply_operator_file(self, operator: "OperatorFile", config: Config) -> None:
         """Enable, reconfigure or disable each subsystem as the operator's file says."""
-        self._follow_servers(operator)
-        self._follow_descriptions(operator, config)
+        self._apply_servers_section(operator)
+        self._apply_descriptions_section(operator, config)
 
     def configure(self, operator: "OperatorFile | None", config: Config) -> None:
         """Pass the platform's settings, tightened by the descriptions, to the decision module."""
         settings = config.settings
         if self.descriptions:
-            settings = self.descriptions.applied(settings)
-        self.decisions.configure(settings)
+            settings = self.descriptions.tightened_settings(settings)
+        self.decision_loop.configure(settings)
         if operator and self.descriptions:
-            self.descriptions.follow(operator, config)
+            self.descriptions.apply_operator_file(operator, config)
 
     def close(self) -> None:
         """Cancel the tasks of all subsystems."""
@@ -51,19 +51,19 @@
         if self.descriptions:
             self.descriptions.close()
 
-    def _follow_servers(self, operator: "OperatorFile") -> None:
+    def _apply_servers_section(self, operator: "OperatorFile") -> None:
         if self.servers is None and operator.settings.servers.file:
             from wheatstile.resolvers.section import ServersSection
 
-            self.servers = ServersSection(self.decisions, self.upstreams, self.discovery_watcher)
+            self.servers = ServersSection(self.decision_loop, self.upstreams, self.discovery_watcher)
         if self.servers:
-            self.servers.follow(operator)
+            self.servers.apply_operator_file(operator)
 
-    def _follow_descriptions(self, operator: "OperatorFile", config: Config) -> None:
+    def _apply_descriptions_section(self, operator: "OperatorFile", config: Config) -> None:
         if self.descriptions:
-            self.descriptions.follow(operator, config)
+            self.descriptions.apply_operator_file(operator, config)
         elif operator.settings.descriptions.paths:
             from wheatstile.descriptions.section import DescriptionsSection
 
-            self.descriptions = DescriptionsSection(self.decisions, self.startup_compilation)
+            self.descriptions = DescriptionsSection(self.decision_loop, self.startup_compilation)
             self.configure(operator, config)
--- a/wheatstile/resolvers/approval.py
+++ b/wheatstile/resolvers/approval.py
@@ -5,8 +5,8 @@
 
 from pathlib import Path
 
-from wheatstile.config.violations import ConfigurationError, load
-from wheatstile.resolvers.regular_file import read_all
+from wheatstile.config.violations import ConfigurationError, load_json
+from wheatstile.resolvers.regular_file import read_regular_file
 
 MAX_APPROVAL_FILE_BYTES = 4096
 
@@ -25,7 +25,9 @@
     if not path.exists():
         return frozenset()
     try:
-        _, value = load(str(path), read_all(path, MAX_APPROVAL_FILE_BYTES), MAX_APPROVAL_FILE_BYTES)
+        _, value = load_json(
+            str(path), read_regular_file(path, MAX_APPROVAL_FILE_BYTES), MAX_APPROVAL_FILE_BYTES
+        )
     except ConfigurationError:
         return frozenset()
     digest = value.get("digest") if isinstance(value, dict) else None
--- a/wheatstile/resolvers/endpoint_file.py
+++ b/wheatstile/resolvers/endpoint_file.py
@@ -12,7 +12,7 @@
 from wheatstile.config.endpoints import ResolvedEndpoint
 from wheatstile.config.networks import Networks
 from wheatstile.config.operator import Servers
-from wheatstile.config.violations import ConfigurationError, Violation, load, locate, pointer
+from wheatstile.config.violations import ConfigurationError, Violation, json_pointer, load_json, locate
 from wheatstile.resolvers.canonical_json import DIGEST_PREFIX, SEAL_KEY, JsonValue, digest_of
 from wheatstile.resolvers.endpoint_rows import ParsedRows, parse_rows
 from wheatstile.resolvers.ready_endpoints import ready_names
@@ -125,7 +125,7 @@
         ConfigurationError: the file breaks a rule. The error lists all violations with their lines.
 
     """
-    text, value = load(file, data, rules.max_bytes)
+    text, value = load_json(file, data, rules.max_bytes)
     if not isinstance(value, dict):
         raise ConfigurationError(file, [Violation("", "is not an object", 1)])
     rows = _parse_servers(value.get("servers"), rules)
@@ -141,7 +141,7 @@
     if not isinstance(servers, list):
         return ParsedRows({}, [])  # reported by the check of FileHeader
     if len(servers) > rules.max_servers:
-        reason = f"{len(servers)} servers; {rules.max_servers} at most (servers.most)"
+        reason = f"the file has {len(servers)} servers; the limit is {rules.max_servers} (servers.most)"
         return ParsedRows({}, [Violation("/servers", reason)])
     if not servers:
         return ParsedRows({}, [Violation("/servers", "is an empty list; at least one server is required")])
@@ -175,7 +175,7 @@
     """Return a violation for each site that the file lists but leaves with too few ready servers."""
     sites = endpoint_file.sites or ()
     return [
-        Violation(pointer("sites", sites.index(shortage.site)), shortage.reason)
+        Violation(json_pointer("sites", sites.index(shortage.site)), shortage.reason)
         for shortage in site_shortages(endpoint_file, sites, rules)
     ]
 
--- a/wheatstile/resolvers/endpoint_file_activator.py
+++ b/wheatstile/resolvers/endpoint_file_activator.py
@@ -61,11 +61,11 @@
         self.active_file: EndpointFile | None = None
         self._path = path
         self._mode = MergeMode(settings.mode)
-        self._state_directory = operator.near(settings.state_dir) if settings.state_dir else None
+        self._state_directory = operator.resolve_path(settings.state_dir) if settings.state_dir else None
         self._rules = rules
         self._merger = merger
         self._worker = worker
-        self._problems = ProblemReporter(merger.decisions.counters)
+        self._problems = ProblemReporter(merger.decision_loop.counters)
         # The last file that needed approval. It is kept while later files are invalid or rejected, so that a
         # newer generation can still repeat the removal.
         self._pending: PendingApproval | None = None
@@ -145,7 +145,7 @@
         """Activate the file, and log it with those details that are not empty, zero or False."""
         self.active_file = endpoint_file
         self._problems.reset()
-        self._merger.decisions.counters[f"endpoint_file_accepted_{origin}"] += 1
+        self._merger.decision_loop.counters[f"endpoint_file_accepted_{origin}"] += 1
         log.info(
             "endpoint_file_accepted",
             origin=origin,
@@ -176,7 +176,7 @@
                 last_known_good.save, self._state_directory, endpoint_file, accepted_at_ms
             )
         except OSError as error:
-            self._merger.decisions.counters["last_known_good_write_failed"] += 1
+            self._merger.decision_loop.counters["last_known_good_write_failed"] += 1
             log.error(
                 "last_known_good_write_failed",
                 folder=str(self._state_directory),
--- a/wheatstile/resolvers/source.py
+++ b/wheatstile/resolvers/endpoint_file_source.py
@@ -34,7 +34,7 @@
         settings = operator.settings.servers
         if not settings.file:
             raise ValueError(f"{operator.path}: servers.file is missing")
-        self.path = operator.near(settings.file)
+        self.path = operator.resolve_path(settings.file)
         self._settings = settings
         self._rules = EndpointFileRules.from_settings(settings)
         self._worker = WorkerThread("servers-file")
--- a/wheatstile/resolvers/endpoint_merger.py
+++ b/wheatstile/resolvers/endpoint_merger.py
@@ -16,7 +16,7 @@
 from wheatstile.resolvers.merge import MergedEndpoint, MergeInput, MergeResult
 from wheatstile.resolvers.ready_endpoints import ready_names
 from wheatstile.resolvers.source_selection import (
-    MICROSECONDS_PER_SECOND,
+    US_PER_S,
     EndpointSource,
     MergePolicy,
     SourceSelection,
@@ -38,12 +38,12 @@
     each change of the list as a single update, never in parts.
     """
 
-    def __init__(self, decisions: DecisionLoop, upstreams: UpstreamPool, policy: MergePolicy) -> None:
-        self.decisions = decisions
+    def __init__(self, decision_loop: DecisionLoop, upstreams: UpstreamPool, policy: MergePolicy) -> None:
+        self.decision_loop = decision_loop
         self.upstreams = upstreams
-        self._publisher = EndpointPublisher(decisions, upstreams)
+        self._publisher = EndpointPublisher(decision_loop, upstreams)
         self.policy = policy
-        self.discovery = DiscoveryState(decisions.now())
+        self.discovery = DiscoveryState(decision_loop.now())
         self.file_endpoints: Mapping[str, ResolvedEndpoint] = {}
         self.endpoints: dict[str, MergedEndpoint] = {}
         self.selection: SourceSelection | None = None
@@ -53,7 +53,7 @@
 
     def adopt_known_endpoints(self) -> None:
         """Add the servers that the decision module already has from discovery."""
-        servers = self.decisions.balancer.servers
+        servers = self.decision_loop.balancer.servers
         known = {
             name: ResolvedEndpoint(servers[name].endpoint, upstream.address)
             for name, upstream in self.upstreams.by_name.items()
@@ -78,7 +78,7 @@
     def on_update(self, snapshot: EndpointSnapshot, kind: api.EndpointUpdateKind) -> None:
         """Handle an update from discovery."""
         update = {resolved.endpoint.name: resolved for resolved in snapshot.members}
-        unavailable = self.discovery.apply_update(self.decisions.now(), update, kind)
+        unavailable = self.discovery.apply_update(self.decision_loop.now(), update, kind)
         # Draining and gone servers are withdrawn at once, because a merge may take long.
         withdrawn = merge.withdrawn_endpoints(self.endpoints, unavailable)
         if withdrawn:
@@ -87,7 +87,7 @@
 
     def on_keepalive(self) -> None:
         """Record a keepalive from discovery, after which discovery may become active again."""
-        self.discovery.record_report(self.decisions.now())
+        self.discovery.record_report(self.decision_loop.now())
         if self.selection and self.selection.source is EndpointSource.FILE:
             self._recheck_source()
 
@@ -120,7 +120,7 @@
 
     def _select_source(self) -> SourceSelection:
         has_file = bool(self.file_endpoints)
-        return select_source(self.decisions.now(), self.policy, self.discovery, has_file, self.selection)
+        return select_source(self.decision_loop.now(), self.policy, self.discovery, has_file, self.selection)
 
     def _recheck_source(self) -> None:
         """Merge again if the active source has changed. Otherwise schedule the next check."""
@@ -134,8 +134,8 @@
     def _schedule_recheck(self, selection: SourceSelection) -> None:
         self._cancel_recheck()
         if selection.recheck_at_us is not None:
-            delay_s = (selection.recheck_at_us - self.decisions.now()) / MICROSECONDS_PER_SECOND
-            self._recheck_timer = self.decisions.loop.call_later(
+            delay_s = (selection.recheck_at_us - self.decision_loop.now()) / US_PER_S
+            self._recheck_timer = self.decision_loop.loop.call_later(
                 max(0.0, delay_s) + MIN_TIMER_DELAY_S, self._recheck_source
             )
 
@@ -156,7 +156,7 @@
 
     def _merge_input(self, selection: SourceSelection) -> MergeInput:
         return MergeInput(
-            self.decisions.now(), selection, self.discovery, self.file_endpoints, self.endpoints
+            self.decision_loop.now(), selection, self.discovery, self.file_endpoints, self.endpoints
         )
 
     def _merge_now(self, selection: SourceSelection) -> None:
@@ -207,7 +207,7 @@
 
     def _report_source(self, result: MergeResult) -> None:
         """Count and log the newly selected source."""
-        self.decisions.counters[f"endpoint_source_{result.selection.source}_selected"] += 1
+        self.decision_loop.counters[f"endpoint_source_{result.selection.source}_selected"] += 1
         log.info(
             "endpoint_source_selected",
             source=result.selection.source,
--- a/wheatstile/resolvers/endpoint_publisher.py
+++ b/wheatstile/resolvers/endpoint_publisher.py
@@ -25,8 +25,8 @@
     one before it is published.
     """
 
-    def __init__(self, decisions: DecisionLoop, upstreams: UpstreamPool) -> None:
-        self._decisions = decisions
+    def __init__(self, decision_loop: DecisionLoop, upstreams: UpstreamPool) -> None:
+        self._decision_loop = decision_loop
         self._upstreams = upstreams
         self._discarded_names: set[str] = set()  # servers whose addresses may come from discarded changes
 
@@ -45,7 +45,7 @@
         """Send prepared changes as one update, then remove the gone servers."""
         endpoints = [resolved.endpoint for resolved in changes]
         with gc_paused():
-            self._decisions.dispatch(api.EndpointUpdate(api.EndpointUpdateKind.DELTA, endpoints))
+            self._decision_loop.dispatch(api.EndpointUpdate(api.EndpointUpdateKind.DELTA, endpoints))
         gone = [resolved for resolved in changes if resolved.address is None]
         if gone:
             self._upstreams.update(gone, complete=False)
--- a/wheatstile/resolvers/endpoint_rows.py
+++ b/wheatstile/resolvers/endpoint_rows.py
@@ -14,7 +14,7 @@
 from wheatstile.config import shape
 from wheatstile.config.endpoints import MAX_PORT, ResolvedEndpoint
 from wheatstile.config.networks import Networks
-from wheatstile.config.violations import Violation, pointer
+from wheatstile.config.violations import Violation, json_pointer
 from wheatstile.resolvers.canonical_json import MAX_EXACT_INTEGER, JsonValue
 
 MAX_WEIGHT_RATIO = 1000.0  # maximum ratio of the largest to the smallest weight in a file
@@ -117,7 +117,7 @@
         for index, weight in self._weight_by_index.items():
             if weight > MAX_WEIGHT_RATIO * smallest > 0:
                 reason = f"{weight:g} is over {MAX_WEIGHT_RATIO:g} times the smallest weight, {smallest:g}"
-                yield Violation(pointer("servers", index, "weight"), reason)
+                yield Violation(json_pointer("servers", index, "weight"), reason)
 
     def _add_malformed(self, index: int, value: JsonValue) -> None:
         """Report the violations of the schema, and check the values that have the right type."""
@@ -135,7 +135,7 @@
             self._check_address(index, address)
 
     def _report(self, index: int, key: str, reason: str) -> None:
-        self.violations.append(Violation(pointer("servers", index, key), reason))
+        self.violations.append(Violation(json_pointer("servers", index, key), reason))
 
     def _check_id(self, index: int, name: str) -> None:
         first_index = self._index_by_id.setdefault(name, index)
--- a/wheatstile/resolvers/last_known_good.py
+++ b/wheatstile/resolvers/last_known_good.py
@@ -11,12 +11,12 @@
 import msgspec
 
 from wheatstile.config.endpoints import ResolvedEndpoint
-from wheatstile.config.violations import ConfigurationError, Violation, load
+from wheatstile.config.violations import ConfigurationError, Violation, load_json
 from wheatstile.resolvers.atomic_write import write_atomic
 from wheatstile.resolvers.canonical_json import SEAL_KEY, JsonValue, digest_of
 from wheatstile.resolvers.endpoint_file import EndpointFile, EndpointFileRules, parse_endpoint_file
 from wheatstile.resolvers.endpoint_rows import ENDPOINT_STATES, MICROSECONDS_PER_MILLISECOND
-from wheatstile.resolvers.regular_file import read_all
+from wheatstile.resolvers.regular_file import read_regular_file
 
 FILE_NAME = "servers-last-good.json"
 FORMAT_VERSION = 1
@@ -101,7 +101,7 @@
     if not path.exists():
         return None
     max_bytes = MAX_SERVER_GROWTH_FACTOR * rules.max_bytes + MAX_ENVELOPE_BYTES
-    _, value = load(str(path), read_all(path, max_bytes), max_bytes)
+    _, value = load_json(str(path), read_regular_file(path, max_bytes), max_bytes)
     if not _is_intact(value):
         reason = "does not match the content of the file, or the format is unknown"
         raise ConfigurationError(str(path), [Violation("/seal", reason)])
--- a/wheatstile/resolvers/merge.py
+++ b/wheatstile/resolvers/merge.py
@@ -11,15 +11,15 @@
 from wheatstile import interface as api
 from wheatstile.config.endpoints import ResolvedEndpoint
 from wheatstile.resolvers.discovery_state import DiscoveryState
-from wheatstile.resolvers.source_selection import MICROSECONDS_PER_SECOND, EndpointSource, SourceSelection
+from wheatstile.resolvers.source_selection import US_PER_S, EndpointSource, SourceSelection
 
 # Time for which a server that no source lists any more is kept for its connections.
-RETIREMENT_US = 3600 * MICROSECONDS_PER_SECOND
+RETIREMENT_US = 3600 * US_PER_S
 
 FROM_DISCOVERY = "discovery"
 FROM_FILE = "file"
-FROM_FILE_DRAINED = "file; discovery tells it to drain"
-DRAINED_BY_DISCOVERY = "discovery tells it to drain"
+FROM_FILE_DRAINED = "file; discovery reports it as draining"
+DRAINED_BY_DISCOVERY = "discovery reports it as draining"
 
 
 @dataclass(frozen=True, slots=True)
--- a/wheatstile/resolvers/regular_file.py
+++ b/wheatstile/resolvers/regular_file.py
@@ -83,7 +83,7 @@
 
 
 @contextmanager
-def opened_regular(path: Path) -> Iterator[int]:
+def opened_regular_file(path: Path) -> Iterator[int]:
     """Open a regular file, and close it at the end of the block. Raises OSError."""
     descriptor = open_regular_file(path)
     try:
@@ -107,10 +107,10 @@
     return Snapshot(data, after, xxhash.xxh3_128_digest(data), torn)
 
 
-def read_all(path: Path, max_bytes: int) -> bytes:
+def read_regular_file(path: Path, max_bytes: int) -> bytes:
     """Read a regular file, up to max_bytes + 1 bytes. Raises ConfigurationError."""
     try:
-        with opened_regular(path) as descriptor:
+        with opened_regular_file(path) as descriptor:
             return snapshot(descriptor, max_bytes).data
     except OSError as error:
         raise ConfigurationError(str(path), [Violation("", error.strerror or str(error))]) from None
--- a/wheatstile/resolvers/section.py
+++ b/wheatstile/resolvers/section.py
@@ -9,8 +9,8 @@
 from wheatstile.net.decision_loop import DecisionLoop
 from wheatstile.net.discovery_watcher import DiscoveryOnlyObserver, DiscoveryWatcher
 from wheatstile.net.upstream_pool import UpstreamPool
+from wheatstile.resolvers.endpoint_file_source import EndpointFileSource
 from wheatstile.resolvers.endpoint_merger import EndpointMerger
-from wheatstile.resolvers.source import EndpointFileSource
 from wheatstile.resolvers.source_selection import MergePolicy
 
 log = structlog.get_logger()
@@ -28,9 +28,9 @@
     """
 
     def __init__(
-        self, decisions: DecisionLoop, upstreams: UpstreamPool, discovery_watcher: DiscoveryWatcher
+        self, decision_loop: DecisionLoop, upstreams: UpstreamPool, discovery_watcher: DiscoveryWatcher
     ) -> None:
-        self.decisions = decisions
+        self.decision_loop = decision_loop
         self.upstreams = upstreams
         self.discovery_watcher = discovery_watcher
         self._merger: EndpointMerger | None = None
@@ -38,7 +38,7 @@
         self._task: asyncio.Task[None] | None = None
         self._applied: OperatorFile | None = None
 
-    def follow(self, operator: OperatorFile) -> None:
+    def apply_operator_file(self, operator: OperatorFile) -> None:
         """Apply the section. Does nothing if it has not changed."""
         if self._is_applied(operator):
             return
@@ -74,7 +74,7 @@
     def _install_merger(self, policy: MergePolicy) -> EndpointMerger:
         """Create a merger, and make it the observer of discovery."""
         sys.setswitchinterval(THREAD_SWITCH_INTERVAL_S)
-        merger = EndpointMerger(self.decisions, self.upstreams, policy)
+        merger = EndpointMerger(self.decision_loop, self.upstreams, policy)
         merger.adopt_known_endpoints()
         self.discovery_watcher.observer = merger
         return merger
@@ -84,7 +84,7 @@
         self._cancel_task()
         self._source = None
         if self._merger:
-            self.discovery_watcher.observer = DiscoveryOnlyObserver(self.decisions, self.upstreams)
+            self.discovery_watcher.observer = DiscoveryOnlyObserver(self.decision_loop, self.upstreams)
             self._merger.revert_to_discovery()
             self._merger = None
 
--- a/wheatstile/resolvers/source_selection.py
+++ b/wheatstile/resolvers/source_selection.py
@@ -10,11 +10,11 @@
 from wheatstile.config.operator import Servers
 from wheatstile.resolvers.discovery_state import DiscoveryState
 
-MICROSECONDS_PER_SECOND = 1_000_000
+US_PER_S = 1_000_000
 MAX_RECOVERY_FACTOR = 8  # maximum of the required recovery time, as a multiple of the recovery delay
 FLAP_WINDOW_FACTOR = 32  # age at which a loss no longer counts, as a multiple of the recovery delay
 MAX_REMEMBERED_LOSSES = 16
-MIN_SILENCE_US = MICROSECONDS_PER_SECOND  # a shorter silence does not interrupt the recovery of discovery
+MIN_SILENCE_US = US_PER_S  # a shorter silence does not interrupt the recovery of discovery
 
 
 class EndpointSource(StrEnum):
@@ -46,8 +46,8 @@
         """Build the policy from the `servers` section of the operator's file."""
         return cls(
             MergeMode(servers.mode),
-            int(servers.after_s * MICROSECONDS_PER_SECOND),
-            int(servers.hold_down_s * MICROSECONDS_PER_SECOND),
+            int(servers.after_s * US_PER_S),
+            int(servers.hold_down_s * US_PER_S),
         )
 
 
@@ -125,7 +125,7 @@
     if silence_us < policy.discovery_timeout_us:
         timeout_at_us = silence_started_at_us + policy.discovery_timeout_us
         return SourceSelection(EndpointSource.DISCOVERY, "discovery answers", timeout_at_us, losses)
-    reason = f"discovery has told nothing for {silence_us / MICROSECONDS_PER_SECOND:.1f} s"
+    reason = f"discovery has been silent for {silence_us / US_PER_S:.1f} s"
     losses = (*losses, now_us)[-MAX_REMEMBERED_LOSSES:]
     return SourceSelection(EndpointSource.FILE, reason, discovery_lost_at_us=losses)
 
@@ -147,6 +147,6 @@
         return SourceSelection(EndpointSource.DISCOVERY, "discovery answers again", timeout_at_us, losses)
     flapping_reason = (
         f"discovery answers, but was lost {len(losses)} times recently: "
-        f"it must answer for {recovery_us / MICROSECONDS_PER_SECOND:g} s first"
+        f"it must answer for {recovery_us / US_PER_S:g} s first"
     )
     return SourceSelection(EndpointSource.FILE, flapping_reason, recovered_at_us, losses)
--- a/wheatstile/resolvers/update_guard.py
+++ b/wheatstile/resolvers/update_guard.py
@@ -88,7 +88,7 @@
     removed = active.ready - candidate.ready_names()
     if len(removed) <= rules.max_removed_share * len(active.ready):
         return Evaluation(EvaluationOutcome.ACCEPTED)
-    summary = f"takes {len(removed)} of {len(active.ready)} ready servers away"
+    summary = f"removes {len(removed)} of {len(active.ready)} ready servers"
     removal = PendingApproval(candidate.digest, candidate.generation, removed)
     return _evaluate_large_removal(removal, summary, pending, accepted_digests, rules)
 
--- a/wheatstile/simulator/wire.py
+++ b/wheatstile/simulator/wire.py
@@ -8,7 +8,7 @@
 from typing import NamedTuple, TypeAlias
 
 from wheatstile import interface as api
-from wheatstile.config.endpoints import weight_of
+from wheatstile.config.endpoints import parse_weight
 from wheatstile.simulator.line import Fields
 
 # These tables map words of the wire protocol to values of the interface.
@@ -139,7 +139,7 @@
     return kind(fields.text("requestId"), fields.text("server"), fields.number("x", 0.0))
 
 
-def timer_text(token: api.TimerToken) -> str:
+def format_timer(token: api.TimerToken) -> str:
     """Return a timer's text: `NAME`, or `NAME:DUE:CONNECTION` for a timer of one connection."""
     name = TIMER_NAMES[token.kind]
     if not token.connection_id:
@@ -147,8 +147,8 @@
     return TIMER_SEPARATOR.join((name, str(token.due_us or ""), token.connection_id))
 
 
-def timer_token(text: str) -> api.TimerToken | None:
-    """Parse a text that `timer_text` returned. Return None for any other text."""
+def parse_timer(text: str) -> api.TimerToken | None:
+    """Parse a text that `format_timer` returned. Return None for any other text."""
     name, _, rest = text.partition(TIMER_SEPARATOR)
     due, _, connection_id = rest.partition(TIMER_SEPARATOR)  # a connection's id may contain the separator
     if not connection_id:
@@ -161,7 +161,7 @@
 
 
 def _timer_fired(fields: Fields) -> api.TimerFired | None:
-    token = timer_token(fields.text("tag"))
+    token = parse_timer(fields.text("tag"))
     return api.TimerFired(token) if token else None
 
 
@@ -185,7 +185,7 @@
         STATES.get(fields.text("status"), api.EndpointState.DRAINING),
         fields.text("az", ""),
         fields.integer("cohort", 0),
-        weight_of(fields.number("share", 1.0)),
+        parse_weight(fields.number("share", 1.0)),
         fields.integer("startTimeUs", 0),
     )
 
@@ -221,7 +221,7 @@
 
 
 def _format_value(value: str | int | api.TimerToken) -> str:
-    return timer_text(value) if isinstance(value, api.TimerToken) else str(value)
+    return format_timer(value) if isinstance(value, api.TimerToken) else str(value)
 
 
 def ready_line(turn: str) -> str:
--- a/wheatstile/store/member.py
+++ b/wheatstile/store/member.py
@@ -1,6 +1,6 @@
 """Combines Raft, storage, state machine and pending requests into one member without networking.
 
-All messages and requests of one turn of the event loop are persisted with one fsync (group commit).
+All messages and requests of one iteration of the event loop are persisted with one fsync (group commit).
 """
 
 from __future__ import annotations
@@ -151,7 +151,7 @@
                 self.node.propose(msgspec.msgpack.encode(command))
 
     def schedule_flush(self) -> None:
-        """Schedule the processing of Raft's `Ready` in the next turn of the event loop."""
+        """Schedule the processing of Raft's `Ready` in the next iteration of the event loop."""
         if not self._is_flush_scheduled and not self._storage_failure.done():
             self._is_flush_scheduled = True
             self._loop.call_soon(self._flush)
--- a/wheatstile/store/raft/election.py
+++ b/wheatstile/store/raft/election.py
@@ -9,13 +9,13 @@
 
 
 def tick(state: RaftState) -> None:
-    """Start a pre-vote after an election time-out without a message from a leader."""
+    """Start a pre-vote after an election timeout without a message from a leader."""
     if state.election_elapsed >= state.election_timeout and membership.may_campaign(state):
         start_pre_vote(state)
 
 
 def check_quorum(state: RaftState) -> None:
-    """Step down as leader if no quorum has replied since the last check, an election time-out ago (§6.2)."""
+    """Step down as leader if no quorum has replied since the last check, an election timeout ago (§6.2)."""
     if state.election_elapsed < state.timing.election_ticks:
         return
     state.election_elapsed = 0
@@ -136,7 +136,7 @@
 def on_timeout_now(state: RaftState, _message: Message) -> None:
     """Start a campaign at once, because the leader transfers its leadership to this node (§3.10).
 
-    A node that is no longer a voter ignores it, and the leader cancels the transfer after a time-out.
+    A node that is no longer a voter ignores it, and the leader cancels the transfer after a timeout.
     """
     if state.name in state.configuration.voters and state.role is Role.FOLLOWER:
         start_election(state, is_transfer=True)
--- a/wheatstile/store/raft/node.py
+++ b/wheatstile/store/raft/node.py
@@ -122,7 +122,7 @@
         election.check_quorum(self.state)
 
     def skip_ticks(self, count: int) -> None:
-        """Advance the clock by `count` ticks without counting them towards any time-out."""
+        """Advance the clock by `count` ticks without counting them towards any timeout."""
         self.state.ticks += count
 
     def propose(self, data: bytes) -> int:
--- a/wheatstile/store/raft/state.py
+++ b/wheatstile/store/raft/state.py
@@ -23,9 +23,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Timing:
-    """Time-outs in ticks.
+    """Timeouts in ticks.
 
-    An election time-out is drawn at random from [`election_ticks`, 2 * `election_ticks`). Raises ValueError
+    An election timeout is drawn at random from [`election_ticks`, 2 * `election_ticks`). Raises ValueError
     if the heartbeat interval is not shorter than `election_ticks`.
     """
 
@@ -153,7 +153,7 @@
 
     @property
     def has_recent_leader_contact(self) -> bool:
-        """True if the last contact with the leader was within the minimum election time-out (§4.2.3)."""
+        """True if the last contact with the leader was within the minimum election timeout (§4.2.3)."""
         return self.leader is not None and self.election_elapsed < self.timing.election_ticks
 
     def require_leader(self) -> None:
@@ -189,7 +189,7 @@
         )
 
     def reset_election_timer(self) -> None:
-        """Start a new election time-out of random length (§3.4)."""
+        """Start a new election timeout of random length (§3.4)."""
         self.election_elapsed = 0
         self.election_timeout = self.draw(self.timing.election_ticks, 2 * self.timing.election_ticks)
 
--- a/wheatstile/store/raft/transfer.py
+++ b/wheatstile/store/raft/transfer.py
@@ -10,7 +10,7 @@
 def start(state: RaftState, target: str) -> None:
     """Start a transfer to `target`.
 
-    The leader rejects proposals until the transfer ends, which takes at most an election time-out.
+    The leader rejects proposals until the transfer ends, which takes at most an election timeout.
     Raises `NotLeaderError`, and `MembershipChangeRejectedError` if `target` is this node or not a voter.
     """
     state.require_leader()
@@ -31,7 +31,7 @@
 
 
 def tick(state: RaftState) -> None:
-    """Cancel a transfer whose target has not become the leader within an election time-out."""
+    """Cancel a transfer whose target has not become the leader within an election timeout."""
     leadership = state.leadership
     if leadership.transfer_target is None:
         return
