--- a/benchmarks/descriptions.py
+++ b/benchmarks/descriptions.py
@@ -35,7 +35,7 @@
 DESCRIPTIONS_APPLIED = "descriptions_applied"
 MAX_CPU_TIME_S = 1800
 MATCHED_PATHS = 97  # approximate number of paths to match, spread evenly over the routes
-MICROSECONDS_PER_SECOND = 1e6
+US_PER_S = 1e6
 BYTES_PER_KB = 1024
 KB_PER_MB = 1024
 RESPONSES = (
@@ -104,7 +104,7 @@
     while (elapsed_s := time.perf_counter() - started_s) < duration_s:
         function()
         calls += 1
-    return elapsed_s / calls * MICROSECONDS_PER_SECOND
+    return elapsed_s / calls * US_PER_S
 
 
 class Routers:
@@ -161,14 +161,14 @@
         write_description(description, operations)
         section = {"paths": [str(description)], "settle_s": 0.1}
         with MeasuredBalancer({"descriptions": section}) as balancer:
-            balancer.logged(DESCRIPTIONS_APPLIED)
+            balancer.wait_for_event(DESCRIPTIONS_APPLIED)
             idle_pings = PingLoop(balancer.listen)
             time.sleep(2.0 * rounds)
             rows.append(["idle", *idle_pings.stop().summary_ms()])
             pings = PingLoop(balancer.listen)
             for number in range(rounds):
                 write_description(description, operations + number + 1)
-                balancer.logged(DESCRIPTIONS_APPLIED)
+                balancer.wait_for_event(DESCRIPTIONS_APPLIED)
             rows.append(["compiling", *pings.stop().summary_ms()])
     print(f"\nPING of a running balancer, {operations} operations compiled {rounds} times\n")
     print(tabulate(rows, ["", "p50 ms", "p99 ms", "max ms"], "github", disable_numparse=True))
--- a/benchmarks/running_balancer.py
+++ b/benchmarks/running_balancer.py
@@ -60,7 +60,7 @@
     def __init__(self, operator_settings: JsonObject, servers_file: bytes = b"") -> None:
         """Write the operator's file, and `servers_file` to `servers.json` in the same directory."""
         super().__init__({})
-        directory = Path(self.folder.name)
+        directory = Path(self.temporary_directory.name)
         self.servers_file = directory / "servers.json"
         self.servers_file.write_bytes(servers_file)
         operator_file = directory / "operator.json"
--- a/benchmarks/servers_file.py
+++ b/benchmarks/servers_file.py
@@ -122,7 +122,7 @@
 def measure_renames(servers: int, count: int, *, sealed: bool) -> list[object]:
     """Return one row: time of renames, PING when idle and during the renames, and memory."""
     with balancer_with_file(servers_document(servers, 1, sealed=sealed)) as balancer:
-        balancer.logged(UPDATE_DISPATCHED)
+        balancer.wait_for_event(UPDATE_DISPATCHED)
         resident_kb = balancer.resident_kb()
         idle_pings = PingLoop(balancer.listen)
         time.sleep(1.0)
@@ -133,7 +133,7 @@
             data = servers_document(servers, generation, sealed=sealed)
             started_ns = time.monotonic_ns()
             write_atomic(balancer.servers_file, data)
-            balancer.logged(UPDATE_DISPATCHED)
+            balancer.wait_for_event(UPDATE_DISPATCHED)
             renames.record_since(started_ns)
             time.sleep(MIN_RENAME_PAUSE_S + servers * RENAME_PAUSE_PER_SERVER_S)
         busy = pings.stop()
@@ -209,7 +209,7 @@
     value = echo_servers_document(echo_servers, servers)
     comparison = SetupComparison()
     with balancer_with_file(sealed_document(value)) as balancer:
-        balancer.logged(UPDATE_DISPATCHED)
+        balancer.wait_for_event(UPDATE_DISPATCHED)
         assert balancer.process.stderr
         # Read the log continuously: the balancer would block on its log once the pipe is full.
         threading.Thread(target=balancer.process.stderr.read, daemon=True).start()
@@ -270,12 +270,12 @@
     ]
     digests = {document_digest(data) for data in documents}
     with balancer_with_file(servers_document(IN_PLACE_SERVERS, FIRST_GENERATION, sealed=sealed)) as balancer:
-        balancer.logged(UPDATE_DISPATCHED)
+        balancer.wait_for_event(UPDATE_DISPATCHED)
         rewrite_in_pieces(balancer.servers_file, documents, pause_s)
         write_atomic(balancer.servers_file, servers_document(30, LAST_GENERATION, sealed=sealed))
-        accepted = [balancer.logged(FILE_ACCEPTED)]
+        accepted = [balancer.wait_for_event(FILE_ACCEPTED)]
         while accepted[-1]["generation"] != LAST_GENERATION:
-            accepted.append(balancer.logged(FILE_ACCEPTED))
+            accepted.append(balancer.wait_for_event(FILE_ACCEPTED))
     mixtures = [
         entry
         for entry in accepted[:-1]
--- a/benchmarks/soak/balancers.py
+++ b/benchmarks/soak/balancers.py
@@ -48,7 +48,7 @@
         endpoints: EndpointList,
         settings: dict[str, object],
         directory: Path,
-        descriptor_limit: int,
+        max_descriptors: int,
         program: tuple[str, ...] = PROGRAM,
     ) -> None:
         self.name = name
@@ -60,7 +60,7 @@
         self._endpoints = endpoints
         self._settings = settings
         self._directory = directory
-        self._descriptor_limit = descriptor_limit
+        self._max_descriptors = max_descriptors
         self._program = program
         self._service_index = 0
         self._process: subprocess.Popen[bytes] | None = None
@@ -83,7 +83,7 @@
             "listen": f"{LOOPBACK}:{self.listen[1]}",
             "discovery": f"{LOOPBACK}:{self.discovery_services[self._service_index].port}",
             "seed": f"{self._record.seed:016x}",
-            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": self._descriptor_limit},
+            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": self._max_descriptors},
             "known": self._endpoints.complete_list(),
             "settings": self._settings,
         }
@@ -106,7 +106,7 @@
         return process_record
 
     def _start_process(self, log: IO[bytes]) -> subprocess.Popen[bytes]:
-        limits = (self._descriptor_limit, self._descriptor_limit)
+        limits = (self._max_descriptors, self._max_descriptors)
 
         def configure_child() -> None:
             signal.signal(signal.SIGHUP, signal.SIG_IGN)  # like the `run` command in deploy/balancer.toml
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -207,7 +207,9 @@
     with tempfile.TemporaryDirectory(dir=ROOT / "benchmarks") as directory:
         fsyncs_per_s = measure_fsyncs(Path(directory), plan.duration_s / 2)
         known_names = names if len(names) > 1 else "ab"  # `ProcessCluster` needs at least two names
-        with closing(ProcessCluster(Path(directory), 1, known_names, COMPACT_EVERY, direct=True)) as cluster:
+        with closing(
+            ProcessCluster(Path(directory), 1, known_names, COMPACT_EVERY, without_fault_proxy=True)
+        ) as cluster:
             cluster.start(*names, voters=names)
             throughputs = asyncio.run(measure_throughputs(cluster, plan))
             elections_s: list[float] = []
--- a/benchmarks/store_replacement.py
+++ b/benchmarks/store_replacement.py
@@ -16,8 +16,8 @@
 ROOT = Path(__file__).parents[1]
 sys.path[:0] = [str(ROOT), str(ROOT / "tests"), str(ROOT / "tests" / "store")]
 
-from member_replacement import MAX_LEADERLESS_S, MemberReplacement, Round  # noqa: E402
-from process_cluster import ProcessCluster, check_applied, run_scenario  # noqa: E402
+from member_replacement import MAX_TIME_TO_NEXT_WRITE_S, MemberReplacement, Round  # noqa: E402
+from process_cluster import ProcessCluster, check_member_output, run_scenario  # noqa: E402
 
 STANDBY_MEMBERS = 2
 
@@ -31,12 +31,12 @@
         replacement = MemberReplacement(cluster, random.Random(seed))
         await replacement.start(names[:voter_count])
         for number in range(rounds):
-            results.append(await replacement.play(number))
+            results.append(await replacement.run_round(number))
             print(results[-1], flush=True)
 
     with tempfile.TemporaryDirectory() as directory:
         cluster = ProcessCluster(Path(directory), seed, names)
-        check_applied(run_scenario(cluster, scenario, voters=names[:voter_count]))
+        check_member_output(run_scenario(cluster, scenario, voters=names[:voter_count]))
     return results
 
 
@@ -47,10 +47,12 @@
     parser.add_argument("--rounds", type=int, default=50)
     parser.add_argument("--seed", type=int, default=1)
     options = parser.parse_args()
-    times_s = [result.leaderless_s for result in run_rounds(options.voters, options.rounds, options.seed)]
-    late = sum(time_s > MAX_LEADERLESS_S for time_s in times_s)
+    times_s = [
+        result.time_to_next_write_s for result in run_rounds(options.voters, options.rounds, options.seed)
+    ]
+    late = sum(time_s > MAX_TIME_TO_NEXT_WRITE_S for time_s in times_s)
     row = [options.voters, len(times_s), late, f"{median(times_s):.2f}", f"{max(times_s):.2f}"]
-    print(tabulate([row], ["voters", "rounds", f"over {MAX_LEADERLESS_S:g} s", "p50 s", "longest s"]))
+    print(tabulate([row], ["voters", "rounds", f"over {MAX_TIME_TO_NEXT_WRITE_S:g} s", "p50 s", "longest s"]))
     return 1 if late else 0
 
 
--- a/tests/cli/test_check_command.py
+++ b/tests/cli/test_check_command.py
@@ -5,7 +5,7 @@
 import pytest
 from support.command_line import EXAMPLE_CONFIG, run_command
 
-pytestmark = pytest.mark.usefixtures("folder")
+pytestmark = pytest.mark.usefixtures("working_directory")
 
 
 def test_check_rejects_an_operator_file_that_names_a_missing_file() -> None:
--- a/tests/cli/test_descriptions_command.py
+++ b/tests/cli/test_descriptions_command.py
@@ -8,7 +8,7 @@
 import pytest
 from support.command_line import EXAMPLE_CONFIG, run_command
 
-pytestmark = pytest.mark.usefixtures("folder")
+pytestmark = pytest.mark.usefixtures("working_directory")
 
 SHOP = """openapi: 3.1.0
 info: {title: Shop, version: '1'}
@@ -23,16 +23,16 @@
 
 
 @pytest.fixture(autouse=True)
-def descriptions(folder: Path) -> None:
+def descriptions(working_directory: Path) -> None:
     """Write three descriptions.
 
     Compared with `new.yaml`, `old.yaml` declares one operation unsafe and renames a path. `typo.yaml` names
     an unknown class.
     """
     old = SHOP.replace("tags: [t]", "x-wheatstile-repeat: unsafe").replace("/mine:", "/x:")
-    (folder / "old.yaml").write_text(old)
-    (folder / "new.yaml").write_text(SHOP)
-    (folder / "typo.yaml").write_text(SHOP.replace("class: chat, tags", "class: caht, tags"))
+    (working_directory / "old.yaml").write_text(old)
+    (working_directory / "new.yaml").write_text(SHOP)
+    (working_directory / "typo.yaml").write_text(SHOP.replace("class: chat, tags", "class: caht, tags"))
 
 
 def test_check_reports_the_idempotency_of_each_class() -> None:
@@ -65,10 +65,10 @@
 
 
 @pytest.fixture
-def override(folder: Path) -> tuple[str, ...]:
+def override(working_directory: Path) -> tuple[str, ...]:
     """Write an operator's file that declares the class unsafe. Return the options that pass it."""
     section = {"classes": {"chat": {"repeat": "unsafe"}}}
-    (folder / "op.json").write_text(json.dumps({"descriptions": section}))
+    (working_directory / "op.json").write_text(json.dumps({"descriptions": section}))
     return ("--file", "op.json", *CONFIG)
 
 
@@ -85,11 +85,11 @@
     assert "/orders/mine: removed" in result.output
 
 
-def test_graph_draws_every_route(folder: Path) -> None:
+def test_graph_draws_every_route(working_directory: Path) -> None:
     assert run_command("descriptions", "graph", "new.yaml", "--out", "g.svg").status == 0
-    assert "/orders/{id}" in (folder / "g.svg").read_text()
+    assert "/orders/{id}" in (working_directory / "g.svg").read_text()
 
 
-def test_check_of_the_operator_file_reads_its_descriptions(folder: Path) -> None:
-    (folder / "op.json").write_text(json.dumps({"descriptions": {"paths": ["typo.yaml"]}}))
+def test_check_of_the_operator_file_reads_its_descriptions(working_directory: Path) -> None:
+    (working_directory / "op.json").write_text(json.dumps({"descriptions": {"paths": ["typo.yaml"]}}))
     assert run_command("check", "op.json", *CONFIG).status == 1
--- a/tests/cli/test_servers_command.py
+++ b/tests/cli/test_servers_command.py
@@ -9,7 +9,7 @@
 import pytest
 from support.command_line import run_command
 
-pytestmark = pytest.mark.usefixtures("folder")
+pytestmark = pytest.mark.usefixtures("working_directory")
 
 
 @pytest.mark.usefixtures("live_file")
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -5,11 +5,11 @@
 
 import pytest
 from support.balancer import Balancer
-from support.command_line_folder import folder, live_file
+from support.command_line_fixtures import live_file, working_directory
 from support.served_balancer_factory import make_balancer
 
 pytest_plugins = ["support.known_red"]
-__all__ = ["balancer", "folder", "live_file", "make_balancer", "settings"]
+__all__ = ["balancer", "live_file", "make_balancer", "settings", "working_directory"]
 
 
 @pytest.fixture
--- a/tests/descriptions/fuzz_reader.py
+++ b/tests/descriptions/fuzz_reader.py
@@ -17,8 +17,8 @@
     from wheatstile.descriptions.reader import read_descriptions
 
 MAX_FUZZED_BYTES = 4096
-FOLDER = Path(tempfile.mkdtemp())
-atexit.register(shutil.rmtree, FOLDER, ignore_errors=True)
+DIRECTORY = Path(tempfile.mkdtemp())
+atexit.register(shutil.rmtree, DIRECTORY, ignore_errors=True)
 VALID_STARTS = (
     "",
     "openapi: 3.1.0\ninfo: {title: t, version: '1'}\npaths:\n",
@@ -31,7 +31,7 @@
     """Read a description that consists of a valid start and fuzzed bytes."""
     provider = atheris.FuzzedDataProvider(data)
     start = VALID_STARTS[provider.ConsumeIntInRange(0, len(VALID_STARTS) - 1)]
-    path = FOLDER / ("a.json" if provider.ConsumeBool() else "a.yaml")
+    path = DIRECTORY / ("a.json" if provider.ConsumeBool() else "a.yaml")
     path.write_bytes(start.encode() + provider.ConsumeBytes(MAX_FUZZED_BYTES))
     try:
         read_descriptions([path])
--- a/tests/descriptions/test_corpus.py
+++ b/tests/descriptions/test_corpus.py
@@ -30,23 +30,23 @@
 
 
 @pytest.fixture
-def working_folder(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Path:
-    """Return an empty folder that is the current folder during the test."""
+def current_directory(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Path:
+    """Return an empty directory that is the current directory during the test."""
     monkeypatch.chdir(tmp_path)
     return tmp_path
 
 
 @pytest.mark.parametrize("case", REJECTED)
-def test_rejected_case_has_the_expected_findings(case: Case, working_folder: Path) -> None:
+def test_rejected_case_has_the_expected_findings(case: Case, current_directory: Path) -> None:
     with pytest.raises(InvalidDescriptionError) as error:
-        compile_case(case, working_folder)
-    lines = [line.replace(f" {working_folder}", "") for line in error.value.lines()]
+        compile_case(case, current_directory)
+    lines = [line.replace(f" {current_directory}", "") for line in error.value.lines()]
     assert lines == case.findings
 
 
 @pytest.mark.parametrize("case", ACCEPTED)
-def test_accepted_case_has_the_expected_result(case: Case, working_folder: Path) -> None:
-    compiled = compile_case(case, working_folder)
+def test_accepted_case_has_the_expected_result(case: Case, current_directory: Path) -> None:
+    compiled = compile_case(case, current_directory)
     if case.routes is not None:
         assert sorted(map(route_text, compiled.routes)) == case.routes
     if case.classes is not None:
--- a/tests/descriptions/test_descriptions_section.py
+++ b/tests/descriptions/test_descriptions_section.py
@@ -43,7 +43,7 @@
     """Return a balancer that was started with a description of one operation, of the class `reads`."""
     balancer.write_description(operation("s", "get", "reads"))
     balancer.start_with_two_zones()
-    balancer.logged("descriptions_applied")
+    balancer.wait_for_event("descriptions_applied")
     return balancer
 
 
@@ -51,7 +51,7 @@
 def changed(started: DescribedBalancer) -> DescribedBalancer:
     """Return a balancer whose description was changed to THREE_OPERATIONS after the start."""
     started.write_description(THREE_OPERATIONS)
-    started.logged("descriptions_applied")
+    started.wait_for_event("descriptions_applied")
     return started
 
 
@@ -87,7 +87,7 @@
 def test_each_class_is_retried_according_to_its_descriptions(balancer: DescribedBalancer) -> None:
     balancer.write_description(THREE_OPERATIONS)
     balancer.start_with_two_zones()
-    classes = balancer.logged("descriptions_applied")["classes"]
+    classes = balancer.wait_for_event("descriptions_applied")["classes"]
     assert classes == {"orders": "keyed", "reads": "safe", "writes": "unsafe"}
     check_retries_of_every_class(balancer)
 
@@ -103,23 +103,23 @@
 
 def test_rejected_descriptions_do_not_replace_the_current_ones(changed: DescribedBalancer) -> None:
     changed.write_description(THREE_OPERATIONS + OPERATION_OF_UNKNOWN_CLASS)
-    reasons = changed.logged("descriptions_rejected")["reasons"]
+    reasons = changed.wait_for_event("descriptions_rejected")["reasons"]
     assert 'the class "nobody" is not in the settings' in reasons[0]
     check_retries_of_every_class(changed)
 
 
 def test_descriptions_still_apply_after_a_reload_of_the_platform_settings(changed: DescribedBalancer) -> None:
     changed.write_description(THREE_OPERATIONS + OPERATION_OF_UNKNOWN_CLASS)
-    changed.logged("descriptions_rejected")
+    changed.wait_for_event("descriptions_rejected")
     changed.process.send_signal(signal.SIGHUP)
-    changed.logged("config_reloaded")
+    changed.wait_for_event("config_reloaded")
     check_retries_of_every_class(changed)
 
 
 def test_descriptions_removed_from_the_operator_file_are_not_applied(changed: DescribedBalancer) -> None:
     changed.operator_file.write_text("{}")
     changed.process.send_signal(signal.SIGHUP)
-    changed.logged("descriptions_disabled")
+    changed.wait_for_event("descriptions_disabled")
     zones, _ = changed.attempts("writes")
     assert len(zones) > 1
 
@@ -127,13 +127,13 @@
 def test_change_in_a_referenced_file_is_applied(balancer: DescribedBalancer) -> None:
     referenced = balancer.start_with_referenced_file()
     write_atomic(referenced, f"post: {{x-wheatstile-class: reads, {RESPONSES}}}\n".encode())
-    assert balancer.logged("descriptions_applied")["classes"] == {"reads": "unsafe"}
+    assert balancer.wait_for_event("descriptions_applied")["classes"] == {"reads": "unsafe"}
 
 
 def test_removal_of_a_referenced_file_is_rejected(balancer: DescribedBalancer) -> None:
     referenced = balancer.start_with_referenced_file()
     referenced.unlink()
-    reasons = balancer.logged("descriptions_rejected")["reasons"]
+    reasons = balancer.wait_for_event("descriptions_rejected")["reasons"]
     assert "No such file" in reasons[0]
 
 
--- a/tests/descriptions/test_file_states.py
+++ b/tests/descriptions/test_file_states.py
@@ -15,28 +15,28 @@
 
 
 @pytest.fixture
-def folder(tmp_path: Path) -> Path:
-    """Return a folder with a file in it and one in a subfolder."""
+def directory(tmp_path: Path) -> Path:
+    """Return a directory with a file in it and one in a subdirectory."""
     (tmp_path / "parts").mkdir()
     (tmp_path / "a.yaml").write_text("a")
     (tmp_path / "parts" / "b.yaml").write_text("b")
     return tmp_path
 
 
-def test_folder_and_all_files_below_it_are_covered(folder: Path) -> None:
-    assert names(file_states([folder])) == [folder.name, "a.yaml", "b.yaml"]
+def test_directory_and_all_files_below_it_are_covered(directory: Path) -> None:
+    assert names(file_states([directory])) == [directory.name, "a.yaml", "b.yaml"]
 
 
-def test_file_and_referenced_files_are_covered_and_missing_ones_omitted(folder: Path) -> None:
-    referenced = [str(folder / "parts" / "b.yaml"), str(folder / "missing.yaml")]
-    assert names(file_states([folder / "a.yaml"], referenced)) == ["a.yaml", "b.yaml"]
+def test_file_and_referenced_files_are_covered_and_missing_ones_omitted(directory: Path) -> None:
+    referenced = [str(directory / "parts" / "b.yaml"), str(directory / "missing.yaml")]
+    assert names(file_states([directory / "a.yaml"], referenced)) == ["a.yaml", "b.yaml"]
 
 
-def test_replaced_file_of_the_same_size_and_time_has_a_different_state(folder: Path) -> None:
-    path = folder / "a.yaml"
+def test_replaced_file_of_the_same_size_and_time_has_a_different_state(directory: Path) -> None:
+    path = directory / "a.yaml"
     before = file_states([path])
     status = path.stat()
-    replacement = folder / "replacement"
+    replacement = directory / "replacement"
     replacement.write_text("z")
     os.utime(replacement, ns=(status.st_atime_ns, status.st_mtime_ns))
     replacement.replace(path)
@@ -45,6 +45,6 @@
     assert after != before
 
 
-def test_number_of_files_is_bounded(folder: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_number_of_files_is_bounded(directory: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(module, "MAX_FILES", 2)
-    assert len(file_states([folder])) == module.MAX_FILES
+    assert len(file_states([directory])) == module.MAX_FILES
--- a/tests/descriptions/test_keywords.py
+++ b/tests/descriptions/test_keywords.py
@@ -61,11 +61,11 @@
 """
 
 
-def run(folder: Path, program: str) -> str:
+def run(directory: Path, program: str) -> str:
     """Run a program in a separate Python process and return its standard output."""
     result = subprocess.run(
         [sys.executable, "-c", program],
-        cwd=folder,
+        cwd=directory,
         env=os.environ | {"PYTHONPATH": str(ROOT)},
         capture_output=True,
         text=True,
@@ -77,8 +77,8 @@
 
 
 @pytest.fixture
-def folder(tmp_path: Path) -> Path:
-    """Return a folder with a description and a changed copy of it."""
+def directory(tmp_path: Path) -> Path:
+    """Return a directory with a description and a changed copy of it."""
     (tmp_path / "a.yaml").write_text(DESCRIPTION)
     changed = DESCRIPTION.replace("scope: zone", "scope: cell").replace("get:", "patch:")
     (tmp_path / "b.yaml").write_text(changed)
@@ -128,7 +128,7 @@
 
 
 @pytest.mark.parametrize("program", [RUN_COMMANDS, RUN_WORKER_MESSAGES], ids=["commands", "worker messages"])
-def test_output_does_not_depend_on_the_enumeration_values(folder: Path, program: str) -> None:
-    output = run(folder, program)
+def test_output_does_not_depend_on_the_enumeration_values(directory: Path, program: str) -> None:
+    output = run(directory, program)
     assert "keyed" in output
-    assert run(folder, REPLACE_VALUES + program) == output
+    assert run(directory, REPLACE_VALUES + program) == output
--- a/tests/descriptions/test_reader.py
+++ b/tests/descriptions/test_reader.py
@@ -60,14 +60,14 @@
         read_descriptions([tmp_path / "a.yaml"])
 
 
-def test_folder_without_descriptions_is_rejected(tmp_path: Path) -> None:
+def test_directory_without_descriptions_is_rejected(tmp_path: Path) -> None:
     with pytest.raises(InvalidDescriptionError, match="contains no file with a suffix of"):
         read_descriptions([tmp_path])
 
 
-def test_symbolic_link_to_a_file_outside_the_folder_is_rejected(tmp_path: Path) -> None:
+def test_symbolic_link_to_a_file_outside_the_directory_is_rejected(tmp_path: Path) -> None:
     (tmp_path / "a.yaml").symlink_to("/etc/hostname")
-    with pytest.raises(InvalidDescriptionError, match="is a link to a file outside the folder"):
+    with pytest.raises(InvalidDescriptionError, match="is a link to a file outside the directory"):
         read_descriptions([tmp_path])
 
 
--- a/tests/net/test_client_connection.py
+++ b/tests/net/test_client_connection.py
@@ -86,7 +86,7 @@
 @pytest.mark.parametrize("reset", [False, True])
 def test_client_that_disconnects_as_its_last_line_is_sent(balancer: Balancer, reset: bool) -> None:
     balancer.start([])
-    client = balancer.open(1, wait=200)
+    client = balancer.open(1, timeout_ms=200)
     assert re.search("^BUSY", client.line())
     client.close(reset)
     assert "client_connections_failed" not in balancer.wait_for_counter("sessions_rejected", 1)
--- a/tests/net/test_client_floods.py
+++ b/tests/net/test_client_floods.py
@@ -36,7 +36,7 @@
         client.send(*["PING"] * FLOOD_LINES)
         server.send("UP r")
     assert client.lines_to_the_end() == ["ERR"]
-    assert server.ends()
+    assert server.wait_for_end()
     balancer.check_serving(2)
 
 
--- a/tests/net/test_connection_close.py
+++ b/tests/net/test_connection_close.py
@@ -147,7 +147,7 @@
     server, _ = balancer.server.accept_session()
     server.send("UP r")
     assert client.line() == "UP r"
-    assert idle[0].ends()
+    assert idle[0].wait_for_end()
     assert not has_ended(idle[-1])
 
 
@@ -174,7 +174,7 @@
     assert lines in (["whole", "MOVE"], ["MOVE"])
     client.close()
     assert balancer.wait() == 0
-    assert server.ends()
+    assert server.wait_for_end()
 
 
 def test_last_line_of_a_client_reaches_a_server_that_sent_a_partial_line(balancer: Balancer) -> None:
@@ -186,7 +186,7 @@
         client.close()
         server.sock.sendall(b"half")
     assert server.line() == "last"
-    assert server.ends()
+    assert server.wait_for_end()
 
 
 def test_last_line_in_the_kernel_survives_the_close_over_pending_bytes(balancer: Balancer) -> None:
--- a/tests/net/test_discovery_watcher.py
+++ b/tests/net/test_discovery_watcher.py
@@ -27,10 +27,10 @@
     watch.send("HTTP/1.1 503 Busy", "Content-Length: 0", "")
     watch, _ = balancer.discovery.watch()
     watch.begin_watch()
-    watch.chunk(2, balancer.member("s1"))  # at the address of the test server
-    watch.chunk(3, balancer.member("s2", host_port="127.0.0.1:1", phase="draining"))
+    watch.send_endpoint_list(2, balancer.member("s1"))  # at the address of the test server
+    watch.send_endpoint_list(3, balancer.member("s2", host_port="127.0.0.1:1", phase="draining"))
     watch.send("1", "\n")
-    watch.chunk(4, balancer.member("s3", phase="odd"))
+    watch.send_endpoint_list(4, balancer.member("s3", phase="odd"))
     for number in range(1, 5):
         balancer.establish(number)
     watch.send("2", "{\n")
@@ -47,7 +47,7 @@
         watch.send("HTTP/1.1 503 Busy", "Content-Length: 0", "")
     watch, _request = balancer.discovery.watch()
     watch.begin_watch()
-    watch.chunk(2, balancer.member("s2"))
+    watch.send_endpoint_list(2, balancer.member("s2"))
     watch.close()
     balancer.discovery.watch()  # by now the balancer has handled the third failure
     assert balancer.stop().count("endpoint_watch_ended") == 2
@@ -75,11 +75,11 @@
     balancer.start()
     watch, _ = balancer.discovery.watch()
     watch.begin_watch()
-    watch.chunk(5, balancer.member(phase="draining"))
-    watch.chunk(4, balancer.member(phase="ready"))
-    watch.chunk(6, balancer.member("s2", phase="draining"))
+    watch.send_endpoint_list(5, balancer.member(phase="draining"))
+    watch.send_endpoint_list(4, balancer.member(phase="ready"))
+    watch.send_endpoint_list(6, balancer.member("s2", phase="draining"))
     balancer.wait_for_counter("events_endpoint_update", 3)
-    client = balancer.open(wait=300)
+    client = balancer.open(timeout_ms=300)
     assert re.search("^BUSY", client.line())
     assert select.select([balancer.server.sock], [], [], 0)[0] == []
 
@@ -100,7 +100,7 @@
     balancer.start()
     watch, _ = balancer.discovery.watch()
     watch.begin_watch()
-    watch.chunk(2, balancer.member("s2"))
+    watch.send_endpoint_list(2, balancer.member("s2"))
     last_message_s = time.monotonic()
     balancer.discovery.watch()
     # Discovery counts a change as delivered after 6 s. IDLE_TIMEOUT_S plus the backoff is at most 4.5 s.
@@ -128,7 +128,7 @@
     watch, request = balancer.discovery.watch()
     assert "watch=1" in request
     watch.begin_watch()
-    watch.chunk(2, balancer.member(phase="draining"))
+    watch.send_endpoint_list(2, balancer.member(phase="draining"))
     watch.close()
     _, request = balancer.discovery.watch()
     assert "after=2 " in request
--- a/tests/net/test_graceful_shutdown.py
+++ b/tests/net/test_graceful_shutdown.py
@@ -77,7 +77,7 @@
     partial.sock.sendall(b"OPEN 00000000000")
     pinging = balancer.pinged_client()
     balancer.terminate()
-    balancer.logged("shutdown_started")
+    balancer.wait_for_event("shutdown_started")
     time.sleep(1.5)  # the first clients may reach FIRST_LINE_TIMEOUT_S by now
     late = balancer.client()
     assert (late.line(), late.line()) == ("BUSY 1000", "")
@@ -121,7 +121,7 @@
     balancer.settings = SLOW_CONNECT | {"limits": SLOW_CONNECT["limits"] | limits}
     balancer.start()
     balancer.terminate()
-    balancer.logged("shutdown_started")
+    balancer.wait_for_event("shutdown_started")
     time.sleep(1.5)
     late = balancer.client()
     assert (late.line(), late.line()) == (rejection, "")
--- a/tests/net/test_session_setup.py
+++ b/tests/net/test_session_setup.py
@@ -36,7 +36,7 @@
 @pytest.mark.parametrize("settings", [{}])
 def test_rejection_has_a_retry_after_time(balancer: Balancer) -> None:
     balancer.start([])
-    keyword, _, retry_after_ms = balancer.open(wait=300).line().partition(" ")
+    keyword, _, retry_after_ms = balancer.open(timeout_ms=300).line().partition(" ")
     assert keyword == "BUSY"
     assert 0 < int(retry_after_ms) <= 2000
 
@@ -44,7 +44,7 @@
 @pytest.mark.parametrize("settings", [WITHOUT_HEALTH_CHECKS])
 def test_attempt_without_an_answer_times_out_before_its_client(balancer: Balancer) -> None:
     balancer.start()
-    client = balancer.open(wait=1200)
+    client = balancer.open(timeout_ms=1200)
     first = balancer.server.accept_session()[0]
     assert first.line() == ""  # closed before the client's timeout expires
     assert client.line().split()[0] in ("BUSY", "ERR")
@@ -140,7 +140,7 @@
     client = balancer.open(2)
     assert balancer.server.health_checks[0].line() == "STATS"  # gets no answer
     other = Listener()
-    watch.chunk(2, balancer.member("s2", host_port=other.address), complete=True)
+    watch.send_endpoint_list(2, balancer.member("s2", host_port=other.address), complete=True)
     server, line = other.accept_session()
     assert "0000000000000002" in line
     server.send("UP r")
@@ -159,7 +159,9 @@
     watch.begin_watch()
     client = balancer.open()
     balancer.server.wait_for_connect()
-    watch.chunk(2, balancer.member(phase="draining"), balancer.member("s2", host_port=other.address))
+    watch.send_endpoint_list(
+        2, balancer.member(phase="draining"), balancer.member("s2", host_port=other.address)
+    )
     balancer.wait_for_counter("events_endpoint_update", 2)
     server = balancer.server.accept_waiting(ahead)
     assert server.line() == ""
@@ -177,7 +179,7 @@
     watch.begin_watch()
     _client = balancer.open()
     balancer.server.wait_for_connect()
-    watch.chunk(2, balancer.member("s2", host_port=other.address), complete=True)
+    watch.send_endpoint_list(2, balancer.member("s2", host_port=other.address), complete=True)
     balancer.wait_for_counter("events_endpoint_update", 2)
     assert balancer.server.accept_waiting(ahead).line() == ""
     assert "0000000000000001" in other.accept_session()[1]
--- a/tests/net/test_upstream_attempt.py
+++ b/tests/net/test_upstream_attempt.py
@@ -52,13 +52,13 @@
 def test_answer_without_an_end_is_closed_before_the_next_attempt(balancer: Balancer, answer: bytes) -> None:
     """A line that is too long fails the attempt immediately, a partial line at the attempt's timeout."""
     balancer.start()
-    client = balancer.open(1, wait=6000)
+    client = balancer.open(1, timeout_ms=6000)
     first, _ = balancer.server.accept_session()
     with suppress(ConnectionError):  # the balancer may close the connection during the flood
         first.sock.sendall(answer)
     second, line = balancer.server.accept_session()
     assert line.startswith("OPEN 0000000000000001 ")
-    assert first.ends()
+    assert first.wait_for_end()
     second.send("UP r2")
     assert client.line() == "UP r2"
 
@@ -70,7 +70,7 @@
     with suppress(ConnectionError):
         server.sock.sendall(b"whole\r\n" + b"x" * 100_000)
     assert client.lines_to_the_end() == ["whole"]
-    assert server.ends()
+    assert server.wait_for_end()
     balancer.check_serving(2)
 
 
@@ -79,7 +79,7 @@
     balancer.start()
     ahead = balancer.server.fill_backlog()
     started_s = time.monotonic()
-    client = balancer.open(1, wait=9000)
+    client = balancer.open(1, timeout_ms=9000)
     balancer.server.wait_for_connect()
     with balancer.paused():
         server = balancer.server.accept_waiting(ahead)
@@ -102,7 +102,7 @@
     other = Listener()
     client = balancer.open(1)
     balancer.server.wait_for_connect()
-    watch.chunk(2, balancer.member("s2", host_port=other.address))
+    watch.send_endpoint_list(2, balancer.member("s2", host_port=other.address))
     server, line = other.accept_session()
     assert line.startswith("OPEN 0000000000000001 ")
     assert not balancer.server.is_connecting()
--- a/tests/process/test_reload.py
+++ b/tests/process/test_reload.py
@@ -59,7 +59,7 @@
 def test_reload_moves_the_watch_to_the_discovery_of_the_file(balancer: Balancer) -> None:
     new_discovery = Listener()
     old_watch = watch_on_discovery_of_variable(balancer, new_discovery)
-    old_watch.chunk(70, balancer.member("s2"))
+    old_watch.send_endpoint_list(70, balancer.member("s2"))
     client, server = balancer.establish()
 
     balancer.reload()
@@ -73,7 +73,7 @@
     watch, request = new_discovery.watch()
     assert "after=2 " in request
     watch.begin_watch()
-    watch.chunk(3, balancer.member("s3", host_port=Listener().address))
+    watch.send_endpoint_list(3, balancer.member("s3", host_port=Listener().address))
     watch.close()
     new_watch, request = new_discovery.watch()
     assert "after=3 " in request
@@ -82,7 +82,7 @@
 
     balancer.reload()  # without a change, the watch stays open
     new_watch.begin_watch()
-    new_watch.chunk(4, balancer.member("s3"), complete=True)
+    new_watch.send_endpoint_list(4, balancer.member("s3"), complete=True)
     balancer.establish(2)
 
 
@@ -108,7 +108,7 @@
         assert balancer.reload(text)["level"] == "error", text[:20]
 
     watch.begin_watch()
-    watch.chunk(2, balancer.member("s2"))
+    watch.send_endpoint_list(2, balancer.member("s2"))
     balancer.establish()
 
 
@@ -158,7 +158,7 @@
     with balancer.paused():
         watch.close()
         balancer.process.send_signal(signal.SIGHUP)
-    balancer.logged("config_reloaded")
+    balancer.wait_for_event("config_reloaded")
 
     call, request = new_discovery.watch()
     assert request == "GET /discovery/hosts HTTP/1.1"
--- a/tests/process/test_start.py
+++ b/tests/process/test_start.py
@@ -44,15 +44,15 @@
     balancer.write_config()
     with socket.create_server(balancer.listen):
         balancer.launch()
-        balancer.logged("bind_address_in_use")
-    balancer.logged("serving_started")
+        balancer.wait_for_event("bind_address_in_use")
+    balancer.wait_for_event("serving_started")
 
 
 def test_sigterm_while_the_address_is_in_use_ends_it(balancer: Balancer) -> None:
     balancer.write_config()
     with socket.create_server(balancer.listen):
         balancer.launch()
-        balancer.logged("bind_address_in_use")
+        balancer.wait_for_event("bind_address_in_use")
         balancer.terminate()
         assert balancer.wait() == 0
     assert '"serving_started"' not in balancer.stop()
@@ -63,10 +63,10 @@
     new_discovery = Listener()
     with socket.create_server(balancer.listen):
         balancer.launch()
-        balancer.logged("bind_address_in_use")
+        balancer.wait_for_event("bind_address_in_use")
         balancer.reload(discovery=new_discovery.address)
         assert new_discovery.watch()[1] == "GET /discovery/hosts HTTP/1.1"
-    balancer.logged("serving_started")
+    balancer.wait_for_event("serving_started")
 
 
 @pytest.mark.parametrize("settings", [WITHOUT_HEALTH_CHECKS])
@@ -77,17 +77,17 @@
     with open(balancer.path, "w") as file:  # blocks until the program opens the file
         balancer.process.send_signal(signal.SIGHUP)
         file.write(text)
-    balancer.logged("serving_started")
+    balancer.wait_for_event("serving_started")
     balancer.path.write_text(text)  # read by the reload
 
-    balancer.logged("config_reloaded")
+    balancer.wait_for_event("config_reloaded")
     balancer.ready()
 
 
 def test_sighup_while_the_program_is_loaded_ends_nothing(balancer: Balancer) -> None:
     """Run the command of the deploy file. `sitecustomize` blocks the start until the signal is sent."""
     command = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["run"]
-    directory = Path(balancer.folder.name)
+    directory = Path(balancer.temporary_directory.name)
     start_fifo = directory / "start_fifo"
     os.mkfifo(start_fifo)
     (directory / "sitecustomize.py").write_text(f"open({str(start_fifo)!r}).read()\n")
@@ -104,7 +104,7 @@
     with open(start_fifo, "w"):  # blocks until the interpreter opens it
         balancer.process.send_signal(signal.SIGHUP)
 
-    balancer.logged("serving_started")
+    balancer.wait_for_event("serving_started")
     balancer.ready()
 
 
--- a/tests/resolvers/test_section.py
+++ b/tests/resolvers/test_section.py
@@ -30,7 +30,7 @@
     balancer = make_balancer(**section)
     balancer.endpoint_file.write_bytes(balancer.document(*names))
     balancer.start_with_known_servers()
-    balancer.wait_accepted()
+    balancer.wait_until_accepted()
     return balancer
 
 
@@ -98,14 +98,14 @@
     documents = similar_documents(balancer, seal)
     balancer.endpoint_file.write_bytes(balancer.document("s1", "s2", seal=seal))
     balancer.start_with_known_servers()
-    accepted = [balancer.wait_accepted()]
+    accepted = [balancer.wait_until_accepted()]
 
     assert answers_while_rewriting(balancer, documents) == {"UP"}
 
     last = balancer.document("s3", generation=LAST_GENERATION, seal=seal)
     write_atomic(balancer.endpoint_file, last)
     while accepted[-1]["generation"] != LAST_GENERATION:
-        accepted.append(balancer.wait_accepted())
+        accepted.append(balancer.wait_until_accepted())
     assert balancer.served_by() == {"s3"}
     complete_digests = {digest_of_file(data) for data in [*documents, last]}
     assert {entry["digest"] for entry in accepted[1:]} <= complete_digests
@@ -124,13 +124,13 @@
     ]
     for data, event, reason in cases:
         write_atomic(balancer.endpoint_file, data)
-        assert reason in " ".join(balancer.logged(event)["reasons"])
+        assert reason in " ".join(balancer.wait_for_event(event)["reasons"])
         assert balancer.served_by(30) == {"s1", "s2", "s3"}
 
     balancer.endpoint_file.unlink()
-    balancer.logged("endpoint_file_unreadable")
+    balancer.wait_for_event("endpoint_file_unreadable")
     os.mkfifo(balancer.endpoint_file)
-    assert "a FIFO" in balancer.logged("endpoint_file_unreadable")["reasons"][0]
+    assert "a FIFO" in balancer.wait_for_event("endpoint_file_unreadable")["reasons"][0]
     assert balancer.served_by(30) == {"s1", "s2", "s3"}
 
 
@@ -140,10 +140,10 @@
     balancer = serving_balancer(make_balancer, "s1", "s2", "s3")
 
     write_atomic(balancer.endpoint_file, balancer.document("s2", generation=2))
-    digest = balancer.logged("endpoint_file_approval_required")["digest"]
+    digest = balancer.wait_for_event("endpoint_file_approval_required")["digest"]
     write_atomic(balancer.approval_file, json.dumps({"digest": digest}).encode())
 
-    assert balancer.wait_accepted()["generation"] == 2
+    assert balancer.wait_until_accepted()["generation"] == 2
     assert balancer.served_by() == {"s2"}
 
 
@@ -156,11 +156,13 @@
 
     watch, _ = balancer.discovery.watch()
     watch.begin_watch()
-    watch.chunk(2, balancer.discovered("s1", phase="draining"), balancer.discovered("s2", phase="gone"))
-    balancer.wait_served_by({"s3"})
+    watch.send_endpoint_list(
+        2, balancer.discovered("s1", phase="draining"), balancer.discovered("s2", phase="gone")
+    )
+    balancer.wait_until_served_by({"s3"})
 
     write_atomic(balancer.endpoint_file, balancer.document("s1", "s2", "s3", generation=2, weight=3.0))
-    balancer.wait_accepted()
+    balancer.wait_until_accepted()
     assert balancer.served_by() == {"s3"}
     staying_client.send("echo")
     assert staying_client.line() == "echo"
@@ -176,7 +178,7 @@
         balancer.write_operator(recheck_s=0.3 + generation / 100)
         write_atomic(balancer.endpoint_file, balancer.document(*names, generation=generation))
         balancer.process.send_signal(signal.SIGHUP)
-        balancer.wait_generation(generation)
+        balancer.wait_for_generation(generation)
         assert balancer.served_by(20) == set(names)
 
 
@@ -187,12 +189,12 @@
 
     balancer.operator_file.write_text('{"servers": {"mode": "overide"}}')
     balancer.process.send_signal(signal.SIGHUP)
-    assert "did you mean" in balancer.logged("operator_file_reload_rejected")["reasons"][0]
+    assert "did you mean" in balancer.wait_for_event("operator_file_reload_rejected")["reasons"][0]
     assert balancer.served_by(20) == {"s1", "s3"}
 
     balancer.operator_file.write_text("{}")
     balancer.process.send_signal(signal.SIGHUP)
-    balancer.logged("operator_file_reloaded")
+    balancer.wait_for_event("operator_file_reloaded")
     assert balancer.served_by(20) == {"s1", "s2"}
 
 
@@ -203,7 +205,7 @@
     balancer.endpoint_file.write_bytes(balancer.document("s3"))
     balancer.start_with_known_servers()
     assert balancer.served_by() == {"s1", "s2"}  # discovery is not lost before after_s
-    while balancer.wait_source() != "file":
+    while balancer.wait_for_source() != "file":
         pass
     assert balancer.served_by() == {"s3"}
 
@@ -211,14 +213,14 @@
         watch, _ = balancer.discovery.watch()
         watch.begin_watch()
         members = [balancer.discovered("s1"), balancer.discovered("s2")]
-        watch.chunk(10 * generation, *members, complete=True)
-        assert balancer.wait_source() == "discovery"
+        watch.send_endpoint_list(10 * generation, *members, complete=True)
+        assert balancer.wait_for_source() == "discovery"
         assert balancer.served_by(20) == {"s1", "s2"}
 
         write_atomic(balancer.endpoint_file, balancer.document(name, generation=generation))
-        balancer.wait_accepted()
+        balancer.wait_until_accepted()
         watch.close()
-        assert balancer.wait_source() == "file"
+        assert balancer.wait_for_source() == "file"
         assert balancer.served_by() == {name}
 
 
@@ -243,24 +245,24 @@
     make_balancer: MakeBalancer,
 ) -> None:
     balancer = serving_balancer(make_balancer, "s1", "s3", known=(), state_dir="state")
-    stored_copy = balancer.state_folder / "servers-last-good.json"
+    stored_copy = balancer.state_directory / "servers-last-good.json"
     wait_until_exists(stored_copy)
     balancer.stop()
 
     balancer.endpoint_file.write_bytes(b'{"servers": [{"id"')
     move_timestamp_a_day_ahead(stored_copy)
     balancer.start_with_known_servers()
-    entry = balancer.wait_accepted()
+    entry = balancer.wait_until_accepted()
     assert (entry["origin"], entry["clock_went_back"]) == ("last_known_good", True)
-    balancer.logged("endpoint_file_rejected")
+    balancer.wait_for_event("endpoint_file_rejected")
     assert balancer.served_by() == {"s1", "s3"}
     balancer.stop()
 
     stored_copy.write_bytes(stored_copy.read_bytes()[:-20])
     balancer.endpoint_file.write_bytes(balancer.document("s2"))
     balancer.start_with_known_servers()
-    balancer.logged("last_known_good_rejected")
-    assert balancer.wait_accepted()["origin"] == "file"
+    balancer.wait_for_event("last_known_good_rejected")
+    assert balancer.wait_until_accepted()["origin"] == "file"
     assert balancer.served_by() == {"s2"}
 
 
@@ -271,6 +273,6 @@
 
     balancer.start_with_known_servers()
 
-    assert balancer.logged("last_known_good_write_failed")["reason"] == "File too large"
-    assert os.listdir(balancer.state_folder) == []
+    assert balancer.wait_for_event("last_known_good_write_failed")["reason"] == "File too large"
+    assert os.listdir(balancer.state_directory) == []
     assert balancer.served_by() == {"s1", "s2"}
--- a/tests/store/member_replacement.py
+++ b/tests/store/member_replacement.py
@@ -16,7 +16,7 @@
 
 NO_VOTERS = "-"
 """Value of `voters` for `ProcessCluster.start` with which a member joins and connects to all peers."""
-MAX_LEADERLESS_S = 5.0
+MAX_TIME_TO_NEXT_WRITE_S = 5.0
 """Maximum time to the next acknowledged write after the faults of a round; stated in docs/store.md."""
 MAX_FAULT_DELAY_S = 0.06
 """A membership change takes some milliseconds, so the fault occurs before, during or after the change."""
@@ -34,7 +34,7 @@
     voters: str
     target: str
     fault: str
-    leaderless_s: float
+    time_to_next_write_s: float
 
 
 class MemberReplacement:
@@ -58,7 +58,7 @@
                 self._cluster.start(name, voters=NO_VOTERS)
                 await client.put("started", name.encode())
 
-    async def play(self, number: int) -> Round:
+    async def run_round(self, number: int) -> Round:
         """Replace one voter under a fault, and wait until the change is complete and all members run."""
         with closing(self._cluster.client(CHANGE_TIMEOUT_S)) as client:
             leader = await client.find_leader()
@@ -72,10 +72,10 @@
             await asyncio.sleep(self._rng.uniform(0.0, MAX_FAULT_DELAY_S))
             fault = self._rng.choice(FAULTS)
             description = await fault(self, leader.name, leader.voters)
-            leaderless_s = await self._time_to_next_write()
+            time_to_next_write_s = await self._time_to_next_write()
             self._end_faults()
             await change
-        return Round(number, "".join(leader.voters), "".join(target), description, leaderless_s)
+        return Round(number, "".join(leader.voters), "".join(target), description, time_to_next_write_s)
 
     async def kill_leader(self, leader: str, _voters: list[str]) -> str:
         """Kill the leader."""
--- a/tests/store/process_cluster.py
+++ b/tests/store/process_cluster.py
@@ -40,8 +40,8 @@
     """Members as processes, whose messages to each other pass through the fault proxy.
 
     The constructor starts the fault proxy, `start` starts members, and `close` ends all processes. The
-    directories of the members remain in `root`. If `direct` is set, the members are connected without the
-    fault proxy, and do not print the entries that they apply.
+    directories of the members remain in `root`. If `without_fault_proxy` is set, the members connect to each
+    other directly, and do not print the entries that they apply.
     """
 
     def __init__(
@@ -50,13 +50,13 @@
         seed: int,
         names: str = "abcde",
         compact_every: int = 40,
-        direct: bool = False,
+        without_fault_proxy: bool = False,
     ) -> None:
         self.root = root
         self.seed = seed
         self.names = names
         self.compact_every = compact_every
-        self.direct = direct
+        self.without_fault_proxy = without_fault_proxy
         pairs = [(sender, recipient) for sender in names for recipient in names if sender != recipient]
         ports = iter(find_free_ports(2 * len(names) + len(pairs)))
         self.peer_ports = {name: next(ports) for name in names}
@@ -88,7 +88,8 @@
         joins = bool(voters) and name not in voters
         peers = [peer for peer in self.names if peer != name and (joins or not voters or peer in voters)]
         ports = {
-            peer: self.peer_ports[peer] if self.direct else self.proxy_ports[name, peer] for peer in peers
+            peer: self.peer_ports[peer] if self.without_fault_proxy else self.proxy_ports[name, peer]
+            for peer in peers
         }
         options = {
             "--name": name,
@@ -101,7 +102,7 @@
         arguments = [f"{option}={value}" for option, value in options.items()]
         arguments += [f"--peer={peer}={port}" for peer, port in ports.items()]
         arguments += ["--join"] if joins else []
-        arguments += [] if self.direct else ["--trace"]
+        arguments += [] if self.without_fault_proxy else ["--trace"]
         return arguments
 
     def start_missing(self) -> None:
@@ -174,7 +175,7 @@
     return output
 
 
-def check_applied(output: OutputByMember) -> int:
+def check_member_output(output: OutputByMember) -> int:
     """Check the output of all members, and return the number of applied entries.
 
     A term must have one leader, an index must have one entry, and a member must apply entries in the order of
--- a/tests/store/test_linearizability.py
+++ b/tests/store/test_linearizability.py
@@ -1,4 +1,4 @@
-"""`is_linearizable` and `check_applied`: both accept correct histories and reject incorrect ones."""
+"""`is_linearizable` and `check_member_output`: both accept correct histories and reject incorrect ones."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 import pytest
 from linearizability import Kind, Operation, is_linearizable
-from process_cluster import OutputByMember, check_applied
+from process_cluster import OutputByMember, check_member_output
 
 put = partial(Operation, Kind.PUT)
 get = partial(Operation, Kind.GET)
@@ -49,4 +49,4 @@
 )
 def test_contradictory_output_of_members_is_rejected(output: OutputByMember, message: str) -> None:
     with pytest.raises(AssertionError, match=message):
-        check_applied(output)
+        check_member_output(output)
--- a/tests/store/test_member_replacement.py
+++ b/tests/store/test_member_replacement.py
@@ -8,8 +8,8 @@
 import random
 from pathlib import Path
 
-from member_replacement import MAX_LEADERLESS_S, MemberReplacement, Round
-from process_cluster import ProcessCluster, check_applied, run_scenario
+from member_replacement import MAX_TIME_TO_NEXT_WRITE_S, MemberReplacement, Round
+from process_cluster import ProcessCluster, check_member_output, run_scenario
 
 ROUNDS = 3
 
@@ -21,8 +21,8 @@
     async def scenario(cluster: ProcessCluster) -> None:
         replacement = MemberReplacement(cluster, random.Random(1))
         await replacement.start("abc")
-        rounds.extend([await replacement.play(number) for number in range(ROUNDS)])
+        rounds.extend([await replacement.run_round(number) for number in range(ROUNDS)])
 
     output = run_scenario(ProcessCluster(tmp_path, 1, "abcd"), scenario, voters="abc")
-    assert check_applied(output) > ROUNDS
-    assert [each for each in rounds if each.leaderless_s > MAX_LEADERLESS_S] == []
+    assert check_member_output(output) > ROUNDS
+    assert [each for each in rounds if each.time_to_next_write_s > MAX_TIME_TO_NEXT_WRITE_S] == []
--- a/tests/store/test_store_server.py
+++ b/tests/store/test_store_server.py
@@ -15,7 +15,7 @@
 
 import pytest
 from linearizability import is_linearizable
-from process_cluster import ProcessCluster, check_applied, run_scenario
+from process_cluster import ProcessCluster, check_member_output, run_scenario
 from process_faults import inject_faults
 from register_user import Histories, RegisterUser
 from store_command import run_store_command
@@ -82,7 +82,7 @@
         answered = sum(operation.is_answered for history in histories.values() for operation in history)
         assert answered > 30, f"seed {seed}: only {answered} answered, faults {faults}"
 
-    assert check_applied(run_scenario(ProcessCluster(tmp_path, seed), scenario)) > 30
+    assert check_member_output(run_scenario(ProcessCluster(tmp_path, seed), scenario)) > 30
 
 
 async def run_command(cluster: ProcessCluster, *arguments: str) -> str:
@@ -120,7 +120,7 @@
         client.close()
 
     output = run_scenario(ProcessCluster(tmp_path, 1, "abcd"), scenario, voters="abc")
-    assert check_applied(output) > 100
+    assert check_member_output(output) > 100
     assert any(line.startswith("snapshot") for line in output["d"])
 
 
--- a/tests/support/balancer.py
+++ b/tests/support/balancer.py
@@ -80,7 +80,7 @@
         settings: the settings that differ from SETTINGS.
         server: the listener of the server.
         discovery: the listener of discovery.
-        folder: the temporary directory, which contains the configuration file.
+        temporary_directory: the directory that contains the configuration file.
         listen: the address that the balancer listens on, once the configuration is written.
     """
 
@@ -90,13 +90,13 @@
         self.settings = settings
         self.server = Listener()
         self.discovery = Listener()
-        self.folder = tempfile.TemporaryDirectory()
-        super().__init__(Path(self.folder.name) / "config.json")
+        self.temporary_directory = tempfile.TemporaryDirectory()
+        super().__init__(Path(self.temporary_directory.name) / "config.json")
 
     def close(self) -> None:
         """End the process and remove the temporary directory."""
         self.stop()
-        self.folder.cleanup()
+        self.temporary_directory.cleanup()
 
     def member(self, name: str = "s1", **changes: Any) -> dict[str, Any]:
         """Return a ready server in the format of discovery, by default with the address of `server`."""
@@ -174,7 +174,7 @@
         """
         self.path.write_text(text or json.dumps(json.loads(self.path.read_text()) | changes))
         self.process.send_signal(signal.SIGHUP)
-        return self.logged("config_reloaded", "config_reload_rejected")
+        return self.wait_for_event("config_reloaded", "config_reload_rejected")
 
     def client(self) -> Peer:
         """Return a new connection to the balancer."""
@@ -190,8 +190,8 @@
     def open(
         self,
         number: int = 1,
-        wait: int = 9000,
-        more: str = "",
+        timeout_ms: int = 9000,
+        more_fields: str = "",
         group: str = "abc",
         client: Peer | None = None,
     ) -> Peer:
@@ -199,13 +199,13 @@
 
         Args:
             number: the number from which the request id and the idempotency key are made.
-            wait: the deadline of the client, in milliseconds.
-            more: additional fields of the line, each after a comma.
+            timeout_ms: the deadline of the client, in milliseconds.
+            more_fields: additional fields of the line, each after a comma.
             group: the affinity group.
             client: the connection to use, by default a new one.
         """
         client = client or self.client()
-        client.send(f"OPEN {number:016x} key{number} c=web,d={wait},g={group}{more}")
+        client.send(f"OPEN {number:016x} key{number} c=web,d={timeout_ms},g={group}{more_fields}")
         return client
 
     def establish(self, number: int = 1, group: str = "abc") -> tuple[Peer, Peer]:
--- a/tests/support/balancer_process.py
+++ b/tests/support/balancer_process.py
@@ -49,7 +49,7 @@
 
         Args:
             files: the limit on open files.
-            stderr: where the log goes. `logged` and `counters` need the default.
+            stderr: where the log goes. `wait_for_event` and `counters` need the default.
             variables: additional environment variables.
         """
         environ = {key: value for key, value in os.environ.items() if not key.startswith("RELAY_")}
@@ -98,7 +98,7 @@
         would run after the pause.
         """
         self.terminate()
-        self.logged("shutdown_started")
+        self.wait_for_event("shutdown_started")
         self.counters()
 
     def wait(self) -> int:
@@ -114,7 +114,7 @@
         self._process = None
         return errors
 
-    def logged(self, *events: str) -> dict[str, Any]:
+    def wait_for_event(self, *events: str) -> dict[str, Any]:
         """Wait for a log entry with one of these events, and return it. Earlier entries are dropped."""
         assert self.process.stderr
         watchdog = threading.Timer(TIMEOUT_S, self.process.kill)  # ends the log, and with it the wait
@@ -132,7 +132,7 @@
     def counters(self) -> dict[str, int]:
         """Send SIGUSR1, and return the counters that the process logs. Earlier log entries are dropped."""
         self.process.send_signal(signal.SIGUSR1)
-        return self.logged("counters_reported")
+        return self.wait_for_event("counters_reported")
 
     def wait_for_counter(self, name: str, minimum: int) -> dict[str, int]:
         """Wait until this counter has at least this value, and return all counters."""
--- a/tests/support/command_line_folder.py
+++ b/tests/support/command_line_fixtures.py
@@ -17,7 +17,7 @@
 
 
 @pytest.fixture
-def folder(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Path:
+def working_directory(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Path:
     """Create a temporary directory with files, make it the working directory of the test, and return it.
 
     `new.json` lists three servers, `few.json` one of them. `bad.json` is an invalid endpoint file. `op.json`
@@ -33,7 +33,7 @@
 
 
 @pytest.fixture
-def live_file(folder: Path) -> Path:
-    """Publish `new.json` as `live.json` in `folder`, and return the path of `live.json`."""
+def live_file(working_directory: Path) -> Path:
+    """Publish `new.json` as `live.json` in `working_directory`, and return the path of `live.json`."""
     assert run_command("servers", "publish", "new.json", "live.json").status == 0
-    return folder / "live.json"
+    return working_directory / "live.json"
--- a/tests/support/described_balancer.py
+++ b/tests/support/described_balancer.py
@@ -32,7 +32,7 @@
 
     def __init__(self) -> None:
         super().__init__({"classes": [CLASS_SETTINGS | {"name": name} for name in CLASS_NAMES]})
-        base = Path(self.folder.name)
+        base = Path(self.temporary_directory.name)
         self.descriptions = base / "api"
         self.descriptions.mkdir()
         self.description = self.descriptions / "shop.yaml"
@@ -73,7 +73,7 @@
         referenced.write_text(f"get: {{x-wheatstile-class: reads, {RESPONSES}}}\n")
         self.write_description("  /s: {$ref: 'parts/p.yaml'}\n")
         self.start_with_two_zones()
-        assert self.logged("descriptions_applied")["classes"] == {"reads": "safe"}
+        assert self.wait_for_event("descriptions_applied")["classes"] == {"reads": "safe"}
         return referenced
 
     def attempts(self, service_class: str) -> tuple[list[str], str]:
--- a/tests/support/peer.py
+++ b/tests/support/peer.py
@@ -47,7 +47,7 @@
         assert self.buffer == b""
         return lines
 
-    def ends(self) -> bool:
+    def wait_for_end(self) -> bool:
         """Wait for a line or the end of the connection, and return whether the connection ends first."""
         try:
             return self.line() == ""
@@ -58,7 +58,7 @@
         """Answer a call to discovery with the response headers of a watch."""
         self.send("HTTP/1.1 200 OK", "Transfer-Encoding: chunked", "")
 
-    def chunk(self, revision: int, *members: dict[str, Any], complete: bool = False) -> None:
+    def send_endpoint_list(self, revision: int, *members: dict[str, Any], complete: bool = False) -> None:
         """Send an endpoint list on a watch, as one chunk. If `complete`, it replaces the previous list."""
         body = json.dumps({"revision": revision, "complete": complete, "members": members}) + "\n"
         self.send(f"{len(body):x}", body)
@@ -166,7 +166,7 @@
         """Wait until a connect to this socket is pending."""
         deadline_s = time.monotonic() + TIMEOUT_S
         while not self.is_connecting():
-            assert time.monotonic() < deadline_s, f"nobody connects to {self.address}"
+            assert time.monotonic() < deadline_s, f"no connect to {self.address} is pending"
             time.sleep(POLL_INTERVAL_S)
 
     def accept_waiting(self, backlog_sockets: list[socket.socket]) -> Peer:
--- a/tests/support/served_balancer.py
+++ b/tests/support/served_balancer.py
@@ -33,12 +33,12 @@
         self.known = known
         self.section = section
         self.echo_servers = EchoServers(SERVERS)
-        base = Path(self.folder.name)
+        base = Path(self.temporary_directory.name)
         self.endpoint_file = base / "servers.json"
         self.approval_file = base / "servers.json.accept"
         self.operator_file = base / "operator.json"
-        self.state_folder = base / "state"
-        self.state_folder.mkdir()
+        self.state_directory = base / "state"
+        self.state_directory.mkdir()
         self.arguments = ("serve", "--file", str(self.operator_file))
         self.write_operator()
         self._numbers = itertools.count(1)
@@ -71,18 +71,18 @@
         """Start the balancer with the servers of `known`, and wait until it serves."""
         self.start([self.discovered(name) for name in self.known])
 
-    def wait_accepted(self) -> dict[str, Any]:
+    def wait_until_accepted(self) -> dict[str, Any]:
         """Wait until an endpoint file is accepted, and return the log entry."""
-        return self.logged(ACCEPTED_EVENT)
+        return self.wait_for_event(ACCEPTED_EVENT)
 
-    def wait_generation(self, generation: int) -> None:
+    def wait_for_generation(self, generation: int) -> None:
         """Wait until the endpoint file with this generation is accepted."""
-        while self.wait_accepted()["generation"] != generation:
+        while self.wait_until_accepted()["generation"] != generation:
             pass
 
-    def wait_source(self) -> str:
+    def wait_for_source(self) -> str:
         """Wait until a source of endpoints is selected, and return its name."""
-        source: str = self.logged("endpoint_source_selected")["source"]
+        source: str = self.wait_for_event("endpoint_source_selected")["source"]
         return source
 
     def open_client(self, group: str | None = None) -> Peer:
@@ -105,7 +105,7 @@
         assert {self.reply_to_new_client() for _ in range(clients)} == {"UP"}
         return set(self.echo_servers.opened - before)
 
-    def wait_served_by(self, names: set[str]) -> None:
+    def wait_until_served_by(self, names: set[str]) -> None:
         """Open six sessions at a time until their servers are exactly these."""
         deadline_s = time.monotonic() + TIMEOUT_S
         while self.served_by(6) != names:
--- a/wheatstile/decisions/admission.py
+++ b/wheatstile/decisions/admission.py
@@ -41,7 +41,7 @@
 
     @property
     def is_reduced(self) -> bool:
-        """Whether failures have reduced the rate below its initial value."""
+        """True if failures have reduced the rate below its initial value."""
         return self.bucket.rate < INITIAL_RATE
 
     def on_attempt_failed(self, outcome: api.AttemptOutcome) -> None:
--- a/wheatstile/decisions/connection.py
+++ b/wheatstile/decisions/connection.py
@@ -75,7 +75,7 @@
 
     @property
     def is_established(self) -> bool:
-        """Whether the connection is open."""
+        """True if the connection is open."""
         return self.phase is _ESTABLISHED
 
     def wait_for_candidates(self, candidates: list[Server]) -> None:
--- a/wheatstile/decisions/server_load.py
+++ b/wheatstile/decisions/server_load.py
@@ -43,7 +43,7 @@
 
     @property
     def is_measured(self) -> bool:
-        """Whether a load was reported and no health check has failed since then."""
+        """True if a load was reported and no health check has failed since then."""
         return self.value is not None and self.value != UNREACHABLE_LOAD
 
     def record_report(self, report: LoadReport, now_us: int) -> None:
--- a/wheatstile/descriptions/compile_types.py
+++ b/wheatstile/descriptions/compile_types.py
@@ -44,8 +44,8 @@
     """Options of a compilation, from the operator's file, the platform's settings and the command line."""
 
     max_attempts: int  # per request; 1: no retries
-    require_class: bool = False  # whether an operation without a class is a conflict
-    strict: bool = False  # whether warnings are treated as conflicts
+    require_class: bool = False  # True if an operation without a class is a conflict
+    strict: bool = False  # True if warnings are treated as conflicts
 
 
 @dataclass(frozen=True, slots=True)
--- a/wheatstile/descriptions/document_folder.py
+++ b/wheatstile/descriptions/document_folder.py
@@ -1,4 +1,4 @@
-"""Reads description files below one folder, and no file outside it."""
+"""Reads description files below one directory, and no file outside it."""
 
 import os
 from pathlib import Path
@@ -14,9 +14,9 @@
 
 
 class DocumentFolder:
-    """The documents below one folder. Each file is read only once.
+    """The documents below one directory. Each file is read only once.
 
-    read_files: the paths of all files that have been read, shared by all folders of one call of
+    read_files: the paths of all files that have been read, shared by all directories of one call of
     `reader.read_descriptions`.
     """
 
@@ -29,7 +29,7 @@
         """Return the document in this file. Raises ValueError or InvalidDescriptionError."""
         real_path = Path(os.path.realpath(path))
         if not real_path.is_relative_to(self.root):
-            raise ValueError(f"{path} is a link to a file outside the folder {self.root}")
+            raise ValueError(f"{path} is a link to a file outside the directory {self.root}")
         return self._store.root(real_path.as_uri())
 
     def value_at(self, uri: str) -> JsonValue:
@@ -39,7 +39,7 @@
     def _retrieve(self, uri: str) -> ParsedFile:
         path = Path(os.path.realpath(unquote(urlsplit(uri).path)))
         if not path.is_relative_to(self.root):
-            raise ValueError(f"is outside the folder {self.root}")
+            raise ValueError(f"is outside the directory {self.root}")
         return self._read(path)
 
     def _read(self, path: Path) -> ParsedFile:
@@ -56,6 +56,6 @@
 
 
 def _display_name(path: Path) -> str:
-    """Return the file name for findings: a relative path if the file is below the current folder."""
+    """Return the file name for findings: a relative path if the file is below the current directory."""
     relative = os.path.relpath(path)
     return str(path) if relative.startswith("..") else relative
--- a/wheatstile/descriptions/extensions.py
+++ b/wheatstile/descriptions/extensions.py
@@ -29,7 +29,7 @@
 from wheatstile.descriptions.references import DocumentNode
 from wheatstile.interface import DeduplicationScope, Idempotency
 
-MICROSECONDS_PER_MILLISECOND = 1000
+US_PER_MS = 1000
 TIMEOUT_LIMIT_MS = 1e9
 WINDOW_LIMIT_S = 1e8
 
@@ -55,7 +55,7 @@
 
     @property
     def lacks_reason(self) -> bool:
-        """Whether the extension declares an operation idempotent without giving a reason."""
+        """True if the extension declares an operation idempotent without giving a reason."""
         return self.idempotency is Idempotency.IDEMPOTENT and not self.because
 
     def retry_safety(self) -> RetrySafety:
@@ -94,7 +94,7 @@
     if node is None:
         return NO_TIMEOUT
     timeout_ms = _positive_number(node, TIMEOUT_LIMIT_MS, "milliseconds")
-    return DeclaredTimeout(int(timeout_ms * MICROSECONDS_PER_MILLISECOND), node.location)
+    return DeclaredTimeout(int(timeout_ms * US_PER_MS), node.location)
 
 
 def retry_extension_of(*holders: DocumentNode) -> RetryExtension | None:
--- a/wheatstile/descriptions/file_states.py
+++ b/wheatstile/descriptions/file_states.py
@@ -26,8 +26,8 @@
     files = {os.path.realpath(file) for file in referenced_files}
     for path in paths:
         files.add(os.path.realpath(path))
-        for folder, _, names in os.walk(path):  # does not iterate if the path is a file
-            files.update(os.path.realpath(os.path.join(folder, name)) for name in names)
+        for directory, _, names in os.walk(path):  # does not iterate if the path is a file
+            files.update(os.path.realpath(os.path.join(directory, name)) for name in names)
     states = []
     for file in sorted(files)[:MAX_FILES]:
         with suppress(OSError):
--- a/wheatstile/descriptions/reader.py
+++ b/wheatstile/descriptions/reader.py
@@ -1,4 +1,4 @@
-"""Reads descriptions from files and folders, and compiles them with the operator's rules."""
+"""Reads descriptions from files and directories, and compiles them with the operator's rules."""
 
 import json
 from collections.abc import Iterable, Mapping
@@ -53,22 +53,22 @@
 
 
 def read_descriptions(paths: Iterable[str | Path]) -> DescriptionSet:
-    """Read the descriptions at these paths. For a folder, read all description files below it.
+    """Read the descriptions at these paths. For a directory, read all description files below it.
 
     Raises InvalidDescriptionError with every finding.
     """
     result = DescriptionSet()
     findings: list[Finding] = []
     for path in map(Path, paths):
-        is_folder = path.is_dir()
-        folder = DocumentFolder(path if is_folder else path.parent, result.files)
-        files = _description_files(path) if is_folder else [path]
+        is_directory = path.is_dir()
+        directory = DocumentFolder(path if is_directory else path.parent, result.files)
+        files = _description_files(path) if is_directory else [path]
         if not files:
             location = SourceLocation(str(path), 1, "")
             findings.append(Finding(location, f"contains no file with a suffix of {', '.join(SUFFIXES)}"))
         for file in files:
             try:
-                description = _read_description(folder, file, may_be_part=is_folder)
+                description = _read_description(directory, file, may_be_part=is_directory)
             except InvalidDescriptionError as error:
                 findings += error.findings
             except (ValueError, RecursionError) as error:
@@ -82,17 +82,17 @@
     return result
 
 
-def _description_files(folder: Path) -> list[Path]:
-    return sorted(file for file in folder.rglob("*") if file.suffix in SUFFIXES and file.is_file())
+def _description_files(directory: Path) -> list[Path]:
+    return sorted(file for file in directory.rglob("*") if file.suffix in SUFFIXES and file.is_file())
 
 
-def _read_description(folder: DocumentFolder, path: Path, *, may_be_part: bool) -> Description | None:
+def _read_description(directory: DocumentFolder, path: Path, *, may_be_part: bool) -> Description | None:
     """Return the description in a file; None if the file is only a part that other files refer to.
 
     may_be_part: whether a file without a format key is assumed to be such a part. Otherwise it is an error.
     Raises InvalidDescriptionError or ValueError.
     """
-    root = folder.document(path)
+    root = directory.document(path)
     document = root.value
     if not isinstance(document, dict) or not any(key in document for key in FORMAT_KEYS):
         if may_be_part:
@@ -103,7 +103,7 @@
     if findings := reference_findings(root):
         raise InvalidDescriptionError(findings)
     if (version := version_of(document, openapi.VERSION_KEY, openapi.VERSIONS)) is not None:
-        if findings := validate_openapi(root, version, folder.value_at):
+        if findings := validate_openapi(root, version, directory.value_at):
             raise InvalidDescriptionError(findings)
         return openapi.read_openapi(root, version)
     if (version := version_of(document, asyncapi.VERSION_KEY, asyncapi.VERSIONS)) is not None:
--- a/wheatstile/descriptions/references.py
+++ b/wheatstile/descriptions/references.py
@@ -107,7 +107,7 @@
     """Loads files by URI and resolves the references in them. Ignores the identifiers (`$id`) of schemas.
 
     retrieve: reads and parses the file at a URI. Raises ValueError for a file that cannot be read or that is
-    outside the folder.
+    outside the directory.
     """
 
     def __init__(self, retrieve: Callable[[URI], ParsedFile]) -> None:
@@ -156,7 +156,7 @@
     """
     uri, fragment = urldefrag(urljoin(node.uri, reference))
     if urlsplit(uri).scheme != FILE_SCHEME:
-        reason = f'"{reference}" is a network address; references must stay within the folder'
+        reason = f'"{reference}" is a network address; references must stay within the directory'
         raise InvalidDescriptionError.at(node.location, reason)
     pointer = unquote(fragment)
     if pointer and not pointer.startswith("/"):
--- a/wheatstile/descriptions/section.py
+++ b/wheatstile/descriptions/section.py
@@ -71,9 +71,7 @@
         self.compiled_classes: CompiledClasses = {}
         self._config: Config
         self._task: asyncio.Task[None] | None = None
-        self._request = (
-            b""  # current request to the worker; empty before the first call of `apply_operator_file`
-        )
+        self._request = b""  # current request to the worker; empty until `apply_operator_file` is called
         self._read_files: list[str] = []  # files that the last compilation read, including referenced files
         self._compiled_files: list[FileState] | None = None  # states of the files at the last compilation
         if startup:
--- a/wheatstile/descriptions/worker_protocol.py
+++ b/wheatstile/descriptions/worker_protocol.py
@@ -23,7 +23,7 @@
 )
 from wheatstile.interface import DeduplicationScope, Idempotency
 
-MICROSECONDS_PER_MILLISECOND = 1000
+US_PER_MS = 1000
 REJECTION_KEY = "refused"  # distinguishes a RejectionMessage from a SummaryMessage
 
 
@@ -184,7 +184,7 @@
             service_class.idempotency,
             service_class.deduplication_scope,
             service_class.deduplication_window_us,
-            deadlines_ms.get(name, 0) * MICROSECONDS_PER_MILLISECOND,
+            deadlines_ms.get(name, 0) * US_PER_MS,
         )
         for name, service_class in config.settings.classes.items()
     }
--- a/wheatstile/fault_proxy/proxy.py
+++ b/wheatstile/fault_proxy/proxy.py
@@ -35,7 +35,7 @@
     """The options of a fault proxy."""
 
     routes: Sequence[Route]
-    frames: bool = False  # whether the streams consist of length-prefixed frames
+    frames: bool = False  # True if the streams consist of length-prefixed frames
     seed: int = 0  # seed for random loss, duplication and jitter
     control_port: int | None = None  # port on loopback; 0 for any free port, None for no control port
     script: Sequence[ScheduledCommand] = ()
--- a/wheatstile/interface/endpoint.py
+++ b/wheatstile/interface/endpoint.py
@@ -23,7 +23,7 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether the server accepts new connections."""
+        """True if the server accepts new connections."""
         return self.state == _READY
 
     def shares_scope(self, other: "Endpoint", scope: DeduplicationScope) -> bool:
--- a/wheatstile/interface/enumerations.py
+++ b/wheatstile/interface/enumerations.py
@@ -65,17 +65,17 @@
 
     @property
     def is_ok(self) -> bool:
-        """Whether the outcome is OK."""
+        """True if the outcome is OK."""
         return self is _OK
 
     @property
     def is_failure(self) -> bool:
-        """Whether the outcome counts as a failure of the server."""
+        """True if the outcome counts as a failure of the server."""
         return self not in _NON_FAILURES
 
     @property
     def may_have_run(self) -> bool:
-        """Whether the server may have acted on the request."""
+        """True if the server may have acted on the request."""
         return self not in _CANNOT_HAVE_RUN
 
 
--- a/wheatstile/interface/settings.py
+++ b/wheatstile/interface/settings.py
@@ -30,7 +30,7 @@
 
     @property
     def is_client_retry_harmless(self) -> bool:
-        """Whether the client may retry at any balancer after an attempt that may have run."""
+        """True if the client may retry at any balancer after an attempt that may have run."""
         is_keyed = self.idempotency == Idempotency.IDEMPOTENCY_KEY
         is_discarded_anywhere = is_keyed and self.deduplication_scope == DeduplicationScope.ALL
         return is_discarded_anywhere or self.idempotency == Idempotency.IDEMPOTENT
@@ -48,13 +48,13 @@
     slow_start_duration_us: int  # time from the start of a server to its full capacity
     slow_start_overload_factor: float  # multiple of its current capacity that a starting server withstands
     slow_start_overload_window_us: int = 1_500_000  # window over which that multiple is measured
-    poll_endpoints: bool = False  # whether the endpoint list must be polled
+    poll_endpoints: bool = False  # True if the endpoint list must be polled
     poll_interval_us: int = 10_000_000  # after this time a balancer is expected to know a changed list
     health_checks_enabled: bool = True
     load_metrics: tuple[str, ...] = ()  # metrics that a load report may contain
-    retry_after_enabled: bool = False  # whether a rejection may tell the client when to retry
+    retry_after_enabled: bool = False  # True if a rejection may tell the client when to retry
     max_retry_after_us: int = 0
-    reports_message_latency: bool = True  # whether MessageLatencyChanged is sent for slow servers
+    reports_message_latency: bool = True  # True if MessageLatencyChanged is sent for slow servers
     cross_zone_cost: float = 0.0  # cost of a request to a server in another zone, in points of the score
 
     def __post_init__(self) -> None:
--- a/wheatstile/net/line_stream.py
+++ b/wheatstile/net/line_stream.py
@@ -64,7 +64,7 @@
 
     @property
     def has_buffered_input(self) -> bool:
-        """Whether the buffer contains bytes that have not been returned to a caller."""
+        """True if the buffer contains bytes that have not been returned to a caller."""
         return self._buffered_bytes > 0
 
     async def read_line(self, cancel_safe: bool = False) -> bytes:
--- a/wheatstile/net/session.py
+++ b/wheatstile/net/session.py
@@ -76,7 +76,7 @@
 
     @property
     def can_migrate(self) -> bool:
-        """Whether the session is established and no migration has been requested."""
+        """True if the session is established and no migration has been requested."""
         return self.established and not self.migration.done()
 
     def unanswered_us(self, now_us: int) -> int:
--- a/wheatstile/net/session_setup.py
+++ b/wheatstile/net/session_setup.py
@@ -127,7 +127,7 @@
         """Reopen a session that was established before this process started.
 
         After a restart all balancers reopen all their connections at once, and a lost packet is retransmitted
-        after 1 s. Connecting may therefore take the whole timeout. The decision module is told of a success.
+        after 1 s. Connecting may therefore take the whole timeout. The decision module learns of a success.
 
         Returns the client's final answer, or None once the session is established.
         """
--- a/wheatstile/resolvers/endpoint_file_activator.py
+++ b/wheatstile/resolvers/endpoint_file_activator.py
@@ -27,7 +27,7 @@
 
 log = structlog.get_logger()
 
-MILLISECONDS_PER_SECOND = 1000
+MS_PER_S = 1000
 
 
 class FileOrigin(StrEnum):
@@ -158,7 +158,7 @@
         self._merger.set_file(endpoint_file)
 
     def _activate_stored(self, stored: LastKnownGood) -> None:
-        age_s = time.time() - stored.accepted_at_ms / MILLISECONDS_PER_SECOND
+        age_s = time.time() - stored.accepted_at_ms / MS_PER_S
         self._activate(
             stored.endpoint_file,
             FileOrigin.LAST_KNOWN_GOOD,
@@ -170,7 +170,7 @@
         """Replace the stored copy. A failure is logged and counted; the file stays active."""
         if self._state_directory is None:
             return
-        accepted_at_ms = int(time.time() * MILLISECONDS_PER_SECOND)
+        accepted_at_ms = int(time.time() * MS_PER_S)
         try:
             await self._worker.call(
                 last_known_good.save, self._state_directory, endpoint_file, accepted_at_ms
--- a/wheatstile/resolvers/endpoint_rows.py
+++ b/wheatstile/resolvers/endpoint_rows.py
@@ -18,7 +18,7 @@
 from wheatstile.resolvers.canonical_json import MAX_EXACT_INTEGER, JsonValue
 
 MAX_WEIGHT_RATIO = 1000.0  # maximum ratio of the largest to the smallest weight in a file
-MICROSECONDS_PER_MILLISECOND = 1000
+US_PER_MS = 1000
 # Maps the values of `state` in the file to endpoint states.
 ENDPOINT_STATES = {"ready": api.EndpointState.READY, "draining": api.EndpointState.DRAINING}
 
@@ -49,7 +49,7 @@
             state=ENDPOINT_STATES[self.state],
             zone=self.site,
             weight=self.weight,
-            started_at_us=(self.started or 0) * MICROSECONDS_PER_MILLISECOND,
+            started_at_us=(self.started or 0) * US_PER_MS,
         )
         return ResolvedEndpoint(endpoint, address)
 
--- a/wheatstile/resolvers/last_known_good.py
+++ b/wheatstile/resolvers/last_known_good.py
@@ -15,7 +15,7 @@
 from wheatstile.resolvers.atomic_write import write_atomic
 from wheatstile.resolvers.canonical_json import SEAL_KEY, JsonValue, digest_of
 from wheatstile.resolvers.endpoint_file import EndpointFile, EndpointFileRules, parse_endpoint_file
-from wheatstile.resolvers.endpoint_rows import ENDPOINT_STATES, MICROSECONDS_PER_MILLISECOND
+from wheatstile.resolvers.endpoint_rows import ENDPOINT_STATES, US_PER_MS
 from wheatstile.resolvers.regular_file import read_regular_file
 
 FILE_NAME = "servers-last-good.json"
@@ -49,7 +49,7 @@
             site=resolved.endpoint.zone,
             weight=resolved.endpoint.weight,
             state=STATE_VALUES[resolved.endpoint.state],
-            started=resolved.endpoint.started_at_us // MICROSECONDS_PER_MILLISECOND,
+            started=resolved.endpoint.started_at_us // US_PER_MS,
         )
 
 
--- a/wheatstile/resolvers/update_guard.py
+++ b/wheatstile/resolvers/update_guard.py
@@ -57,7 +57,7 @@
 
     @property
     def is_blocked(self) -> bool:
-        """Whether the file is rejected or awaits approval."""
+        """True if the file is rejected or awaits approval."""
         return self.outcome in (EvaluationOutcome.REJECTED, EvaluationOutcome.AWAITING_APPROVAL)
 
 
--- a/wheatstile/store/client.py
+++ b/wheatstile/store/client.py
@@ -39,9 +39,9 @@
 
 DEFAULT_TIMEOUT_S = 5.0
 MAX_ATTEMPT_S = 2.0
-"""Time limit for the processing of one attempt by one member."""
+"""Timeout for the processing of one attempt by one member."""
 ATTEMPT_MARGIN_S = 0.5
-"""Added to the time limit of an attempt, so that the reply can arrive."""
+"""Added to the timeout of an attempt, so that the reply can arrive."""
 RETRY_DELAY_S = 0.05
 """Delay before the next member is tried."""
 WATCH_TIMEOUT_S = 3.0
@@ -214,7 +214,7 @@
         raise OutcomeUnknownError(last_failure)
 
     async def _attempt(self, request: Request, remaining_s: float) -> Reply:
-        """Send a request to the current target, with a time limit of up to `MAX_ATTEMPT_S`."""
+        """Send a request to the current target, with a timeout of up to `MAX_ATTEMPT_S`."""
         timeout_ms = max(1, int(min(remaining_s, MAX_ATTEMPT_S) * 1000))
         bounded_request = msgspec.structs.replace(request, timeout_ms=timeout_ms)
         async with asyncio.timeout(min(remaining_s, MAX_ATTEMPT_S + ATTEMPT_MARGIN_S)):
--- a/wheatstile/store/leader_clock.py
+++ b/wheatstile/store/leader_clock.py
@@ -9,7 +9,7 @@
 
 import time
 
-NANOSECONDS_PER_MS = 1_000_000
+NS_PER_MS = 1_000_000
 NOT_STARTED = 0
 """Value of `LeaderClock.term` before this member becomes the leader for the first time."""
 
@@ -30,5 +30,5 @@
 
     def now_ms(self, committed_ms: int) -> int:
         """Return the clock, which is never less than `committed_ms`."""
-        elapsed_ms = (time.monotonic_ns() - self._started_at_ns) // NANOSECONDS_PER_MS
+        elapsed_ms = (time.monotonic_ns() - self._started_at_ns) // NS_PER_MS
         return max(committed_ms, self._base_ms + elapsed_ms)
--- a/wheatstile/store/member_config.py
+++ b/wheatstile/store/member_config.py
@@ -21,6 +21,6 @@
     seed: int = 0
     """Seed of the random election timeouts, combined with the name."""
     trace: bool = False
-    """Whether to print won elections, snapshots and applied entries to standard output; used by tests."""
+    """True if won elections, snapshots and applied entries are printed to standard output; used by tests."""
     compact_every: int = DEFAULT_COMPACT_EVERY
     """Number of applied entries after which the log is compacted into a snapshot."""
