--- a/benchmarks/soak/clients.py
+++ b/benchmarks/soak/clients.py
@@ -88,7 +88,7 @@
             await stream.connect(balancer.listen, CONNECT_TIMEOUT_S)
             if self._rng.random() < IDLE_BEFORE_REQUEST_PROBABILITY and not await self._stay_idle(stream):
                 return
-            if stream.ended():
+            if stream.is_unusable():
                 return
             await self._send_request(stream, balancer)
         finally:
--- a/wheatstile/descriptions/extensions.py
+++ b/wheatstile/descriptions/extensions.py
@@ -18,9 +18,9 @@
     UnknownKeywordError,
 )
 from wheatstile.descriptions.model import (
-    MICROSECONDS_PER_SECOND,
     NO_CLASS,
     NO_TIMEOUT,
+    US_PER_S,
     AssignedClass,
     DeclaredTimeout,
     Extension,
@@ -29,7 +29,7 @@
 from wheatstile.descriptions.references import DocumentNode
 from wheatstile.interface import DeduplicationScope, Idempotency
 
-MICROSECONDS_PER_MILLISECOND = 1000
+US_PER_MS = 1000
 TIMEOUT_LIMIT_MS = 1e9
 WINDOW_LIMIT_S = 1e8
 
@@ -55,7 +55,7 @@
 
     @property
     def lacks_reason(self) -> bool:
-        """Whether the extension declares an operation idempotent without giving a reason."""
+        """True if the extension declares an operation idempotent without giving a reason."""
         return self.idempotency is Idempotency.IDEMPOTENT and not self.because
 
     def retry_safety(self) -> RetrySafety:
@@ -89,12 +89,12 @@
 
 
 def timeout_of(*holders: DocumentNode) -> DeclaredTimeout:
-    """Return the declared time-out; NO_TIMEOUT if none is declared."""
+    """Return the declared timeout; NO_TIMEOUT if none is declared."""
     node = nearest_extension(Extension.TIMEOUT_MS, holders)
     if node is None:
         return NO_TIMEOUT
     timeout_ms = _positive_number(node, TIMEOUT_LIMIT_MS, "milliseconds")
-    return DeclaredTimeout(int(timeout_ms * MICROSECONDS_PER_MILLISECOND), node.location)
+    return DeclaredTimeout(int(timeout_ms * US_PER_MS), node.location)
 
 
 def retry_extension_of(*holders: DocumentNode) -> RetryExtension | None:
@@ -118,7 +118,7 @@
     if window_node is None:
         return Deduplication(scope, 0)
     window_s = _positive_number(window_node, WINDOW_LIMIT_S, "seconds")
-    return Deduplication(scope, int(window_s * MICROSECONDS_PER_SECOND))
+    return Deduplication(scope, int(window_s * US_PER_S))
 
 
 def _keyword_member(node: DocumentNode, table: KeywordTable[Member]) -> Member:
--- a/wheatstile/descriptions/references.py
+++ b/wheatstile/descriptions/references.py
@@ -11,7 +11,7 @@
 from referencing.exceptions import Unresolvable
 from referencing.typing import URI
 
-from wheatstile.config.violations import pointer as pointer_to
+from wheatstile.config.violations import json_pointer
 from wheatstile.descriptions.findings import (
     Finding,
     InvalidDescriptionError,
@@ -83,7 +83,7 @@
         return [(str(key), self._child(key, value)) for key, value in pairs]
 
     def _child(self, key: str | int, value: JsonValue) -> "DocumentNode":
-        return DocumentNode(self.store, self.uri, self.file, self.pointer + pointer_to(key), value)
+        return DocumentNode(self.store, self.uri, self.file, self.pointer + json_pointer(key), value)
 
     def resolved(self) -> "DocumentNode":
         """Return the node, or the node that its chain of references leads to.
@@ -107,7 +107,7 @@
     """Loads files by URI and resolves the references in them. Ignores the identifiers (`$id`) of schemas.
 
     retrieve: reads and parses the file at a URI. Raises ValueError for a file that cannot be read or that is
-    outside the folder.
+    outside the directory.
     """
 
     def __init__(self, retrieve: Callable[[URI], ParsedFile]) -> None:
@@ -156,7 +156,7 @@
     """
     uri, fragment = urldefrag(urljoin(node.uri, reference))
     if urlsplit(uri).scheme != FILE_SCHEME:
-        reason = f'"{reference}" is a network address; references must stay within the folder'
+        reason = f'"{reference}" is a network address; references must stay within the directory'
         raise InvalidDescriptionError.at(node.location, reason)
     pointer = unquote(fragment)
     if pointer and not pointer.startswith("/"):
--- a/wheatstile/net/session.py
+++ b/wheatstile/net/session.py
@@ -49,13 +49,13 @@
         self,
         request: OpenRequest,
         client: ClientStream,
-        decisions: DecisionLoop,
+        decision_loop: DecisionLoop,
         migration: asyncio.Future[MigrationReason],
     ) -> None:
         self.id = request.id
         self.request = request
         self.client = client
-        self.decisions = decisions
+        self.decision_loop = decision_loop
         self.migration = migration
         self.attempt: UpstreamAttempt | None = None
         self.attempt_number = 0
@@ -76,7 +76,7 @@
 
     @property
     def can_migrate(self) -> bool:
-        """Whether the session is established and no migration has been requested."""
+        """True if the session is established and no migration has been requested."""
         return self.established and not self.migration.done()
 
     def unanswered_us(self, now_us: int) -> int:
--- a/wheatstile/resolvers/endpoint_file_activator.py
+++ b/wheatstile/resolvers/endpoint_file_activator.py
@@ -27,7 +27,7 @@
 
 log = structlog.get_logger()
 
-MILLISECONDS_PER_SECOND = 1000
+MS_PER_S = 1000
 
 
 class FileOrigin(StrEnum):
@@ -61,11 +61,11 @@
         self.active_file: EndpointFile | None = None
         self._path = path
         self._mode = MergeMode(settings.mode)
-        self._state_directory = operator.near(settings.state_dir) if settings.state_dir else None
+        self._state_directory = operator.resolve_path(settings.state_dir) if settings.state_dir else None
         self._rules = rules
         self._merger = merger
         self._worker = worker
-        self._problems = ProblemReporter(merger.decisions.counters)
+        self._problems = ProblemReporter(merger.decision_loop.counters)
         # The last file that needed approval. It is kept while later files are invalid or rejected, so that a
         # newer generation can still repeat the removal.
         self._pending: PendingApproval | None = None
@@ -145,7 +145,7 @@
         """Activate the file, and log it with those details that are not empty, zero or False."""
         self.active_file = endpoint_file
         self._problems.reset()
-        self._merger.decisions.counters[f"endpoint_file_accepted_{origin}"] += 1
+        self._merger.decision_loop.counters[f"endpoint_file_accepted_{origin}"] += 1
         log.info(
             "endpoint_file_accepted",
             origin=origin,
@@ -158,7 +158,7 @@
         self._merger.set_file(endpoint_file)
 
     def _activate_stored(self, stored: LastKnownGood) -> None:
-        age_s = time.time() - stored.accepted_at_ms / MILLISECONDS_PER_SECOND
+        age_s = time.time() - stored.accepted_at_ms / MS_PER_S
         self._activate(
             stored.endpoint_file,
             FileOrigin.LAST_KNOWN_GOOD,
@@ -170,13 +170,13 @@
         """Replace the stored copy. A failure is logged and counted; the file stays active."""
         if self._state_directory is None:
             return
-        accepted_at_ms = int(time.time() * MILLISECONDS_PER_SECOND)
+        accepted_at_ms = int(time.time() * MS_PER_S)
         try:
             await self._worker.call(
                 last_known_good.save, self._state_directory, endpoint_file, accepted_at_ms
             )
         except OSError as error:
-            self._merger.decisions.counters["last_known_good_write_failed"] += 1
+            self._merger.decision_loop.counters["last_known_good_write_failed"] += 1
             log.error(
                 "last_known_good_write_failed",
                 folder=str(self._state_directory),
