--- a/tests/config/test_operator.py
+++ b/tests/config/test_operator.py
@@ -57,7 +57,7 @@
         (b"\xef\xbb\xbf{}", "byte order mark"),
         ('{"$schema": "\\ud800"}', "surrogate"),
         ('{"log": 1%s}' % ("1" * 5000), "not valid JSON"),
-        (" " * (operator.MAX_OPERATOR_FILE_BYTES + 1), "the limit is"),
+        (" " * (operator.MAX_OPERATOR_FILE_BYTES + 1), "the file is larger than the limit of"),
     ],
 )  # fmt: skip
 def test_text_that_is_not_an_operators_file_is_rejected_with_the_reason(
@@ -67,7 +67,7 @@
 
 
 @given(st.text(alphabet='{}[]",:\\ \nabtrue1.-eu', max_size=60) | st.text(max_size=30))
-def test_no_text_raises_an_error_of_another_type(text: str) -> None:
+def test_arbitrary_text_raises_only_configuration_errors(text: str) -> None:
     try:
         operator.parse("f", text.encode(errors="replace"))
     except ConfigurationError as rejection:
--- a/tests/config/test_settings.py
+++ b/tests/config/test_settings.py
@@ -43,7 +43,7 @@
     "change",
     [
         lambda settings: settings["classes"][0].update(aimUs=500000.0),
-        lambda settings: settings["familyInfo"].update(messageAimUs=[60000, 5, 7]),  # only one class
+        lambda settings: settings["familyInfo"].update(messageAimUs=[60000, 5, 7]),  # there is only one class
         lambda settings: settings["telemetry"].update(names=["x0", "unheard_of", 7, None]),
         lambda settings: settings.update(unheard_of=[1], accounts=[]),
         lambda settings: settings["limits"].update(unheard_of=None),
--- a/tests/config/test_violations.py
+++ b/tests/config/test_violations.py
@@ -51,4 +51,4 @@
 
 def test_similar_name_is_suggested_and_otherwise_all_names_are_listed() -> None:
     assert suggestion_or_known_names("sarvers", ["servers", "log"]) == ', did you mean "servers"?'
-    assert suggestion_or_known_names("unlike", ["servers", "log"]) == "; known values are log, servers"
+    assert suggestion_or_known_names("unlike", ["servers", "log"]) == "; expected one of log, servers"
--- a/tests/descriptions/test_file_states.py
+++ b/tests/descriptions/test_file_states.py
@@ -5,11 +5,11 @@
 
 import pytest
 
-from wheatstile.descriptions import file_states as module
+from wheatstile.descriptions import file_states as file_states_module
 from wheatstile.descriptions.file_states import file_states
 
 
-def names(states: list[module.FileState]) -> list[str]:
+def names(states: list[file_states_module.FileState]) -> list[str]:
     """Return the names of the files, in the order of their paths."""
     return [Path(state.path).name for state in states]
 
@@ -46,5 +46,5 @@
 
 
 def test_number_of_files_is_bounded(directory: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(module, "MAX_FILES", 2)
-    assert len(file_states([directory])) == module.MAX_FILES
+    monkeypatch.setattr(file_states_module, "MAX_CHECKED_FILES", 2)
+    assert len(file_states([directory])) == file_states_module.MAX_CHECKED_FILES
--- a/tests/descriptions/test_keywords.py
+++ b/tests/descriptions/test_keywords.py
@@ -50,7 +50,7 @@
 for arguments in ("check a.yaml", "routes a.yaml", "routes a.yaml --json", "diff a.yaml b.yaml"):
     print(command(arguments.split(), standalone_mode=False))
 """
-RUN_WORKER_MESSAGES = """
+ENCODE_WORKER_MESSAGES = """
 from wheatstile.descriptions import worker_protocol as protocol
 from wheatstile.interface import DeduplicationScope, Idempotency
 compiled = protocol.CompiledClass(Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.UNKNOWN, 60)
@@ -127,7 +127,9 @@
     assert error.value.allowed == ("safe", "keyed", "unsafe")
 
 
-@pytest.mark.parametrize("program", [RUN_COMMANDS, RUN_WORKER_MESSAGES], ids=["commands", "worker messages"])
+@pytest.mark.parametrize(
+    "program", [RUN_COMMANDS, ENCODE_WORKER_MESSAGES], ids=["commands", "worker messages"]
+)
 def test_output_does_not_depend_on_the_enumeration_values(directory: Path, program: str) -> None:
     output = run(directory, program)
     assert "keyed" in output
--- a/tests/descriptions/test_reader.py
+++ b/tests/descriptions/test_reader.py
@@ -38,7 +38,7 @@
         ("a.yaml", b"b: &b {}\na: {<<: *b}", "merge keys"),
         ("a.yaml", b"? [a]\n: b", "a mapping key is not a string"),
         ("a.yaml", b"a: 1\n---\nb: 2", "more than one document"),
-        ("a.yaml", b"#" * (MAX_FILE_BYTES + 1), "bytes; the limit is"),
+        ("a.yaml", b"#" * (MAX_FILE_BYTES + 1), "the file is larger than the limit of"),
         ("a.yaml", b"", "is not a description"),
     ],
 )
--- a/tests/resolvers/test_endpoint_file.py
+++ b/tests/resolvers/test_endpoint_file.py
@@ -74,7 +74,7 @@
     ),
     ({}, "/servers: is missing"),
     (b"[]", "is not an object"),
-    (b" " * 5001, "the file has 5001 bytes; the limit is 5000"),
+    (b" " * 5001, "the file is larger than the limit of 5000 bytes"),
     (b'{"servers": 1, "servers": 2}', "duplicate key, first defined"),
 ]
 
--- a/tests/resolvers/test_endpoint_merger.py
+++ b/tests/resolvers/test_endpoint_merger.py
@@ -116,7 +116,7 @@
 
 @pytest.mark.usefixtures("merge_in_background", "set_addresses_one_by_one")
 def test_addresses_of_a_superseded_merge_are_corrected(endpoint_directory: Path) -> None:
-    """While addresses are being set, one new server is removed, and one gets its old address back."""
+    """While addresses are being set, a new server is removed, and a moved one gets its old address back."""
 
     async def check() -> None:
         async with running_servers_section(endpoint_directory) as harness:
--- a/tests/resolvers/test_regular_file.py
+++ b/tests/resolvers/test_regular_file.py
@@ -5,7 +5,7 @@
 import pytest
 
 from wheatstile.config.violations import ConfigurationError
-from wheatstile.resolvers.regular_file import opened_regular_file, read_regular_file, snapshot
+from wheatstile.resolvers.regular_file import read_regular_file, regular_file_descriptor, snapshot
 
 
 def test_file_is_read_up_to_one_byte_more_than_the_limit(tmp_path: Path) -> None:
@@ -19,7 +19,7 @@
 def test_version_changes_with_the_content(tmp_path: Path) -> None:
     path = tmp_path / "f"
     path.write_bytes(b"old")
-    with opened_regular_file(path) as descriptor:
+    with regular_file_descriptor(path) as descriptor:
         before = snapshot(descriptor, 10)
         assert snapshot(descriptor, 10).version == before.version
 
--- a/tests/resolvers/test_section.py
+++ b/tests/resolvers/test_section.py
@@ -198,7 +198,7 @@
     assert balancer.served_by(20) == {"s1", "s2"}
 
 
-def test_active_source_changes_with_discovery_that_is_lost_twice_while_the_file_changes(
+def test_active_source_changes_each_time_discovery_is_lost_or_recovers(
     make_balancer: MakeBalancer,
 ) -> None:
     balancer = make_balancer(mode="fallback", after_s=1.0, hold_down_s=0.0, most_removed=1.0)
--- a/wheatstile/config/endpoints.py
+++ b/wheatstile/config/endpoints.py
@@ -54,7 +54,7 @@
 
     @property
     def members(self) -> list[ResolvedEndpoint]:
-        """Return each endpoint with its address, in the order of the list."""
+        """Each endpoint with its address, in the order of the list."""
         return [ResolvedEndpoint(endpoint, self.addresses[endpoint.name]) for endpoint in self.endpoints]
 
     @classmethod
--- a/wheatstile/config/operator.py
+++ b/wheatstile/config/operator.py
@@ -82,7 +82,7 @@
 
 
 Repeat = Literal["safe", "keyed", "unsafe"]
-"""Keywords of the operator's file for `Idempotency`, which says whether a request may be repeated."""
+"""The values of `repeat`. Each is the keyword of one member of `Idempotency`."""
 
 
 class DescriptionRule(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
--- a/wheatstile/config/platform.py
+++ b/wheatstile/config/platform.py
@@ -39,7 +39,7 @@
 
     @property
     def health_check_timeout_s(self) -> float:
-        """Return the timeout for the answer to a health check on an established connection.
+        """The timeout for the answer to a health check on an established connection.
 
         It is a multiple of the message latency objective, or the connect timeout if there is no objective. A
         short timeout is enough, because servers answer health checks ahead of their queue. It is also needed,
--- a/wheatstile/config/settings.py
+++ b/wheatstile/config/settings.py
@@ -1,6 +1,7 @@
 """Reads the platform's settings, which are nested JSON, into `Settings`. docs/glossary.md lists the keys.
 
-The balancer finds them in the platform's file, and the simulator's host in its first message.
+The balancer reads them from the platform's file. The simulator's host reads them from the message that starts
+an instance.
 """
 
 import json
--- a/wheatstile/config/violations.py
+++ b/wheatstile/config/violations.py
@@ -70,7 +70,7 @@
     """
     if len(data) > max_bytes:
         raise ConfigurationError(
-            file, [Violation("", f"the file has {len(data)} bytes; the limit is {max_bytes}")]
+            file, [Violation("", f"the file is larger than the limit of {max_bytes} bytes")]
         )
     text = _decode(file, data)
     try:
@@ -151,7 +151,7 @@
     """Return the end of an error message: a similar known name if there is one, else all known names."""
     names = sorted(known)
     close = get_close_matches(name, names, 1)
-    return f', did you mean "{close[0]}"?' if close else f"; known values are {', '.join(names)}"
+    return f', did you mean "{close[0]}"?' if close else f"; expected one of {', '.join(names)}"
 
 
 def _duplicate_keys(text: str) -> list[Violation]:
--- a/wheatstile/descriptions/__init__.py
+++ b/wheatstile/descriptions/__init__.py
@@ -2,6 +2,6 @@
 
 The balancer imports this package only if the operator's file lists descriptions. `reader.compile_paths` reads
 and compiles descriptions. `section.DescriptionsSection` applies changed descriptions to a running balancer.
-Only the modules `reader`, `document_folder`, `operator_rules`, `worker`, `worker_client`, `file_states` and
-`section` do I/O.
+Only the modules `reader`, `document_directory`, `operator_rules`, `worker`, `worker_client`, `file_states`
+and `section` perform I/O.
 """
--- a/wheatstile/descriptions/asyncapi.py
+++ b/wheatstile/descriptions/asyncapi.py
@@ -1,4 +1,4 @@
-"""Reads the operations of AsyncAPI 2.6 and 3.0 documents, with the retry safety of each. Does no I/O.
+"""Reads the operations of AsyncAPI 2.6 and 3.0 documents, with the retry safety of each. Performs no I/O.
 
 As in AsyncAPI 3.0, `send` and `receive` are actions of the application that the document describes. In
 AsyncAPI 2.6, the keys are actions of its peers: `publish` (peers may publish) is read as `receive`, and
@@ -59,7 +59,7 @@
 def read_asyncapi(root: DocumentNode, version: str) -> Description:
     """Return the operations of a document.
 
-    version: one of VERSIONS. Raises InvalidDescriptionError with every finding.
+    The version is one of VERSIONS. Raises InvalidDescriptionError with every finding.
     """
     asyncapi_version = AsyncApiVersion(version)
     validator = Draft202012Validator(SCHEMAS[asyncapi_version])
--- a/wheatstile/descriptions/asyncapi_schema.py
+++ b/wheatstile/descriptions/asyncapi_schema.py
@@ -1,4 +1,4 @@
-"""JSON Schemas of AsyncAPI documents. Does no I/O.
+"""JSON Schemas of AsyncAPI documents. Performs no I/O.
 
 They constrain only the parts that this package reads, and allow any other content.
 """
--- a/wheatstile/descriptions/class_compiler.py
+++ b/wheatstile/descriptions/class_compiler.py
@@ -1,4 +1,4 @@
-"""Derives the retry policy of each service class from the routes of the class. Does no I/O."""
+"""Derives the retry policy of each service class from the routes of the class. Performs no I/O."""
 
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass, replace
--- a/wheatstile/descriptions/compile.py
+++ b/wheatstile/descriptions/compile.py
@@ -1,4 +1,4 @@
-"""Compiles descriptions with the operator's rules and the platform's classes. Does no I/O.
+"""Compiles descriptions with the operator's rules and the platform's classes. Performs no I/O.
 
 If two sources contradict each other, the descriptions are rejected with a finding that names both locations.
 If one source is only stricter than the other, the stricter one applies: the idempotency that allows fewer
@@ -34,7 +34,7 @@
 ) -> CompiledDescriptions:
     """Compile all descriptions together.
 
-    classes: the platform's classes; None if they are not known. Class names are then not checked.
+    `classes` are the platform's classes. If they are not known, it is None, and class names are not checked.
     Raises InvalidDescriptionError with every conflict, sorted by location.
     """
     findings = FindingCollector()
--- a/wheatstile/descriptions/compile_types.py
+++ b/wheatstile/descriptions/compile_types.py
@@ -1,4 +1,4 @@
-"""Types for the input and the output of the compilation of descriptions. Does no I/O."""
+"""Types for the input and the output of the compilation of descriptions. Performs no I/O."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -43,7 +43,7 @@
 class CompileOptions:
     """Options of a compilation, from the operator's file, the platform's settings and the command line."""
 
-    max_attempts: int  # per request; 1: no retries
+    max_attempts: int  # limit for one request; 1: retries are disabled
     require_class: bool = False  # True if an operation without a class is a conflict
     strict: bool = False  # True if warnings are treated as conflicts
 
@@ -72,7 +72,7 @@
     def match(self, action: str, target: str) -> list[Route]:
         """Return the routes that match a path or subject, with the most specific one first.
 
-        action: an HttpMethod or a MessageAction.
+        The action is an HttpMethod or a MessageAction.
         """
         matcher = self.matchers.get(action)
         if matcher is None:
--- a/wheatstile/descriptions/condition_parser.py
+++ b/wheatstile/descriptions/condition_parser.py
@@ -1,4 +1,4 @@
-"""Parses the conditions of the operator's rules. A condition selects operations. Does no I/O.
+"""Parses the conditions of the operator's rules. A condition selects operations. Performs no I/O.
 
 This is an example of a condition:
 
@@ -6,8 +6,9 @@
 
 Fields: method, path, tag, operationId, channel, message, server, action, kind, file. If a field has several
 values (tag, message, server), a comparison is true if it is true for one of them; `!=` is true if no value is
-equal. The operator `~` matches a glob: `*` stands for any text without a separator, `**` for any text, and
-`?` for one character. The separator is `/`, and also `.` if the glob contains no `/`.
+equal. The operator `~` compares a value with a glob, in which `*` matches any text without a separator, `**`
+matches any text, and `?` matches one character. The separator is `/`, and also `.` if the glob contains no
+`/`.
 """
 
 import re
@@ -118,7 +119,7 @@
 class _ConditionBuilder(Transformer[Token, Condition]):
     """Converts a parse tree to a condition.
 
-    lark calls the method that is named like the grammar rule, with the converted children.
+    For each node of the tree, lark calls the method with the node's name, and passes the converted children.
     """
 
     def any_of(self, parts: list[Condition]) -> Condition:
--- a/wheatstile/descriptions/document.py
+++ b/wheatstile/descriptions/document.py
@@ -1,4 +1,4 @@
-"""Functions for documents of both formats, OpenAPI and AsyncAPI. Does no I/O."""
+"""Functions for documents of both formats, OpenAPI and AsyncAPI. Performs no I/O."""
 
 import re
 from collections.abc import Callable, Iterable, Sequence
@@ -9,9 +9,9 @@
 from wheatstile.descriptions.model import Description, JsonValue, Operation
 from wheatstile.descriptions.references import DocumentNode
 
-MAX_SCHEMA_FINDINGS = 100  # per document
+MAX_SCHEMA_FINDINGS = 100  # limit for one document
 MAX_REASON_CHARACTERS = 300
-VALIDATOR_DETAILS = "Failed validating"  # begins the details after the message of a validator's error
+VALIDATOR_DETAILS = "Failed validating"  # the first words after the message of an error
 
 
 class SchemaError(Protocol):
--- a/wheatstile/descriptions/document_folder.py
+++ b/wheatstile/descriptions/document_directory.py
@@ -8,16 +8,16 @@
 from wheatstile.descriptions.parsed_file import MAX_FILE_BYTES, ParsedFile
 from wheatstile.descriptions.parser import parse
 from wheatstile.descriptions.references import DocumentNode, DocumentStore
-from wheatstile.resolvers.regular_file import opened_regular_file, snapshot
+from wheatstile.resolvers.regular_file import regular_file_descriptor, snapshot
 
-MAX_FILES = 1000  # descriptions and referenced files together
+MAX_FILES = 1000  # limit for descriptions and referenced files together
 
 
-class DocumentFolder:
+class DocumentDirectory:
     """The documents below one directory. Each file is read only once.
 
-    read_files: the paths of all files that have been read, shared by all directories of one call of
-    `reader.read_descriptions`.
+    `read_files` contains the paths of all files that have been read. All directories of one call of
+    `reader.read_descriptions` share it.
     """
 
     def __init__(self, root: Path, read_files: set[str]) -> None:
@@ -47,7 +47,7 @@
         if len(self._read_files) >= MAX_FILES:
             raise ValueError(f"more than {MAX_FILES} files")
         try:
-            with opened_regular_file(path) as descriptor:
+            with regular_file_descriptor(path) as descriptor:
                 data = snapshot(descriptor, MAX_FILE_BYTES).data
         except OSError as error:
             raise ValueError(f"{name}: {error.strerror or error}") from None
--- a/wheatstile/descriptions/extensions.py
+++ b/wheatstile/descriptions/extensions.py
@@ -1,4 +1,4 @@
-"""Reads the extensions (`x-wheatstile-...`) in OpenAPI and AsyncAPI documents. Does no I/O.
+"""Reads the extensions (`x-wheatstile-...`) in OpenAPI and AsyncAPI documents. Performs no I/O.
 
 An extension may be set on an operation, on its path or channel, and on the whole document. The functions take
 these nodes as `holders`, innermost first, and read the extension from the first node that has it. They raise
--- a/wheatstile/descriptions/file_states.py
+++ b/wheatstile/descriptions/file_states.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 from typing import NamedTuple
 
-MAX_FILES = 5000  # further files are not checked for changes
+MAX_CHECKED_FILES = 5000  # further files are not checked for changes
 
 
 class FileState(NamedTuple):
@@ -29,7 +29,7 @@
         for directory, _, names in os.walk(path):  # does not iterate if the path is a file
             files.update(os.path.realpath(os.path.join(directory, name)) for name in names)
     states = []
-    for file in sorted(files)[:MAX_FILES]:
+    for file in sorted(files)[:MAX_CHECKED_FILES]:
         with suppress(OSError):
             status = os.stat(file)
             states.append(FileState(file, status.st_ino, status.st_size, status.st_mtime_ns))
--- a/wheatstile/descriptions/findings.py
+++ b/wheatstile/descriptions/findings.py
@@ -1,4 +1,4 @@
-"""Findings, which are problems in descriptions, and the errors of this package. Does no I/O."""
+"""Findings, which are problems in descriptions, and the errors of this package. Performs no I/O."""
 
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass, replace
--- a/wheatstile/descriptions/graph.py
+++ b/wheatstile/descriptions/graph.py
@@ -26,7 +26,7 @@
 MAX_SERVICE_CHARACTERS = 30
 MAX_ROUTE_CHARACTERS = 80
 MAX_CLASS_CHARACTERS = 25
-NO_CLASS = "(none)"
+NO_CLASS_LABEL = "(none)"
 SERVICE_LINE_COLOUR = "#bbbbbb"
 ROUTE_COLOURS = {
     Idempotency.IDEMPOTENT: "#2b7a3d",
@@ -38,15 +38,15 @@
 def draw(routes: Sequence[Route], titles: Mapping[str, str]) -> drawsvg.Drawing:
     """Return a drawing with a line from each service to its routes, and from each route to its class.
 
-    The colour of a route depends on its idempotency. titles: the title of each description, by file.
+    The colour of a route depends on its idempotency. `titles` maps each file to the title of its description.
     """
     sorted_routes = sorted(routes, key=_sort_key)
     drawing = _empty_drawing(len(sorted_routes))
     service_positions = _vertical_positions([route.operation.location.file for route in sorted_routes])
-    class_positions = _vertical_positions([route.service_class or NO_CLASS for route in sorted_routes])
+    class_positions = _vertical_positions([route.service_class or NO_CLASS_LABEL for route in sorted_routes])
     for index, route in enumerate(sorted_routes):
         service_y = service_positions[route.operation.location.file]
-        class_y = class_positions[route.service_class or NO_CLASS]
+        class_y = class_positions[route.service_class or NO_CLASS_LABEL]
         _draw_route(drawing, route, FIRST_BASELINE + index * ROW_HEIGHT, service_y, class_y)
     for file, middle in service_positions.items():
         title = titles.get(file, file)[:MAX_SERVICE_CHARACTERS]
--- a/wheatstile/descriptions/keywords.py
+++ b/wheatstile/descriptions/keywords.py
@@ -1,4 +1,4 @@
-"""Keywords for idempotencies and deduplication scopes. Does no I/O.
+"""Keywords for idempotencies and deduplication scopes. Performs no I/O.
 
 Files, extensions, JSON schemas, worker messages, logs and command output represent the members of these
 enumerations by the keywords in the tables below, never by the values of the members.
--- a/wheatstile/descriptions/model.py
+++ b/wheatstile/descriptions/model.py
@@ -1,4 +1,4 @@
-"""A common model of OpenAPI and AsyncAPI descriptions, with source locations. Does no I/O."""
+"""A common model of OpenAPI and AsyncAPI descriptions, with source locations. Performs no I/O."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
--- a/wheatstile/descriptions/openapi.py
+++ b/wheatstile/descriptions/openapi.py
@@ -1,4 +1,7 @@
-"""Reads the operations of OpenAPI 3.0, 3.1 and 3.2 documents, with the retry safety of each. Does no I/O."""
+"""Reads the operations of OpenAPI 3.0, 3.1 and 3.2 documents, with the retry safety of each.
+
+Performs no I/O.
+"""
 
 from collections.abc import Iterator, Mapping
 from enum import StrEnum
--- a/wheatstile/descriptions/openapi_validation.py
+++ b/wheatstile/descriptions/openapi_validation.py
@@ -1,6 +1,6 @@
 """Validates OpenAPI documents with openapi-spec-validator.
 
-Does no I/O: the caller passes the function that reads files.
+Performs no I/O: the caller passes the function that reads files.
 """
 
 from collections.abc import Callable, Iterator, Mapping
@@ -14,13 +14,15 @@
 ReadFile: TypeAlias = Callable[[str], JsonValue]
 """Returns the document at a URI. Raises ValueError or InvalidDescriptionError."""
 
-URI_SCHEMES = ("", "file", "http", "https")  # without a handler, the validator reads these itself
+# The validator reads documents with these URI schemes itself unless it has a handler.
+URI_SCHEMES = ("", "file", "http", "https")
 
 
 def validate_openapi(root: DocumentNode, version: str, read_file: ReadFile) -> list[Finding]:
     """Return the violations of the OpenAPI specification, at most MAX_SCHEMA_FINDINGS.
 
-    read_file: reads the documents that this document refers to. The validator reads no files itself.
+    The function `read_file` reads the documents that this document refers to. The validator itself reads no
+    files.
     """
     findings: list[Finding] = []
     try:
@@ -36,7 +38,7 @@
 
 
 def _schema_errors(root: DocumentNode, version: str, read_file: ReadFile) -> Iterator[SchemaError]:
-    """Yield the validator's errors. version: one of openapi.VERSIONS."""
+    """Yield the validator's errors. The version is one of openapi.VERSIONS."""
     import openapi_spec_validator  # imported here because its import is slow, and AsyncAPI does not need it
 
     validators = {
--- a/wheatstile/descriptions/operator_rules.py
+++ b/wheatstile/descriptions/operator_rules.py
@@ -108,6 +108,6 @@
             data = source.read(MAX_OPERATOR_FILE_BYTES + 1)
         text, _ = load_json(name, data, MAX_OPERATOR_FILE_BYTES)
     except (OSError, ConfigurationError):
-        return {missing: SourceLocation(name, 1, missing) for missing in pointers}
-    located = locate(text, [Violation(requested, "") for requested in pointers])
+        return {pointer: SourceLocation(name, 1, pointer) for pointer in pointers}
+    located = locate(text, [Violation(pointer, "") for pointer in pointers])
     return {found.pointer: SourceLocation(name, found.line, found.pointer) for found in located}
--- a/wheatstile/descriptions/parsed_file.py
+++ b/wheatstile/descriptions/parsed_file.py
@@ -1,4 +1,4 @@
-"""A parsed file with the line of each value, and the limits for files. Does no I/O."""
+"""A parsed file with the line of each value, and the limits for files. Performs no I/O."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,7 @@
 
 MAX_FILE_BYTES = 16 << 20
 MAX_NESTING_DEPTH = 200  # levels of objects and lists
-MAX_VALUES = 2_000_000  # per file, with aliases expanded
+MAX_VALUES = 2_000_000  # limit for one file, with aliases expanded
 
 
 @dataclass(frozen=True, slots=True)
--- a/wheatstile/descriptions/parser.py
+++ b/wheatstile/descriptions/parser.py
@@ -1,6 +1,6 @@
 """Parses JSON and YAML files and records the line of each value.
 
-Does no I/O. Time and memory are bounded.
+Performs no I/O. Time and memory are bounded.
 """
 
 from contextlib import suppress
@@ -37,7 +37,7 @@
 def _decode(file: str, data: bytes) -> str:
     """Decode UTF-8 and remove a byte order mark. Raises InvalidDescriptionError."""
     if len(data) > MAX_FILE_BYTES:
-        raise parse_error(file, 1, f"the file has {len(data)} bytes; the limit is {MAX_FILE_BYTES}")
+        raise parse_error(file, 1, f"the file is larger than the limit of {MAX_FILE_BYTES} bytes")
     if NUL in data:
         raise parse_error(file, _line_at(data, data.index(NUL)), "contains a NUL byte")
     try:
--- a/wheatstile/descriptions/reader.py
+++ b/wheatstile/descriptions/reader.py
@@ -15,7 +15,7 @@
     CompileOptions,
 )
 from wheatstile.descriptions.document import version_of
-from wheatstile.descriptions.document_folder import DocumentFolder
+from wheatstile.descriptions.document_directory import DocumentDirectory
 from wheatstile.descriptions.findings import (
     Finding,
     InvalidDescriptionError,
@@ -61,7 +61,7 @@
     findings: list[Finding] = []
     for path in map(Path, paths):
         is_directory = path.is_dir()
-        directory = DocumentFolder(path if is_directory else path.parent, result.files)
+        directory = DocumentDirectory(path if is_directory else path.parent, result.files)
         files = _description_files(path) if is_directory else [path]
         if not files:
             location = SourceLocation(str(path), 1, "")
@@ -86,10 +86,11 @@
     return sorted(file for file in directory.rglob("*") if file.suffix in SUFFIXES and file.is_file())
 
 
-def _read_description(directory: DocumentFolder, path: Path, *, may_be_part: bool) -> Description | None:
+def _read_description(directory: DocumentDirectory, path: Path, *, may_be_part: bool) -> Description | None:
     """Return the description in a file; None if the file is only a part that other files refer to.
 
-    may_be_part: whether a file without a format key is assumed to be such a part. Otherwise it is an error.
+    If `may_be_part` is set, a file without a format key is assumed to be such a part. Otherwise, it is an
+    error.
     Raises InvalidDescriptionError or ValueError.
     """
     root = directory.document(path)
@@ -156,8 +157,8 @@
 ) -> Compilation:
     """Read the descriptions at these paths and compile them with the operator's rules.
 
-    classes: the platform's classes; None if they are not known. Class names are then not checked.
-    strict: treat warnings as conflicts.
+    `classes` are the platform's classes. If they are not known, it is None, and class names are not checked.
+    If `strict` is set, warnings are treated as conflicts.
     Raises InvalidDescriptionError with every conflict.
     """
     operator_rules = read_operator_rules(operator)
--- a/wheatstile/descriptions/references.py
+++ b/wheatstile/descriptions/references.py
@@ -1,6 +1,6 @@
 """Nodes of documents, and references (`$ref`) between them.
 
-Does no I/O: the caller passes the function that reads files.
+Performs no I/O: the caller passes the function that reads files.
 """
 
 from collections.abc import Callable, Iterable
@@ -106,8 +106,8 @@
 class DocumentStore:
     """Loads files by URI and resolves the references in them. Ignores the identifiers (`$id`) of schemas.
 
-    retrieve: reads and parses the file at a URI. Raises ValueError for a file that cannot be read or that is
-    outside the directory.
+    The function `retrieve` reads and parses the file at a URI. It raises ValueError for a file that cannot be
+    read or that is outside the directory.
     """
 
     def __init__(self, retrieve: Callable[[URI], ParsedFile]) -> None:
--- a/wheatstile/descriptions/route_compiler.py
+++ b/wheatstile/descriptions/route_compiler.py
@@ -1,4 +1,4 @@
-"""Compiles operations to routes with a class and a retry safety, and reports conflicts. Does no I/O."""
+"""Compiles operations to routes with a class and a retry safety, and reports conflicts. Performs no I/O."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
--- a/wheatstile/descriptions/route_index.py
+++ b/wheatstile/descriptions/route_index.py
@@ -1,4 +1,4 @@
-"""Builds one route matcher for each action, and reports conflicting routes. Does no I/O."""
+"""Builds one route matcher for each action, and reports conflicting routes. Performs no I/O."""
 
 from collections.abc import Iterable
 
--- a/wheatstile/descriptions/route_matcher.py
+++ b/wheatstile/descriptions/route_matcher.py
@@ -1,4 +1,4 @@
-"""A route matcher based on a tree of tokens. Does no I/O.
+"""A route matcher based on a prefix tree of tokens. Performs no I/O.
 
 The cost of a match does not grow with the number of routes.
 """
@@ -82,7 +82,10 @@
 
 
 class RouteMatcher(Generic[Value]):
-    """A tree of routes, keyed by their tokens. A match follows the tokens of the target from the root."""
+    """A prefix tree of routes, keyed by their tokens.
+
+    A match follows the tokens of the target from the root.
+    """
 
     def __init__(self) -> None:
         self._root: _Node[Value] = _Node()
--- a/wheatstile/descriptions/routes.py
+++ b/wheatstile/descriptions/routes.py
@@ -1,4 +1,4 @@
-"""Routes as lists of tokens, and comparison of the targets that two routes match. Does no I/O.
+"""Routes as lists of tokens, and comparison of the targets that two routes match. Performs no I/O.
 
 A token is one segment of a path (separated by `/`) or one token of a subject (separated by `.`). There are
 four kinds: a literal, a partial token (literal text around parameters, such as `{name}.json`), a parameter
@@ -14,7 +14,7 @@
 
 from wheatstile.descriptions.findings import DescriptionError
 
-MAX_TOKENS = 64  # limit for routes and for targets
+MAX_TOKENS = 64  # limit for one route and for one target
 BRACES = "{}"
 PARAMETER = re.compile(r"\{[^{}]+\}")
 PLACEHOLDER = re.compile(r"\{[^{}]*\}")  # matches a parameter in the text of a partial token
@@ -38,7 +38,7 @@
     """One token of a route."""
 
     kind: TokenKind
-    text: str = ""  # set only for LITERAL and PARTIAL; `{}` stands for each parameter of a PARTIAL token
+    text: str = ""  # set only for LITERAL and PARTIAL; in PARTIAL tokens, parameters are written as `{}`
 
     def pattern(self) -> re.Pattern[str]:
         """Return the regular expression of a partial token. A parameter matches one or more characters."""
--- a/wheatstile/descriptions/schema_size.py
+++ b/wheatstile/descriptions/schema_size.py
@@ -1,4 +1,4 @@
-"""Derives the discriminator and the maximum size of a message from its JSON Schema. Does no I/O."""
+"""Derives the discriminator and the maximum size of a message from its JSON Schema. Performs no I/O."""
 
 from collections.abc import Callable, Mapping
 from typing import TypeAlias
@@ -33,7 +33,7 @@
 
 
 def _bound(schema: DocumentNode, cache: _Sizes) -> int | None:
-    """Return the maximum size of a schema's value; None if it is unbounded. Each schema is computed once.
+    """Return the maximum size of a schema's value; None if it is unbounded. The result is cached.
 
     A schema is recorded as unbounded before its members are visited, so that a recursive schema has no bound.
     """
--- a/wheatstile/descriptions/section.py
+++ b/wheatstile/descriptions/section.py
@@ -63,7 +63,7 @@
 class DescriptionsSection:
     """Owns the task that watches the descriptions, and the class policies compiled from them.
 
-    startup: the result of the compilation at startup; None if descriptions were enabled later.
+    `startup` is the result of the compilation at startup, or None if descriptions were enabled later.
     """
 
     def __init__(self, decision_loop: DecisionLoop, startup: StartupCompilation | None) -> None:
--- a/wheatstile/descriptions/strictness.py
+++ b/wheatstile/descriptions/strictness.py
@@ -1,4 +1,4 @@
-"""Orders idempotencies by strictness, and deduplication scopes by size. Does no I/O."""
+"""Orders idempotencies by strictness, and deduplication scopes by size. Performs no I/O."""
 
 from collections.abc import Mapping
 
--- a/wheatstile/descriptions/tightening.py
+++ b/wheatstile/descriptions/tightening.py
@@ -1,4 +1,4 @@
-"""Applies the class policies compiled from descriptions to the platform's settings. Does no I/O."""
+"""Applies the class policies compiled from descriptions to the platform's settings. Performs no I/O."""
 
 from collections.abc import Mapping
 from dataclasses import replace
--- a/wheatstile/descriptions/worker_client.py
+++ b/wheatstile/descriptions/worker_client.py
@@ -32,7 +32,7 @@
 
 
 def compile_blocking(request: bytes, operator: OperatorFile) -> CompilationResult:
-    """Run a worker and block until it has ended. To be used only before the event loop runs."""
+    """Run a worker and block until it has ended. Must be called before the event loop runs."""
     try:
         worker = subprocess.run(
             [sys.executable, *WORKER_ARGUMENTS],
--- a/wheatstile/descriptions/worker_messages.py
+++ b/wheatstile/descriptions/worker_messages.py
@@ -1,4 +1,4 @@
-"""JSON messages between the balancer and the worker that compiles descriptions. Does no I/O.
+"""JSON messages between the balancer and the worker that compiles descriptions. Performs no I/O.
 
 Field names are the keys in the JSON. A service class is encoded as an array of its fields, with keywords for
 the idempotency and the deduplication scope. `worker_protocol` converts these messages to and from the types
--- a/wheatstile/descriptions/worker_protocol.py
+++ b/wheatstile/descriptions/worker_protocol.py
@@ -1,4 +1,6 @@
-"""Requests to the worker that compiles descriptions, and its results, with conversion to JSON. Does no I/O.
+"""Requests to the worker that compiles descriptions, and its results, with conversion to JSON.
+
+Performs no I/O.
 
 The standard library's `json` is used because it preserves lone surrogates. Python represents file names that
 are not valid UTF-8 with lone surrogates.
--- a/wheatstile/descriptions/yaml_parser.py
+++ b/wheatstile/descriptions/yaml_parser.py
@@ -1,4 +1,4 @@
-"""Parses YAML and records the line of each value. Does no I/O. Time and memory are bounded.
+"""Parses YAML and records the line of each value. Performs no I/O. Time and memory are bounded.
 
 Values are built from libyaml's events without recursion, according to the core schema of YAML 1.2. Keys must
 be unique strings, and tags that are not in the core schema are rejected. Each use of an alias counts as many
--- a/wheatstile/descriptions/yaml_scalars.py
+++ b/wheatstile/descriptions/yaml_scalars.py
@@ -1,4 +1,4 @@
-"""Converts plain (unquoted) YAML scalars to values, by the core schema of YAML 1.2. Does no I/O."""
+"""Converts plain (unquoted) YAML scalars to values, as in the core schema of YAML 1.2. Performs no I/O."""
 
 import re
 
--- a/wheatstile/resolvers/atomic_write.py
+++ b/wheatstile/resolvers/atomic_write.py
@@ -28,7 +28,8 @@
     descriptor, temporary_name = tempfile.mkstemp(TEMPORARY_SUFFIX, prefix, path.parent)
     try:
         with _closing(descriptor):
-            # Keeps other writers from removing the file. The kernel releases the lock if the process ends.
+            # The lock prevents other writers from removing the file. The kernel releases it if this
+            # process ends.
             fcntl.flock(descriptor, fcntl.LOCK_EX)
             os.fchmod(descriptor, FILE_MODE)
             _write_all(descriptor, data)
--- a/wheatstile/resolvers/endpoint_merger.py
+++ b/wheatstile/resolvers/endpoint_merger.py
@@ -178,7 +178,8 @@
         except Exception:
             log.exception("endpoint_merge_failed")
         finally:
-            # Not in a done callback of the task: a change before that callback would not be merged.
+            # This is not done in a done callback of the task: a change that arrives before the callback
+            # would not be merged.
             self._background_merge = None
 
     async def _merge_in_thread(self) -> MergeResult | None:
--- a/wheatstile/resolvers/file_watcher.py
+++ b/wheatstile/resolvers/file_watcher.py
@@ -26,7 +26,7 @@
     names: frozenset[str]  # names of the relevant entries in these directories
 
     def is_relevant(self, _change: Change, path: str) -> bool:
-        """Return whether a change of this path is relevant. The filter for `watchfiles.awatch`."""
+        """Return whether a change of this path is relevant. Used as the filter of `watchfiles.awatch`."""
         return os.path.basename(path) in self.names
 
 
@@ -90,7 +90,10 @@
                 await asyncio.sleep(self.poll_interval_s)
 
     async def _watch(self, watched: WatchedPaths) -> bool:
-        """Set `changed` at each change. Return True if other paths must be watched, False at the end."""
+        """Set `changed` at each change of the watched paths.
+
+        Return True if other paths must be watched from now on, False if the watch has ended.
+        """
         changes = awatch(
             *watched.directories,
             watch_filter=watched.is_relevant,
--- a/wheatstile/resolvers/regular_file.py
+++ b/wheatstile/resolvers/regular_file.py
@@ -55,7 +55,7 @@
     data: bytes
     signature: FileSignature  # taken after the read
     fingerprint: bytes  # a hash of the bytes
-    torn: bool  # the file changed during the read
+    torn: bool  # True if the file changed during the read
 
     @property
     def version(self) -> FileVersion:
@@ -83,8 +83,8 @@
 
 
 @contextmanager
-def opened_regular_file(path: Path) -> Iterator[int]:
-    """Open a regular file, and close it at the end of the block. Raises OSError."""
+def regular_file_descriptor(path: Path) -> Iterator[int]:
+    """Provide a descriptor of a regular file, which is closed at the end of the block. Raises OSError."""
     descriptor = open_regular_file(path)
     try:
         yield descriptor
@@ -110,7 +110,7 @@
 def read_regular_file(path: Path, max_bytes: int) -> bytes:
     """Read a regular file, up to max_bytes + 1 bytes. Raises ConfigurationError."""
     try:
-        with opened_regular_file(path) as descriptor:
+        with regular_file_descriptor(path) as descriptor:
             return snapshot(descriptor, max_bytes).data
     except OSError as error:
         raise ConfigurationError(str(path), [Violation("", error.strerror or str(error))]) from None
--- a/wheatstile/resolvers/source_selection.py
+++ b/wheatstile/resolvers/source_selection.py
@@ -38,7 +38,7 @@
     """The operator's settings for merging discovery and the endpoint file."""
 
     mode: MergeMode
-    discovery_timeout_us: int  # silence of discovery until the file is active (servers.after_s)
+    discovery_timeout_us: int  # silence of discovery after which the file is active (servers.after_s)
     recovery_delay_us: int  # recovery time after the second loss (servers.hold_down_s)
 
     @classmethod
@@ -57,7 +57,7 @@
 
     source: EndpointSource
     reason: str  # logged, and printed by `wheatstile servers explain`
-    recheck_at_us: int | None = None  # when the selection may change without an event; None: never
+    recheck_at_us: int | None = None  # time at which the selection may change without an event; None: never
     discovery_lost_at_us: tuple[int, ...] = ()  # recent times at which the file replaced discovery
 
 
@@ -98,8 +98,8 @@
     if policy.mode is MergeMode.MERGE:
         return SourceSelection(EndpointSource.BOTH, "the mode is merge", discovery_lost_at_us=losses)
     if previous is None or previous.source is not EndpointSource.FILE:
-        return _fallback_from_discovery(now_us, policy, discovery, losses)
-    return _fallback_from_file(now_us, policy, discovery, previous.reason, losses)
+        return _select_while_discovery_is_active(now_us, policy, discovery, losses)
+    return _select_while_file_is_active(now_us, policy, discovery, previous.reason, losses)
 
 
 def _recent_losses(now_us: int, policy: MergePolicy, previous: SourceSelection | None) -> tuple[int, ...]:
@@ -112,7 +112,7 @@
     )
 
 
-def _fallback_from_discovery(
+def _select_while_discovery_is_active(
     now_us: int, policy: MergePolicy, discovery: DiscoveryState, losses: tuple[int, ...]
 ) -> SourceSelection:
     """Select the source in fallback mode while discovery is active."""
@@ -130,7 +130,7 @@
     return SourceSelection(EndpointSource.FILE, reason, discovery_lost_at_us=losses)
 
 
-def _fallback_from_file(
+def _select_while_file_is_active(
     now_us: int, policy: MergePolicy, discovery: DiscoveryState, reason: str, losses: tuple[int, ...]
 ) -> SourceSelection:
     """Select the source in fallback mode while the file is active for the given reason."""
