--- a/tests/config/test_settings.py
+++ b/tests/config/test_settings.py
@@ -34,7 +34,7 @@
     assert settings.health_checks_enabled
     assert settings.retry_after_enabled
     assert settings.load_metrics == ("load",)
-    # The keys of these two are missing, so the defaults are used.
+    # The keys of the next two settings are missing, so the defaults are used.
     assert settings.slow_start_overload_window_us == 1_500_000
     assert settings.poll_interval_us == 10_000_000
 
--- a/tests/resolvers/test_section.py
+++ b/tests/resolvers/test_section.py
@@ -86,7 +86,7 @@
     ("seal", "settle_s"),
     [
         pytest.param(True, 0.05, id="sealed"),
-        # Longer than any pause of the writer. Otherwise a mixture of two documents could be accepted.
+        # The time exceeds any pause of the writer. Otherwise, a mixture of documents could be accepted.
         pytest.param(False, 1.0, id="unsealed"),
     ],
 )
--- a/wheatstile/descriptions/class_compiler.py
+++ b/wheatstile/descriptions/class_compiler.py
@@ -86,9 +86,9 @@
 
 
 def tightened(policy: ClassPolicy, class_routes: Iterable[Route]) -> ClassPolicy:
-    """Return the policy with the strictest idempotency, the narrowest scope and the shortest window.
+    """Return the policy, tightened by its override and by the routes of the class.
 
-    The policy, its override and the routes of the class are taken into account.
+    The result has the strictest idempotency, the narrowest scope and the shortest window of all of these.
     """
     idempotency = policy.idempotency
     if policy.override:
--- a/wheatstile/descriptions/reader.py
+++ b/wheatstile/descriptions/reader.py
@@ -32,7 +32,7 @@
 SWAGGER_KEY = "swagger"
 FORMAT_KEYS = (openapi.VERSION_KEY, asyncapi.VERSION_KEY, SWAGGER_KEY)
 DEFAULT_MAX_ATTEMPTS = 5
-MAX_SHOWN_CHARACTERS = 60  # length of a quoted value in a finding
+MAX_QUOTED_VALUE_CHARACTERS = 60  # length of a quoted value in a finding
 ELLIPSIS = "..."
 
 
@@ -129,9 +129,9 @@
 def _abbreviated(value: JsonValue) -> str:
     """Return a value as JSON on one line, truncated for a finding."""
     text = json.dumps(value, ensure_ascii=False, default=str)
-    if len(text) <= MAX_SHOWN_CHARACTERS:
+    if len(text) <= MAX_QUOTED_VALUE_CHARACTERS:
         return text
-    return text[: MAX_SHOWN_CHARACTERS - len(ELLIPSIS)] + ELLIPSIS
+    return text[: MAX_QUOTED_VALUE_CHARACTERS - len(ELLIPSIS)] + ELLIPSIS
 
 
 def class_policies(settings: Mapping[str, ClassSettings]) -> dict[str, ClassPolicy]:
--- a/wheatstile/descriptions/worker.py
+++ b/wheatstile/descriptions/worker.py
@@ -25,7 +25,7 @@
 MAX_CPU_TIME_S = 120
 MAX_MEMORY_MB = 2048
 BYTES_PER_MB = 1 << 20
-MAX_REPORTED = 100  # number of reasons or warnings in one result
+MAX_REPORTED_FINDINGS = 100  # limit for the reasons or the warnings in one result
 
 
 def handle_request(request: CompileRequest) -> CompilationResult:
@@ -36,7 +36,9 @@
     try:
         compilation = compile_paths(paths, operator, policies, request.max_attempts)
     except InvalidDescriptionError as error:
-        return CompilationRejected(reasons=error.lines()[:MAX_REPORTED], reason_count=len(error.findings))
+        return CompilationRejected(
+            reasons=error.lines()[:MAX_REPORTED_FINDINGS], reason_count=len(error.findings)
+        )
     except MemoryError:
         return CompilationRejected(
             reasons=[f"the compilation needs more than {MAX_MEMORY_MB} MB of memory"], reason_count=1
@@ -50,7 +52,7 @@
         classes={name: _compiled_class(policy) for name, policy in descriptions.classes.items()},
         route_count=len(descriptions.routes),
         files=sorted(compilation.source.files),
-        warnings=[str(warning) for warning in descriptions.warnings[:MAX_REPORTED]],
+        warnings=[str(warning) for warning in descriptions.warnings[:MAX_REPORTED_FINDINGS]],
     )
 
 
--- a/wheatstile/resolvers/endpoint_file.py
+++ b/wheatstile/resolvers/endpoint_file.py
@@ -20,7 +20,7 @@
 # Maximum number of violations with a line number. The lookup of lines is slow, and a single mistake may cause
 # a violation for every server.
 MAX_LOCATED_VIOLATIONS = 100
-MAX_SHOWN_SEAL_LENGTH = 40  # characters of a malformed seal that an error message quotes
+MAX_QUOTED_SEAL_CHARACTERS = 40  # length of the excerpt of a malformed seal in an error message
 
 
 class FileHeader(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
@@ -166,7 +166,7 @@
             reason = "is missing; servers.require_seal requires a seal (`wheatstile servers seal` writes one)"
             yield Violation("/seal", reason)
     elif not seal.startswith(DIGEST_PREFIX):
-        yield Violation("/seal", f'"{seal[:MAX_SHOWN_SEAL_LENGTH]}" does not start with {DIGEST_PREFIX}')
+        yield Violation("/seal", f'"{seal[:MAX_QUOTED_SEAL_CHARACTERS]}" does not start with {DIGEST_PREFIX}')
     elif seal != digest:
         yield Violation("/seal", f"does not match the content of the file, whose digest is {digest}")
 
--- a/wheatstile/resolvers/endpoint_file_source.py
+++ b/wheatstile/resolvers/endpoint_file_source.py
@@ -62,7 +62,7 @@
         result = await self._worker.call(_poll_without_gc, reader)
         pause_s = POLL_PAUSE_FACTOR * (time.monotonic() - started_s)
         wait_s = await self._handle(result)
-        if result.outcome is ReadOutcome.UNSETTLED:  # the file cannot settle before wait_s
+        if result.outcome is ReadOutcome.UNSETTLED:  # the file cannot settle before wait_s has passed
             await asyncio.sleep(max(wait_s, pause_s))
             return
         if result.outcome is not ReadOutcome.UNCHANGED:
