--- a/benchmarks/descriptions.py
+++ b/benchmarks/descriptions.py
@@ -62,7 +62,7 @@
 
 
 def write_description(path: Path, operations: int) -> None:
-    """Write an OpenAPI description with this number of operations. Each refers to a schema."""
+    """Write an OpenAPI description with this number of operations. Each operation refers to a schema."""
     lines = ["openapi: 3.1.0", "info: {title: big, version: '1'}", "paths:"]
     for number in range(operations):
         lines.append(f"  {path_template(number)}:")
@@ -108,7 +108,7 @@
 
 
 class Routers:
-    """The same routes in `Matcher`, in a list of regular expressions, and in Werkzeug's router."""
+    """The same routes in `RouteMatcher`, in a list of regular expressions, and in Werkzeug's router."""
 
     def __init__(self, size: int) -> None:
         numbers = range(size)
@@ -124,10 +124,10 @@
         self._werkzeug: MapAdapter = Map(rules).bind("host")
 
     def measure_us(self, duration_s: float) -> list[float]:
-        """Return the mean time of one match by `Matcher`, linear scan and Werkzeug, in microseconds."""
+        """Return the mean time of one match by `RouteMatcher`, linear scan and Werkzeug, in microseconds."""
         self._match_by_werkzeug()  # Werkzeug sorts its rules at the first match; this must not be measured
-        candidates = (self._match, self._scan, self._match_by_werkzeug)
-        return [mean_duration_us(candidate, duration_s) / len(self._paths) for candidate in candidates]
+        functions = (self._match, self._scan, self._match_by_werkzeug)
+        return [mean_duration_us(function, duration_s) / len(self._paths) for function in functions]
 
     def _match(self) -> None:
         for path in self._paths:
@@ -154,7 +154,7 @@
 
 
 def print_reload(operations: int, rounds: int) -> None:
-    """Print a table with the response time of PING, idle and while the balancer compiles descriptions."""
+    """Print a table with the latency of PING at an idle balancer, and while it compiles descriptions."""
     rows = []
     with tempfile.TemporaryDirectory() as directory:
         description = Path(directory) / "api.yaml"
--- a/benchmarks/running_balancer.py
+++ b/benchmarks/running_balancer.py
@@ -20,7 +20,7 @@
 SIGNIFICANT_DIGITS = 3
 PING_PAUSE_S = 0.001
 UPDATE_DISPATCHED = "endpoint_update_dispatched"
-"""The log event after an endpoint list was dispatched to the decision module."""
+"""The event that is logged when an endpoint list has been dispatched to the decision module."""
 PERCENTILES = (50.0, 99.0, 100.0)
 
 JsonObject = dict[str, Any]
--- a/benchmarks/servers_file.py
+++ b/benchmarks/servers_file.py
@@ -41,12 +41,12 @@
 from wheatstile.resolvers.atomic_write import write_atomic  # noqa: E402
 from wheatstile.resolvers.canonical_json import digest_of  # noqa: E402
 
-FORK = multiprocessing.get_context("fork")  # the writer must not use CPU time of this process
+FORK = multiprocessing.get_context("fork")  # the rewriter must not use CPU time of this process
 FILE_ACCEPTED = "endpoint_file_accepted"
 SECTION = {"file": "servers.json", "mode": "override", "most_removed": 1.0, "most_bytes": 1 << 24}
 
 RENAME_SIZES = (10, 1_000, 20_000)
-LARGE_SIZE = 20_000  # fewer renames are measured from this number of servers on
+LARGE_SIZE = 20_000  # number of servers from which fewer renames are measured
 SETUP_SIZES = (10, 1_000)
 SETUP_PHASES = 8
 MIN_RENAME_PAUSE_S = 0.02  # pause between renames, plus RENAME_PAUSE_PER_SERVER_S for each server
@@ -54,7 +54,7 @@
 REWRITE_INTERVAL_S = 0.02
 ECHO_SERVER_COUNT = 10  # number of servers that serve sessions
 CLIENT_PAUSE_S = 0.002
-GENERATION_GAP = 1_000_000  # greater than the number of generations that a writer publishes in one phase
+GENERATION_GAP = 1_000_000  # greater than the number of generations that a rewriter publishes in one phase
 IN_PLACE_SERVERS = 20
 FIRST_GENERATION = 999
 LAST_GENERATION = 99_999
@@ -91,7 +91,7 @@
 
 
 def sealed_document(value: JsonObject) -> bytes:
-    """Return the sealed document, encoded as JSON."""
+    """Encode this document with its seal."""
     return json.dumps(value | {"seal": digest_of(value)}).encode()
 
 
@@ -120,7 +120,7 @@
 
 
 def measure_renames(servers: int, count: int, *, sealed: bool) -> list[object]:
-    """Return one row: time of renames, PING when idle and during the renames, and memory."""
+    """Return one row: times of the renames, latency of PING before and during the renames, and memory."""
     with balancer_with_file(servers_document(servers, 1, sealed=sealed)) as balancer:
         balancer.wait_for_event(UPDATE_DISPATCHED)
         resident_kb = balancer.resident_kb()
@@ -160,13 +160,13 @@
 def rewriter_process(file: Path, value: JsonObject) -> Iterator[None]:
     """Run a process that replaces the file repeatedly until the end of the context."""
     ended = FORK.Event()
-    writer = FORK.Process(target=rewrite_repeatedly, args=(file, value, ended))
-    writer.start()
+    rewriter = FORK.Process(target=rewrite_repeatedly, args=(file, value, ended))
+    rewriter.start()
     try:
         yield
     finally:
         ended.set()
-        writer.join()
+        rewriter.join()
         value["generation"] += GENERATION_GAP
 
 
@@ -295,11 +295,11 @@
     with open(path, "r+b", buffering=0) as file:
         for data in documents:
             file.seek(0)
-            cut = generator.randint(1, len(data) - 1)
-            file.write(data[:cut])
+            split = generator.randint(1, len(data) - 1)
+            file.write(data[:split])
             if pause_s:
                 time.sleep(pause_s)
-            file.write(data[cut:])
+            file.write(data[split:])
             file.truncate(len(data))
 
 
--- a/benchmarks/soak/__main__.py
+++ b/benchmarks/soak/__main__.py
@@ -21,7 +21,7 @@
     parser.add_argument(
         "--planted",
         choices=sorted(PLANTED_FAULTS),
-        help="run balancers with this fault, which the soak has to find",
+        help="run balancers with this fault, which the soak test has to find",
     )
     options = parser.parse_args()
     first, _, last = options.seeds.partition("-")
--- a/benchmarks/soak/balancers.py
+++ b/benchmarks/soak/balancers.py
@@ -23,7 +23,7 @@
 MAX_COUNTED_DEADLINE_S = 3.0  # protocol: upper bound for the longest deadline in this calculation
 READY_TIMEOUT_S = 20.0
 POLL_INTERVAL_S = 0.02
-DESCRIPTOR_TOLERANCE = 4  # allows for watches and timers that are open for a short time
+DESCRIPTOR_TOLERANCE = 4  # watches and timers may be open for a short time
 LIBUV_POOL_THREADS = 4  # libuv starts these threads when its pool is first used, and keeps them
 
 
@@ -33,7 +33,7 @@
 
 
 class SoakBalancer:
-    """One balancer and its two discovery services. It uses one of them, and a reload may select the other.
+    """One balancer and its two discovery services. A process uses one of them; a reload may select the other.
 
     Attributes:
         process_record: the record of the latest process.
--- a/benchmarks/soak/checks.py
+++ b/benchmarks/soak/checks.py
@@ -9,7 +9,7 @@
 
 from soak.records import Attempt, ClientRequest, Ending, ProcessRecord, RunRecord
 
-MAX_ANSWER_LATENESS_S = 0.5  # protocol: an answer later than this after the deadline counts as lost
+MAX_ANSWER_LATENESS_S = 0.5  # protocol: an answer that misses the deadline by more than this counts as lost
 SOCKET_TOLERANCE_S = 0.05  # protocol: added to each time limit if the connections are sockets
 MAX_LINE_DELAY_S = 1.0  # protocol: a line that is delayed for longer counts as lost
 KEYED_CLASS = "keyed"
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True)
 class Violation:
-    """A violation of a rule. `request_id` is empty if it concerns a process."""
+    """A violation of a rule. `request_id` is empty if the violation concerns a process."""
 
     rule: str
     request_id: str = ""
@@ -48,7 +48,7 @@
 
 
 def _tolerance_s(record: RunRecord) -> float:
-    """Return the tolerance for a time limit: that of the protocol and the lag of the soak's event loop."""
+    """Return the tolerance for a time limit: the protocol's, plus the lag of the soak test's event loop."""
     return SOCKET_TOLERANCE_S + record.max_loop_lag_s
 
 
@@ -115,7 +115,7 @@
 def check_drain(record: RunRecord, request: ClientRequest, attempts: list[Attempt]) -> Iterator[str]:
     """Check that no attempt is sent to a draining or removed server after the drain grace period."""
     for attempt in attempts:
-        notified_at_s = _leaving_notified_at_s(request.balancer, attempt)
+        notified_at_s = _drain_notified_at_s(request.balancer, attempt)
         if notified_at_s is None:
             continue
         lateness_s = attempt.received_at_s - notified_at_s - record.drain_grace_s
@@ -123,8 +123,8 @@
             yield f"sent to {attempt.server} {lateness_s:.2f} s after the end of its drain grace period"
 
 
-def _leaving_notified_at_s(process_record: ProcessRecord, attempt: Attempt) -> float | None:
-    """Return when the balancer learned that the server was draining or gone; None if it was ready."""
+def _drain_notified_at_s(process_record: ProcessRecord, attempt: Attempt) -> float | None:
+    """Return when the balancer was notified that the server is draining or gone; None if it is ready."""
     since_s: float | None = None
     for notification in process_record.notifications:
         if notification.server != attempt.server or notification.at_s > attempt.received_at_s:
@@ -137,7 +137,7 @@
 
 
 def check_session(record: RunRecord, request: ClientRequest, attempts: list[Attempt]) -> Iterator[str]:
-    """Check that sessions are closed only after MOVE, and lines not delayed, while the server answers."""
+    """Check that the balancer closes a session only after MOVE, and delays no line of a responsive server."""
     if not request.is_established:
         return
     server = attempts[-1].server if attempts else ""
@@ -160,7 +160,7 @@
 
 
 def _check_process(record: RunRecord, process_record: ProcessRecord) -> Iterator[str]:
-    """Check that a process logs no error, and ends with status 0 or has no clients left at SIGKILL."""
+    """Check that a process logs no error, and either ends with status 0 or has no clients at SIGKILL."""
     yield from process_record.errors
     if process_record.was_killed_without_sigterm:
         return
--- a/benchmarks/soak/clients.py
+++ b/benchmarks/soak/clients.py
@@ -205,7 +205,7 @@
         self._count = count
 
     async def occupy(self, balancer: SoakBalancer) -> None:
-        """Open connections, send PING on every second one, and close all of them after a while."""
+        """Open connections, send PING on every second one, and close all after a fixed time."""
         streams: list[LineStream] = []
         try:
             for number in range(self._count):
--- a/benchmarks/soak/discovery.py
+++ b/benchmarks/soak/discovery.py
@@ -22,18 +22,20 @@
     def __init__(self) -> None:
         self.revision = 1
         self._members: dict[str, Member] = {}
-        self._changed_at: dict[str, int] = {}
+        self._changed_at_revision: dict[str, int] = {}
 
     def set(self, member: Member) -> None:
         """Add a server or change its entry."""
         self.revision += 1
         name = str(member["id"])
         self._members[name] = member
-        self._changed_at[name] = self.revision
+        self._changed_at_revision[name] = self.revision
 
     def changes_after(self, revision: int) -> list[Member]:
         """Return the entries that changed after this revision."""
-        return [member for name, member in self._members.items() if self._changed_at[name] > revision]
+        return [
+            member for name, member in self._members.items() if self._changed_at_revision[name] > revision
+        ]
 
     def complete_list(self) -> dict[str, object]:
         """Return the complete list without the servers that are gone."""
--- a/benchmarks/soak/records.py
+++ b/benchmarks/soak/records.py
@@ -57,10 +57,10 @@
     """One request of a client, and the session that it established.
 
     Attributes:
-        balancer: the balancer process that the client connected to.
-        timeout_s: how long the client waits for its answer; sent as the field `d`.
+        balancer: the record of the balancer process that the client connected to.
+        timeout_s: the client's timeout for the answer, sent in milliseconds as the field `d`.
         answer: the first line that the client received.
-        disconnected_at_s: when the client itself disconnected, else None.
+        disconnected_at_s: the time at which the client itself disconnected; None if it did not.
         unexpected_lines: received lines that are neither the answer nor part of the session.
     """
 
--- a/benchmarks/soak/run.py
+++ b/benchmarks/soak/run.py
@@ -29,14 +29,14 @@
 US_PER_S = 1_000_000
 # Protocol: new clients still connect for this long after SIGTERM.
 NEW_CLIENTS_AFTER_SIGTERM_RANGE_S = (0.2, 0.4)
-LEAK_CHECK_DELAY_S = 1.0  # from the last disconnect to the check, in addition to the longest deadline
+LEAK_CHECK_DELAY_S = 1.0  # leaks are checked this long, plus the longest deadline, after the last disconnect
 LOOP_LAG_INTERVAL_S = 0.02
 SHUTDOWN_SIGNALS = (signal.SIGTERM, signal.SIGHUP, signal.SIGUSR1, signal.SIGTERM, signal.SIGHUP)
 FAULT_INTERVAL_RANGE_S = (0.3, 1.5)  # time before each fault of a server, and before each fault of discovery
 
 
 def platform_settings(longest_deadline_s: float) -> dict[str, object]:
-    """Return the platform's settings. The class with the longest deadline is the one that forbids repeats."""
+    """Return the platform's settings. The class that forbids repeats has the longest deadline."""
     return {
         "classes": service_classes(longest_deadline_s),
         "discovery": "on_request",
@@ -147,7 +147,7 @@
         return self.record
 
     async def _measure_loop_lag(self) -> None:
-        """Record the maximum lag of this event loop. The checks tolerate it: no balancer causes it."""
+        """Record the maximum lag of this event loop. The checks tolerate this lag: no balancer causes it."""
         loop = asyncio.get_running_loop()
         while True:
             before_s = loop.time()
--- a/benchmarks/soak/servers.py
+++ b/benchmarks/soak/servers.py
@@ -56,7 +56,7 @@
         self.port = self._server.sockets[0].getsockname()[1]
 
     async def restart(self) -> None:
-        """Start as a new process whose start time is now."""
+        """Start again, with the current time as the start time in the endpoint list."""
         self.up_since_ms = int(time.time() * MS_PER_S)
         await self.start()
 
--- a/example/client.py
+++ b/example/client.py
@@ -9,7 +9,7 @@
 
 
 def open_line() -> str:
-    """Return the OPEN line: request id, key, class, maximum wait time in ms, affinity group."""
+    """Return the OPEN line: request id, key, class, timeout in ms, affinity group."""
     request_id = secrets.token_hex(8)
     group = secrets.token_hex(4)
     return f"OPEN {request_id} me c=chat,d=2000,g={group}"
--- a/tests/cli/test_descriptions_command.py
+++ b/tests/cli/test_descriptions_command.py
@@ -66,19 +66,19 @@
 
 @pytest.fixture
 def override(working_directory: Path) -> tuple[str, ...]:
-    """Write an operator's file that declares the class unsafe. Return the options that pass it."""
+    """Write an operator's file that declares the class unsafe. Return the options to pass to a command."""
     section = {"classes": {"chat": {"repeat": "unsafe"}}}
     (working_directory / "op.json").write_text(json.dumps({"descriptions": section}))
     return ("--file", "op.json", *CONFIG)
 
 
-def test_diff_that_loosens_has_exit_status_3(override: tuple[str, ...]) -> None:
+def test_diff_that_allows_more_retries_has_exit_status_3(override: tuple[str, ...]) -> None:
     result = run_command("descriptions", "diff", "old.yaml", "new.yaml", *override)
     assert result.status == 3
     assert "loosens  GET /orders/{id}: becomes repeatable, unsafe -> safe" in result.output
 
 
-def test_diff_that_tightens_succeeds(override: tuple[str, ...]) -> None:
+def test_diff_that_allows_fewer_retries_succeeds(override: tuple[str, ...]) -> None:
     result = run_command("descriptions", "diff", "new.yaml", "old.yaml", *override)
     assert result.status == 0
     assert "GET /orders/{id}: is no longer repeatable" in result.output
@@ -90,6 +90,6 @@
     assert "/orders/{id}" in (working_directory / "g.svg").read_text()
 
 
-def test_check_of_the_operator_file_reads_its_descriptions(working_directory: Path) -> None:
+def test_check_rejects_an_operator_file_with_an_invalid_description(working_directory: Path) -> None:
     (working_directory / "op.json").write_text(json.dumps({"descriptions": {"paths": ["typo.yaml"]}}))
     assert run_command("check", "op.json", *CONFIG).status == 1
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -14,7 +14,7 @@
 
 @pytest.fixture
 def settings() -> dict[str, Any]:
-    """Return the settings of `balancer` that differ from SETTINGS. A module or a test overrides it."""
+    """Return the settings of `balancer` that differ from SETTINGS. A module or a test may override it."""
     return {}
 
 
--- a/tests/fault_proxy/test_fault_commands.py
+++ b/tests/fault_proxy/test_fault_commands.py
@@ -1,4 +1,4 @@
-"""The parser of commands and scripts: errors give the position of an invalid word, and all invalid lines."""
+"""The parser of commands and scripts: errors give the position of an invalid word, or all invalid lines."""
 
 from __future__ import annotations
 
@@ -22,17 +22,17 @@
         ("delay a b 31", "word 4: 31 lies"),
         ("delay a b 1 x", "word 5: 'x' is not a number"),
         ("lose a b nan", "word 4: nan lies"),
-        ("", "an empty"),
+        ("", "the command is empty"),
         ("delay a b", "delay takes 3 or 4 arguments, not 2"),
         ("rate a b 0", "word 4: 0 lies outside 1 to 1e"),
     ],
 )
-def test_invalid_command_is_rejected_with_the_position_of_the_word(line: str, reason: str) -> None:
+def test_invalid_command_is_rejected_with_the_reason(line: str, reason: str) -> None:
     with pytest.raises(CommandError, match=f"^{reason}"):
         parse_command(line)
 
 
-def test_script_is_sorted_by_time() -> None:
+def test_commands_of_a_script_are_sorted_by_time() -> None:
     assert parse_script("# a comment\nat 2 heal\n\nat 0.5 cut a b  # one way\n") == [
         ScheduledCommand(0.5, Command(CommandName.CUT, "a", "b")),
         ScheduledCommand(2.0, Command(CommandName.HEAL)),
--- a/tests/fault_proxy/test_fault_proxy.py
+++ b/tests/fault_proxy/test_fault_proxy.py
@@ -138,7 +138,7 @@
         assert proxied.echo.changed.wait_for(lambda: proxied.echo.resets == 1, timeout=WAIT_S)
 
 
-def test_invalid_command_is_answered_with_the_position_of_the_word(proxied: ProxiedServer) -> None:
+def test_invalid_command_is_answered_with_the_reason(proxied: ProxiedServer) -> None:
     assert proxied.proxy.send_command("delay a b soon") == "error: word 4: 'soon' is not a number"
     assert proxied.proxy.send_command("cut a") == "error: cut takes 2 arguments, not 1"
     assert proxied.proxy.send_command("lose a b 0.5") == "error: word 1: lose needs --frames"
--- a/tests/support/balancer.py
+++ b/tests/support/balancer.py
@@ -145,7 +145,7 @@
             text: the content of the configuration file, instead of the default. The method then does not
                 wait, because the process may reject the file.
             files: the limit on open files.
-            stderr: where the log goes.
+            stderr: the destination of the log.
         """
         self.path.write_text(json.dumps(self.config(members)) if text is None else text)
         self.launch(files, stderr)
--- a/tests/support/balancer_harness.py
+++ b/tests/support/balancer_harness.py
@@ -53,7 +53,7 @@
 
 
 class BalancerHarness:
-    """One balancer and its clock. Servers report `loads` to health checks; unresponsive ones time out."""
+    """One balancer and its clock. Health checks report `loads`, or time out for `unresponsive` servers."""
 
     def __init__(self, *names: str, loads: dict[str, float] | None = None, seed: int = 1, **changes: object):
         self.now_us = START_US
@@ -106,7 +106,7 @@
         return answers
 
     def run(self, duration_us: int) -> list[api.Action]:
-        """Advance the time by this duration; timers fire, and health checks are answered."""
+        """Advance the time by this duration, fire the timers that are due, and answer the health checks."""
         end_us = self.now_us + duration_us
         answers: list[api.Action] = []
         while any(timer.due_us <= end_us for timer in self.timers):
@@ -127,7 +127,7 @@
         return self.dispatch(api.TimerFired(timer.token))
 
     def run_to_check_of(self, server: str) -> None:
-        """Fire timers until a health check of this server is pending, and remove it; answer the others."""
+        """Fire timers until a health check of this server is pending. Remove it, and answer all others."""
         while server not in self.pending_checks:
             self.run_to_next_timer()
             for name in [name for name in self.pending_checks if name != server]:
--- a/tests/support/balancer_process.py
+++ b/tests/support/balancer_process.py
@@ -49,7 +49,7 @@
 
         Args:
             files: the limit on open files.
-            stderr: where the log goes. `wait_for_event` and `counters` need the default.
+            stderr: the destination of the log. `wait_for_event` and `counters` need the default.
             variables: additional environment variables.
         """
         environ = {key: value for key, value in os.environ.items() if not key.startswith("RELAY_")}
--- a/tests/support/description_cases.py
+++ b/tests/support/description_cases.py
@@ -65,7 +65,7 @@
 
 
 def compile_case(case: Case, directory: Path) -> CompiledDescriptions:
-    """Write the files of a case into the working directory, and compile those at its top level."""
+    """Write the files of a case into the working directory, and compile the files at its top level."""
     paths = []
     for name, text in _files_of(case).items():
         (directory / name).parent.mkdir(exist_ok=True)
--- a/tests/support/fleet_model.py
+++ b/tests/support/fleet_model.py
@@ -1,8 +1,8 @@
 """A model of a fleet: many balancers and simple servers, to test the effects of all balancers together.
 
-The load of a server is its open connections divided by its current capacity; reports of it are REPORT_AGE_US
-old. Events are dispatched from one heap in the order of their times, and every random choice is drawn from
-the seed, so that each run gives the same result.
+The load of a server is its open connections divided by its current capacity. A health check reports a
+load that was sampled at least REPORT_AGE_US before. Events are dispatched from one heap in the order of their
+times, and every random choice is drawn from the seed, so that each run gives the same result.
 """
 
 import heapq
@@ -47,7 +47,7 @@
 
 
 class FleetModel:
-    """Balancers are identified by number, servers by name.
+    """The balancers of a fleet, identified by number, and its servers, identified by name.
 
     Rejected and migrated clients reconnect at a random balancer.
     """
--- a/tests/support/known_red.py
+++ b/tests/support/known_red.py
@@ -4,12 +4,12 @@
 
     tests/store/test_raft_node.py::test_name
         command: the command and seed that show the failure
-        environment: NAME=VALUE (optional: the entry holds only where this variable has this value)
+        environment: NAME=VALUE (optional: the entry applies only if this variable has this value)
         seen: what was observed
         issue: number of the open issue
 
-A listed test that fails is reported as an expected failure and printed at the end. An entry that names no
-test is an error, and so is an entry with a missing field. Lines that start with `#` are comments.
+A listed test that fails is reported as an expected failure and printed at the end. An entry whose test
+does not exist is an error, and so is an entry with a missing field. Lines that start with `#` are comments.
 """
 
 import os
@@ -47,7 +47,7 @@
         return node_id == self.name or node_id.startswith(f"{self.name}[")
 
     def applies(self, environment: dict[str, str]) -> bool:
-        """Return whether the entry holds in this environment."""
+        """Return whether the entry applies in this environment."""
         condition = self.fields.get("environment")
         if condition is None:
             return True
@@ -90,7 +90,7 @@
 
 
 def unknown_entries(entries: Iterable[KnownRed], node_ids: list[str], root: Path) -> list[KnownRed]:
-    """Return the entries that name no test.
+    """Return the entries whose test does not exist.
 
     An entry whose file exists but was not collected is not checked.
     """
@@ -116,7 +116,7 @@
 
 
 def pytest_collection_finish(session: pytest.Session) -> None:
-    """Stop the run if an entry names no test.
+    """Stop the run if the test of an entry does not exist.
 
     If tests were selected by their ids or by a keyword, the entries are not checked.
     """
--- a/tests/support/replay_environment.py
+++ b/tests/support/replay_environment.py
@@ -20,7 +20,7 @@
 ZONES = ("north", "south")
 INITIAL_CONNECTIONS = 300  # many, since exploration migrates few of them
 MEAN_STEP_US = 40_000
-MEAN_BURST_STEP_US = 2_000  # during a reconnect burst
+MEAN_BURST_STEP_US = 2_000  # mean step during a reconnect burst
 REPORTS: tuple[api.LoadReport, ...] = (
     {"load": 0.3},
     {"load": 0.65},
@@ -169,7 +169,7 @@
         self._dispatch(api.HealthCheckResult(name, api.AttemptOutcome.OK, 900, dict(report)))
 
     def _end_attempt(self) -> None:
-        attempting = self._state.attempting()
+        attempting = self._state.attempting_sessions()
         if not attempting:
             return
         session = self._random.choice(attempting)
@@ -194,7 +194,7 @@
         self._dispatch(event)
 
     def _end_connection(self) -> None:
-        established = self._state.established()
+        established = self._state.established_sessions()
         if established:
             self._finish(self._random.choice(established), self._random.choice(OUTCOMES), 0, True)
 
--- a/tests/support/replay_state.py
+++ b/tests/support/replay_state.py
@@ -40,11 +40,11 @@
         self._timers = [timer for timer in self._timers if timer.due_us > now_us]
         return due
 
-    def attempting(self) -> list[Session]:
+    def attempting_sessions(self) -> list[Session]:
         """Return the sessions with an attempt in flight."""
         return [session for session in self.sessions.values() if session.server and not session.established]
 
-    def established(self) -> list[Session]:
+    def established_sessions(self) -> list[Session]:
         """Return the open sessions."""
         return [session for session in self.sessions.values() if session.established]
 
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""Runs a few seeds of the soak test (`python benchmarks/soak`), and checks that it finds violations.
+"""Runs a few seeds of the soak test (`python benchmarks/soak`), and checks that it finds planted faults.
 
 `WHEATSTILE_SEEDS=N-N pytest tests/test_soak.py` repeats the run of seed N.
 """
@@ -19,7 +19,7 @@
 FIRST, _, LAST = os.environ.get("WHEATSTILE_SEEDS", "1-4").partition("-")
 SEEDS = range(int(FIRST), int(LAST or FIRST) + 1)
 PARALLEL_RUNS = 4
-MAX_PLANTED_SEEDS = 10
+MAX_SEEDS_PER_FAULT = 10
 
 
 def test_soak_with_restarts_reloads_and_faults_has_no_violation() -> None:
@@ -37,11 +37,11 @@
     ],
 )
 def test_soak_finds_planted_fault(fault: str, rule: str) -> None:
-    for seed in range(1, MAX_PLANTED_SEEDS + 1):
+    for seed in range(1, MAX_SEEDS_PER_FAULT + 1):
         result = asyncio.run(run_seed(seed, planted_program(fault)))
         if any(rule in violation.rule for violation in result.violations):
             return
-    pytest.fail(f"{fault} was not found by {MAX_PLANTED_SEEDS} seeds")
+    pytest.fail(f"{fault} was not found by {MAX_SEEDS_PER_FAULT} seeds")
 
 
 class RecordedRun:
--- a/wheatstile/cli/check.py
+++ b/wheatstile/cli/check.py
@@ -34,7 +34,7 @@
 def command(file: str, config: str | None) -> ExitStatus:
     """Check the operator's FILE and the files that it names.
 
-    All are also checked against the platform's settings if --config or RELAY_CONFIG is set.
+    These files are also checked against the platform's settings if --config or RELAY_CONFIG is set.
     Exit status 0: valid; 1: rejected, with all reasons on standard error.
     """
     try:
@@ -118,12 +118,12 @@
     section = operator_file.settings.descriptions
     if not (section.paths or section.rules or section.classes):
         return
-    from wheatstile.cli.description_sets import compile_descriptions
+    from wheatstile.cli.description_sets import compile_for_command
     from wheatstile.descriptions.findings import InvalidDescriptionError
 
     paths = [operator_file.resolve_path(path) for path in section.paths]
     try:
-        compiled = compile_descriptions(paths, operator_file, platform).descriptions
+        compiled = compile_for_command(paths, operator_file, platform).descriptions
     except InvalidDescriptionError as error:
         report.reasons += error.lines()
         return
--- a/wheatstile/cli/configuration.py
+++ b/wheatstile/cli/configuration.py
@@ -1,4 +1,4 @@
-"""Reads the two optional configuration files of commands: the operator's and the platform's."""
+"""Reads the operator's file and the platform's configuration for commands. Both are optional."""
 
 import os
 
--- a/wheatstile/cli/description_changes.py
+++ b/wheatstile/cli/description_changes.py
@@ -16,14 +16,14 @@
 
 
 class DescriptionChange(msgspec.Struct):
-    """One change as a sentence, and whether it allows retries that were not allowed before."""
+    """A change as a sentence. `loosens` is true if it allows retries that were not allowed before."""
 
     change: str
     loosens: bool = False
 
 
 def description_changes(old: CompiledDescriptions, new: CompiledDescriptions) -> Iterator[DescriptionChange]:
-    """Yield every change of a route, by action and template, then every change of a class, by name."""
+    """Yield the changes of routes, sorted by action and template, then those of classes, sorted by name."""
     old_routes = {(route.operation.action, route.template): route for route in old.routes}
     new_routes = {(route.operation.action, route.template): route for route in new.routes}
     for key in sorted(old_routes.keys() | new_routes.keys()):
--- a/wheatstile/cli/description_sets.py
+++ b/wheatstile/cli/description_sets.py
@@ -10,7 +10,7 @@
 from wheatstile.descriptions.worker_protocol import class_settings
 
 
-def compile_descriptions(
+def compile_for_command(
     paths: Iterable[str | Path],
     operator_file: OperatorFile | None,
     platform: Config | None,
@@ -21,7 +21,7 @@
 
     platform: the platform's configuration; None if it is not known, which skips the check of class names.
     strict: treat warnings as conflicts.
-    Raises InvalidDescriptionError with every conflict, and ConfigurationError for the operator's file.
+    Raises InvalidDescriptionError with every conflict.
     """
     classes = reader.class_policies(class_settings(platform)) if platform else None
     max_attempts = platform.settings.max_attempts if platform else DEFAULT_MAX_ATTEMPTS
--- a/wheatstile/cli/descriptions.py
+++ b/wheatstile/cli/descriptions.py
@@ -8,7 +8,7 @@
 from wheatstile.cli.configuration import read_operator_file, read_platform_config
 from wheatstile.cli.description_changes import description_changes
 from wheatstile.cli.description_rows import RouteRow
-from wheatstile.cli.description_sets import compile_descriptions
+from wheatstile.cli.description_sets import compile_for_command
 from wheatstile.cli.exit_status import ExitStatus, reject
 from wheatstile.cli.groups import ConfigurationGroup
 from wheatstile.cli.options import json_option, platform_config_option
@@ -27,13 +27,13 @@
 MATCH_COLUMNS = ("", "action", "route", "class", "repeat", "place")
 
 _operator_file_option = click.option(
-    "--file", "operator_file", metavar="OPERATOR_FILE", help="The operator's file, for its rules."
+    "--file", "operator_file", metavar="OPERATOR_FILE", help="The operator's file, whose rules apply."
 )
 _paths_argument = click.argument("paths", nargs=-1, required=True)
 
 
-def _context_options(function: Callable[..., ExitStatus]) -> Callable[..., ExitStatus]:
-    """Add the options `--file` and `--config`, which name the files to check descriptions against."""
+def _configuration_options(function: Callable[..., ExitStatus]) -> Callable[..., ExitStatus]:
+    """Add the options `--file` (the operator's file) and `--config` (the platform's configuration)."""
     return _operator_file_option(platform_config_option(function))
 
 
@@ -54,18 +54,18 @@
 
 
 def _compile(paths: Iterable[str], operator_file: str | None, config: str | None) -> Compilation:
-    return compile_descriptions(paths, read_operator_file(operator_file), read_platform_config(config))
+    return compile_for_command(paths, read_operator_file(operator_file), read_platform_config(config))
 
 
 @command.command()
 @_paths_argument
-@_context_options
+@_configuration_options
 @click.option("--strict", is_flag=True, help="Treat warnings as conflicts.")
 def check(paths: tuple[str, ...], operator_file: str | None, config: str | None, strict: bool) -> ExitStatus:
     """Check descriptions against their formats, each other, the operator's rules and the classes."""
-    rules = read_operator_file(operator_file)
+    parsed_operator_file = read_operator_file(operator_file)
     platform = read_platform_config(config)
-    compilation = compile_descriptions(paths, rules, platform, strict=strict)
+    compilation = compile_for_command(paths, parsed_operator_file, platform, strict=strict)
     compiled = compilation.descriptions
     for warning in compiled.warnings:
         click.echo(str(warning), err=True)
@@ -94,7 +94,7 @@
 
 @command.command()
 @_paths_argument
-@_context_options
+@_configuration_options
 @click.option("--json", "as_json", is_flag=True, help="Print JSON, with messages and queue groups.")
 def routes(
     paths: tuple[str, ...], operator_file: str | None, config: str | None, as_json: bool
@@ -112,7 +112,7 @@
 
 @command.command()
 @click.argument("arguments", nargs=-1, required=True, metavar="PATHS... ACTION TEXT")
-@_context_options
+@_configuration_options
 def match(arguments: tuple[str, ...], operator_file: str | None, config: str | None) -> ExitStatus:
     """Show the route that matches ACTION TEXT (GET /orders/17, receive orders.17), and less specific ones."""
     if len(arguments) < MIN_MATCH_ARGUMENTS:
@@ -135,7 +135,7 @@
 @command.command()
 @click.argument("old")
 @click.argument("new")
-@_context_options
+@_configuration_options
 @json_option
 def diff(old: str, new: str, operator_file: str | None, config: str | None, as_json: bool) -> ExitStatus:
     """List the changes from OLD to NEW; exit status 3 if NEW allows more retries."""
@@ -154,7 +154,7 @@
 
 @command.command()
 @_paths_argument
-@_context_options
+@_configuration_options
 @click.option("--out", required=True, metavar="FILE.svg")
 def graph(paths: tuple[str, ...], operator_file: str | None, config: str | None, out: str) -> ExitStatus:
     """Draw a diagram of services, routes and classes as SVG."""
--- a/wheatstile/cli/endpoint_explanation.py
+++ b/wheatstile/cli/endpoint_explanation.py
@@ -1,4 +1,4 @@
-"""Computes the endpoint list that a balancer would use, by the balancer's own functions."""
+"""Computes the endpoint list that a balancer would use, with the balancer's own functions."""
 
 from collections.abc import Iterator
 from pathlib import Path
--- a/wheatstile/cli/endpoint_files.py
+++ b/wheatstile/cli/endpoint_files.py
@@ -24,7 +24,7 @@
     return parse_endpoint_file(path, read_regular_file(Path(path), rules.max_bytes), rules)
 
 
-def read_unsealed(path: str, rules: EndpointFileRules) -> JsonObject:
+def read_without_seal(path: str, rules: EndpointFileRules) -> JsonObject:
     """Return the JSON of a valid endpoint file, without its seal. Raises ConfigurationError."""
     data = read_regular_file(Path(path), rules.max_bytes)
     parse_endpoint_file(path, data, rules, check_seal=False)
@@ -44,7 +44,7 @@
 
 
 def sealed_document(value: JsonObject) -> bytes:
-    """Return the sealed document, with one line per server so that diffs are readable."""
+    """Encode this document with its seal, and with one line per server so that diffs are readable."""
     rows = ",\n  ".join(json.dumps(row, ensure_ascii=False) for row in value[SERVERS_KEY])
     members = [f'"{SERVERS_KEY}": [\n  {rows}\n ]']
     for key, element in value.items():
--- a/wheatstile/cli/exit_status.py
+++ b/wheatstile/cli/exit_status.py
@@ -6,7 +6,7 @@
 
 
 class ExitStatus(enum.IntEnum):
-    """The exit statuses of the commands, except 2 for usage errors, which click sets."""
+    """The exit statuses of the commands. Usage errors have the exit status 2, which click defines."""
 
     OK = 0
     REJECTED = 1
--- a/wheatstile/cli/fault_proxy.py
+++ b/wheatstile/cli/fault_proxy.py
@@ -12,7 +12,7 @@
 @click.option(
     "--frames",
     is_flag=True,
-    help="Split streams into frames with a 4-byte length prefix; required by lose, repeat.",
+    help="Split streams into frames with a 4-byte length prefix; required by lose and repeat.",
 )
 @click.option(
     "--control", "control_port", type=click.IntRange(0, 65535), help="Port for commands (0: any free port)."
--- a/wheatstile/cli/servers.py
+++ b/wheatstile/cli/servers.py
@@ -11,7 +11,7 @@
 from wheatstile.cli.endpoint_files import (
     GENERATION_KEY,
     read_endpoint_file,
-    read_unsealed,
+    read_without_seal,
     rejection_reasons,
     sealed_document,
     write_approval,
@@ -96,7 +96,7 @@
 @operator_file_option
 def seal(file: str, operator_file: str | None) -> ExitStatus:
     """Seal FILE in place, so that a damaged copy can be detected."""
-    value = read_unsealed(file, _rules(operator_file))
+    value = read_without_seal(file, _rules(operator_file))
     write_file(Path(file), sealed_document(value))
     click.echo(f"{file}: sealed, {digest_of(value)}")
     return ExitStatus.OK
@@ -106,12 +106,14 @@
 @click.argument("new")
 @click.argument("dest")
 @click.option("--bump", is_flag=True, help="Set the generation to one more than that of DEST.")
-@click.option("--accept", "accepted", is_flag=True, help="Publish even if it removes too many ready servers.")
+@click.option(
+    "--accept", "accepted", is_flag=True, help="Publish NEW even if it removes too many ready servers."
+)
 @operator_file_option
 def publish(new: str, dest: str, bump: bool, accepted: bool, operator_file: str | None) -> ExitStatus:
     """Check NEW, also as a replacement for DEST, seal it, and replace DEST with it atomically."""
     rules = _rules(operator_file)
-    value = read_unsealed(new, rules)
+    value = read_without_seal(new, rules)
     destination = Path(dest)
     current = read_endpoint_file(dest, rules) if destination.exists() else None
     if bump:
--- a/wheatstile/cli/store_client.py
+++ b/wheatstile/cli/store_client.py
@@ -1,4 +1,4 @@
-"""Shared parts of the store's client commands: their options, and the client that sends their requests."""
+"""Runs the store's client commands with a `StoreClient`, and provides the options that they share."""
 
 import asyncio
 import functools
--- a/wheatstile/cli/store_keys.py
+++ b/wheatstile/cli/store_keys.py
@@ -52,15 +52,15 @@
 async def get(
     client: StoreClient, key: str, staleness_s: float | None, history: bool, as_json: bool
 ) -> ExitStatus:
-    """Print KEY, or all keys that match a pattern with `*` or `>`. Exit status 1 if there is none."""
+    """Print KEY, or all keys that match a pattern with `*` or `>`. Exit status 1 if no key is found."""
     staleness_ms = LINEARIZABLE if staleness_s is None else int(staleness_s * 1000)
-    kind = _read_kind(key, history)
+    kind = _request_kind(key, history)
     reply = await client.request(Request(kind, key=key, max_staleness_ms=staleness_ms))
     _print_versions(reply.versions, as_json)
     return ExitStatus.OK if reply.versions else ExitStatus.REJECTED
 
 
-def _read_kind(key: str, history: bool) -> RequestKind:
+def _request_kind(key: str, history: bool) -> RequestKind:
     if history:
         return RequestKind.HISTORY
     return RequestKind.LIST if WILDCARDS & set(key) else RequestKind.GET
--- a/wheatstile/cli/store_members.py
+++ b/wheatstile/cli/store_members.py
@@ -23,7 +23,7 @@
 @json_option
 @client_command
 async def status(client: StoreClient, as_json: bool) -> ExitStatus:
-    """Print the status that each member reports. Exit status 1 if one cannot be reached."""
+    """Print the status that each member reports. Exit status 1 if a member cannot be reached."""
     statuses = await client.statuses()
     rows = [_status_row(name, reported) for name, reported in statuses.items()]
     if as_json:
--- a/wheatstile/fault_proxy/commands.py
+++ b/wheatstile/fault_proxy/commands.py
@@ -4,7 +4,7 @@
 
     cut A B                    block the bytes from A to B, in this direction only, until `heal`
     isolate A                  block all bytes from and to A
-    delay A B SECONDS [JITTER] delay the bytes from A to B, by up to JITTER seconds more; the order is kept
+    delay A B SECONDS [JITTER] delay the bytes from A to B by SECONDS plus up to JITTER; keep the order
     rate A B BYTES             limit the rate from A to B to BYTES per second
     lose A B SHARE             drop this share of the frames, from 0 to 1 (requires --frames)
     repeat A B SHARE           deliver this share of the frames twice (requires --frames)
@@ -23,7 +23,7 @@
 from wheatstile.fault_proxy.errors import CommandError, FaultProxyError, ScriptError
 
 MAX_DELAY_S = 30.0
-"""Maximum of a delay, and of its jitter."""
+"""Maximum of the delay and of the jitter."""
 MAX_RATE_BYTES_PER_S = 1e10
 MIN_RATE_BYTES_PER_S = 1.0
 MAX_SCRIPT_TIME_S = 86_400.0
@@ -132,7 +132,7 @@
 def parse_command(line: str) -> Command:
     """Parse one command. Raises CommandError, which gives the position of the invalid word, from 1."""
     if not line.split():
-        raise CommandError("an empty command")
+        raise CommandError("the command is empty")
     first, *arguments = line.split()
     name = _parse_name(first)
     if name is CommandName.HEAL and not arguments:
--- a/wheatstile/fault_proxy/delivery.py
+++ b/wheatstile/fault_proxy/delivery.py
@@ -47,7 +47,7 @@
 
     def add(self, piece: bytes, conditions: LinkConditions, now_s: float) -> Iterator[ScheduledPiece]:
         """Yield the zero, one or two deliveries of a piece that was read at `now_s`."""
-        # Draws loss, duplication and jitter in this order: another order would change the run of a seed.
+        # Loss, duplication and jitter are drawn in this order: another order would change the run of a seed.
         copies = self._copies(conditions)
         jitter_s = self._generator.random() * conditions.jitter_s
         self._last_due_s = max(self._last_due_s, now_s + conditions.delay_s + jitter_s)
--- a/wheatstile/fault_proxy/fault_table.py
+++ b/wheatstile/fault_proxy/fault_table.py
@@ -14,7 +14,7 @@
     blocked: bool = False
     delay_s: float = 0.0
     jitter_s: float = 0.0  # maximum of the random addition to the delay
-    rate_bytes_per_s: float = 0.0  # 0 for no limit
+    rate_bytes_per_s: float = 0.0  # 0: no limit
     loss_ratio: float = 0.0  # share of the frames that are dropped
     duplication_ratio: float = 0.0  # share of the frames that are delivered twice
 
--- a/wheatstile/simulator/host.py
+++ b/wheatstile/simulator/host.py
@@ -13,8 +13,8 @@
 
 EXIT_OK = 0
 EXIT_FAULT = 1
-MAX_NAME_LENGTH = 40  # in characters; longer message names are cut in a fault's text
-MAX_FAULT_LENGTH = 300  # in characters; longer texts are cut
+MAX_NAME_LENGTH = 40  # maximum characters of a message's name in the text of a fault
+MAX_FAULT_LENGTH = 300  # maximum characters in the text of a fault
 
 
 class Host:
@@ -45,7 +45,7 @@
             self._add_endpoint(fields)
             return False
         if self.missing_rows:
-            raise WireError(f"{name} where {self.missing_rows} more ROW lines are due")
+            raise WireError(f"{name} while {self.missing_rows} more ROW lines are due")
         if name == Message.BATCH_ENDED:
             self.now_us = None
             self.reply.append(wire.ready_line(self.turn))
@@ -58,7 +58,7 @@
 
     def _start_batch(self, fields: Fields) -> None:
         if self.now_us is not None:
-            raise WireError("ROUND before the last batch's FLUSH")
+            raise WireError("ROUND before the FLUSH of the previous batch")
         self.now_us = fields.integer("clockUs")
         self.turn = fields.text("turn")
         self.reply = []
--- a/wheatstile/simulator/wire.py
+++ b/wheatstile/simulator/wire.py
@@ -1,4 +1,4 @@
-"""Translates the simulator's wire protocol: messages to the decision module's events, its actions to lines.
+"""Translates the simulator's messages to events of the decision module, and the module's actions to lines.
 
 Unknown messages, fields and values raise no error. A malformed message raises WireError.
 """
@@ -33,7 +33,7 @@
     "restored": api.EndpointUpdateKind.CACHED,
     "unavailable": api.EndpointUpdateKind.FAILED,
 }
-# Both kinds of load check have the same name. The repeated one has a connection.
+# Both kinds of load check have the same name. Only the timer of a repeated check has a connection.
 TIMER_NAMES = {
     api.TimerKind.EXPLORATION_SLOT: "slot",
     api.TimerKind.WATCH_ENDPOINTS: "list",
@@ -191,7 +191,7 @@
 
 
 class ActionLineFormat(NamedTuple):
-    """The line of an action: its name, and the action's attribute for each field of the line."""
+    """The line of an action: the line's name, and the action's attribute for each key of the line."""
 
     name: str
     attributes: Mapping[str, str]
