--- a/benchmarks/soak/balancers.py
+++ b/benchmarks/soak/balancers.py
@@ -20,7 +20,7 @@
 PROGRAM = (sys.executable, "-m", "wheatstile")
 PLANTED_FAULTS_SCRIPT = Path(__file__).parent / "planted_faults.py"
 KILL_MARGIN_S = 0.7  # protocol: minimum time between the end of the longest deadline and SIGKILL
-MAX_COUNTED_DEADLINE_S = 3.0  # protocol: upper bound for the longest deadline in this calculation
+MAX_COUNTED_DEADLINE_S = 3.0  # protocol: a longer deadline delays SIGKILL by this time only
 READY_TIMEOUT_S = 20.0
 POLL_INTERVAL_S = 0.02
 DESCRIPTOR_TOLERANCE = 4  # watches and timers may be open for a short time
@@ -167,7 +167,7 @@
         self.process.wait()
 
     async def wait_until_ended(self, longest_deadline_s: float) -> None:
-        """Wait until the process ends. Send SIGKILL at the earliest time that the platform allows."""
+        """Wait until the process ends, or send SIGKILL at the earliest time that the protocol allows."""
         process_record = self.process_record
         process = self.process
         loop = asyncio.get_running_loop()
--- a/wheatstile/cli/descriptions.py
+++ b/wheatstile/cli/descriptions.py
@@ -62,7 +62,7 @@
 @_configuration_options
 @click.option("--strict", is_flag=True, help="Treat warnings as conflicts.")
 def check(paths: tuple[str, ...], operator_file: str | None, config: str | None, strict: bool) -> ExitStatus:
-    """Check descriptions against their formats, each other, the operator's rules and the classes."""
+    """Check descriptions against their formats, each other, operator rules and platform classes."""
     parsed_operator_file = read_operator_file(operator_file)
     platform = read_platform_config(config)
     compilation = compile_for_command(paths, parsed_operator_file, platform, strict=strict)
--- a/wheatstile/cli/endpoint_explanation.py
+++ b/wheatstile/cli/endpoint_explanation.py
@@ -38,7 +38,7 @@
         self._merged = merge_endpoints(now_us, self.selection, discovery, file.servers, {})
 
     def rows(self) -> Iterator[list[str]]:
-        """Yield EXPLANATION_COLUMNS for each server of the list, then for each server that is gone."""
+        """Yield EXPLANATION_COLUMNS for each listed server, then for each that discovery reports as gone."""
         for name, merged in sorted(self._merged.items()):
             values = msgspec.structs.astuple(ServerRow.from_endpoint(merged.resolved))[:SHOWN_VALUE_COUNT]
             yield [name, *map(str, values), merged.reason]
--- a/wheatstile/cli/endpoint_files.py
+++ b/wheatstile/cli/endpoint_files.py
@@ -38,7 +38,7 @@
     rules: EndpointFileRules,
     accepted_digests: frozenset[str] = frozenset(),
 ) -> list[str]:
-    """Return the reasons why a balancer with the list `active` would reject `new`; empty if it accepts it."""
+    """Return the reasons why a balancer with the endpoints `active` would not apply `new`, if any."""
     evaluation = evaluate(new, active, None, accepted_digests, rules)
     return list(evaluation.reasons) if evaluation.is_blocked else []
 
--- a/wheatstile/cli/servers.py
+++ b/wheatstile/cli/servers.py
@@ -41,7 +41,9 @@
 
 @command.command()
 @click.argument("file")
-@click.option("--against", metavar="FILE", help="Also check it as a replacement for this file.")
+@click.option(
+    "--against", metavar="FILE", help="Also check the argument FILE as a replacement for this file."
+)
 @operator_file_option
 def check(file: str, against: str | None, operator_file: str | None) -> ExitStatus:
     """Check FILE, an endpoint file."""
@@ -111,7 +113,7 @@
 )
 @operator_file_option
 def publish(new: str, dest: str, bump: bool, accepted: bool, operator_file: str | None) -> ExitStatus:
-    """Check NEW, also as a replacement for DEST, seal it, and replace DEST with it atomically."""
+    """Check NEW on its own and as a replacement for DEST, seal it, and replace DEST with it atomically."""
     rules = _rules(operator_file)
     value = read_without_seal(new, rules)
     destination = Path(dest)
--- a/wheatstile/fault_proxy/fault_table.py
+++ b/wheatstile/fault_proxy/fault_table.py
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkPattern:
-    """The links from `source` to `destination`; each may be ANY_NAME."""
+    """The links from `source` to `destination`. Either name may be ANY_NAME."""
 
     source: str
     destination: str
--- a/wheatstile/simulator/__init__.py
+++ b/wheatstile/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""Adapter by which the simulator drives the decision module. No other package imports it."""
+"""Adapter through which the simulator runs the decision module. No other package imports it."""
