--- a/tests/support/fleet_model.py
+++ b/tests/support/fleet_model.py
@@ -1,8 +1,9 @@
 """A model of a fleet: many balancers and simple servers, to test the effects of all balancers together.
 
-The load of a server is its open connections divided by its current capacity. A health check reports a
-load that was sampled at least REPORT_AGE_US before. Events are dispatched from one heap in the order of their
-times, and every random choice is drawn from the seed, so that each run gives the same result.
+The load of a server is its open connections divided by its current capacity. A health check reports
+the last load that was sampled at least REPORT_AGE_US before, or else the first sample. Events are dispatched
+from one heap in the order of their times, and every random choice is drawn from the seed, so that each run
+gives the same result.
 """
 
 import heapq
