--- a/wheatstile/fault_proxy/fault_table.py
+++ b/wheatstile/fault_proxy/fault_table.py
@@ -14,14 +14,14 @@
     blocked: bool = False
     delay_s: float = 0.0
     jitter_s: float = 0.0  # maximum of the random addition to the delay
-    rate_bytes_per_s: float = 0.0  # 0 for no limit
+    rate_bytes_per_s: float = 0.0  # 0: no limit
     loss_ratio: float = 0.0  # share of the frames that are dropped
     duplication_ratio: float = 0.0  # share of the frames that are delivered twice
 
 
 @dataclass(frozen=True, slots=True)
 class LinkPattern:
-    """The links from `source` to `destination`; each may be ANY_NAME."""
+    """The links from `source` to `destination`. Either name may be ANY_NAME."""
 
     source: str
     destination: str
