--- a/tests/store/linearizability.py
+++ b/tests/store/linearizability.py
@@ -76,9 +76,9 @@
         for position in remaining:
             if operations[position].called_at > first_return:
                 break
-            fits, new_register = apply(register, operations[position])
+            is_possible, new_register = apply(register, operations[position])
             successor = (applied | 1 << position, new_register)
-            if fits and successor not in visited:
+            if is_possible and successor not in visited:
                 visited.add(successor)
                 stack.append(successor)
     return False
--- a/tests/store/member_replacement.py
+++ b/tests/store/member_replacement.py
@@ -15,13 +15,18 @@
 from wheatstile.store.errors import StoreError
 
 NO_VOTERS = "-"
-"""Value of `voters` for `ProcessCluster.start` with which a member joins and connects to all peers."""
+"""Argument `voters` of `ProcessCluster.start` that names no member.
+
+The started member waits until it is added to the cluster, and connects to all peers.
+"""
 MAX_TIME_TO_NEXT_WRITE_S = 5.0
 """Maximum time to the next acknowledged write after the faults of a round; stated in docs/store.md."""
 MAX_FAULT_DELAY_S = 0.06
-"""A membership change takes some milliseconds, so the fault occurs before, during or after the change."""
+"""Maximum time from the start of a membership change to the fault. The change takes some milliseconds, so
+the fault occurs before, during or after it.
+"""
 ISOLATION_S = 1.5
-"""Longer than any election timeout, so that an isolated leader steps down."""
+"""Duration of an isolation; longer than any election timeout, so that an isolated leader steps down."""
 CHANGE_RETRY_S = 0.1
 CHANGE_TIMEOUT_S = 30.0
 
--- a/tests/store/process_cluster.py
+++ b/tests/store/process_cluster.py
@@ -20,7 +20,7 @@
 """The lines of standard output of each member, including the output before restarts."""
 
 PORT_RANGE = range(12_000, 32_000)
-"""Below the kernel's ephemeral ports, so that a restarted process can reuse its port."""
+"""These ports are below the kernel's ephemeral ports, so that a restarted process can reuse its port."""
 PORT_ATTEMPTS = 2_000
 
 
@@ -85,8 +85,8 @@
 
     def arguments(self, name: str, voters: str) -> list[str]:
         """Return the options of `store serve` for one member."""
-        joins = bool(voters) and name not in voters
-        peers = [peer for peer in self.names if peer != name and (joins or not voters or peer in voters)]
+        is_joining = bool(voters) and name not in voters
+        peers = [peer for peer in self.names if peer != name and (is_joining or not voters or peer in voters)]
         ports = {
             peer: self.peer_ports[peer] if self.without_fault_proxy else self.proxy_ports[name, peer]
             for peer in peers
@@ -101,7 +101,7 @@
         }
         arguments = [f"{option}={value}" for option, value in options.items()]
         arguments += [f"--peer={peer}={port}" for peer, port in ports.items()]
-        arguments += ["--join"] if joins else []
+        arguments += ["--join"] if is_joining else []
         arguments += [] if self.without_fault_proxy else ["--trace"]
         return arguments
 
--- a/tests/store/raft_cluster.py
+++ b/tests/store/raft_cluster.py
@@ -71,9 +71,9 @@
         self.applied_indices: dict[str, list[int]] = {name: [] for name in names}
         # The highest index that any node had applied when the read started, by reader and request.
         self.reads: dict[tuple[str, int], int] = {}
-        self.answered_reads = 0
-        self.rejected_reads = 0
-        self.installed_snapshots = 0
+        self.answered_read_count = 0
+        self.rejected_read_count = 0
+        self.installed_snapshot_count = 0
         self.nodes = {name: self.start_node(name) for name in names}
 
     def start_node(self, name: str) -> RaftNode:
@@ -111,7 +111,7 @@
     def process_after_persisting(self, node: RaftNode, ready: Ready) -> None:
         """Install the snapshot, send the messages, apply the entries and check the reads."""
         if ready.snapshot:
-            self.installed_snapshots += 1
+            self.installed_snapshot_count += 1
             self.applied_indices[node.name] = [int(index) for index in ready.snapshot.data.split()]
         for message in ready.messages:
             self.send(message)
@@ -123,9 +123,9 @@
         """Check that no other node has been the leader of the node's term."""
         if node.role is not Role.LEADER:
             return
-        first = self.leader_by_term.setdefault(node.term, node.name)
-        if first != node.name:
-            raise InvariantError(f"term {node.term} was led by {first} and {node.name}")
+        first_leader = self.leader_by_term.setdefault(node.term, node.name)
+        if first_leader != node.name:
+            raise InvariantError(f"term {node.term} was led by {first_leader} and {node.name}")
 
     @staticmethod
     def persist(disk: PersistedState, ready: Ready, log_entries: list[Entry]) -> None:
@@ -162,14 +162,14 @@
         for read in ready.read_states:
             if node.log.applied_index < read.index:
                 continue  # a real caller would wait until the index is applied; here the read is ignored
-            self.answered_reads += 1
+            self.answered_read_count += 1
             required = self.reads[node.name, read.request_id]
             if node.log.applied_index < required:
                 applied = node.log.applied_index
                 raise InvariantError(
                     f"{node.name} answered a read at index {applied}; it requires index {required}"
                 )
-        self.rejected_reads += len(ready.rejected_reads)
+        self.rejected_read_count += len(ready.rejected_reads)
 
     def compact_if_due(self, node: RaftNode) -> None:
         """Compact a long log into a snapshot, in memory and on disk."""
--- a/tests/store/test_backup.py
+++ b/tests/store/test_backup.py
@@ -1,4 +1,4 @@
-"""Backup and restore by commands, a member with a full disk, and a directory of an older version."""
+"""Backup and restore by commands, a member with a full disk, and a directory written by an older version."""
 
 from __future__ import annotations
 
--- a/tests/store/test_proposal_queue.py
+++ b/tests/store/test_proposal_queue.py
@@ -20,7 +20,7 @@
 
 
 def make_queue(node: RaftNode) -> ProposalQueue:
-    """Return an empty queue. It needs a running event loop."""
+    """Return an empty queue. The caller must run in an event loop."""
     return ProposalQueue(node, lambda: CLOCK_MS)
 
 
--- a/tests/store/test_raft_node.py
+++ b/tests/store/test_raft_node.py
@@ -20,26 +20,26 @@
 
 def check_all_members_caught_up(cluster: SimulatedCluster, seed: int) -> None:
     """Check that there is a leader, and that no running member is far behind it."""
-    newest = max(cluster.leaders(), key=lambda node: node.term, default=None)
-    assert newest, f"seed {seed}: there is no leader after the faults"
-    for name in newest.log.configuration.members - cluster.crashed:
-        behind = newest.log.commit_index - cluster.nodes[name].log.commit_index
+    latest_leader = max(cluster.leaders(), key=lambda node: node.term, default=None)
+    assert latest_leader, f"seed {seed}: there is no leader after the faults"
+    for name in latest_leader.log.configuration.members - cluster.crashed:
+        behind = latest_leader.log.commit_index - cluster.nodes[name].log.commit_index
         assert behind < 100, f"seed {seed}: {name} is {behind} entries behind after the faults"
 
 
 def test_no_invariant_is_violated_under_faults() -> None:
-    answered_reads = 0
-    installed_snapshots = 0
+    answered_read_count = 0
+    installed_snapshot_count = 0
     for seed in SEEDS:
         try:
             cluster = run_history(seed)
             check_all_members_caught_up(cluster, seed)
         except InvariantError as error:
             raise AssertionError(f"seed {seed}: {error}") from error
-        answered_reads += cluster.answered_reads
-        installed_snapshots += cluster.installed_snapshots
-    assert answered_reads > len(SEEDS) * 20, "too few reads were answered"
-    assert installed_snapshots > len(SEEDS) / 10, "too few snapshots were installed"
+        answered_read_count += cluster.answered_read_count
+        installed_snapshot_count += cluster.installed_snapshot_count
+    assert answered_read_count > len(SEEDS) * 20, "too few reads were answered"
+    assert installed_snapshot_count > len(SEEDS) / 10, "too few snapshots were installed"
 
 
 @pytest.mark.parametrize("seed", SEEDS_THAT_NEED_A_REMOVED_VOTER)
--- a/tests/store/test_raft_transfer.py
+++ b/tests/store/test_raft_transfer.py
@@ -25,7 +25,7 @@
     assert recipients_of_timeout_now(leader) == ["b"]
 
 
-def test_a_leader_rejects_proposals_during_a_transfer_and_cancels_it_after_a_time_out() -> None:
+def test_a_leader_rejects_proposals_during_a_transfer_and_cancels_it_after_a_timeout() -> None:
     leader = make_leader()
     leader.transfer_leadership("b")
     with pytest.raises(NotLeaderError) as caught:
--- a/tests/store/test_store_client.py
+++ b/tests/store/test_store_client.py
@@ -168,7 +168,7 @@
             await reader.read()
 
 
-def test_the_reason_of_an_error_reply_is_kept_if_the_last_attempt_has_too_little_time() -> None:
+def test_the_reason_of_an_error_reply_is_reported_if_a_shortened_last_attempt_times_out() -> None:
     """Guards against "TimeoutError" as the reported reason after a member has rejected a read as stale."""
 
     async def scenario() -> None:
--- a/tests/store/test_store_server.py
+++ b/tests/store/test_store_server.py
@@ -80,7 +80,7 @@
         for key, history in histories.items():
             assert is_linearizable(history), f"seed {seed}: {key} is not linearizable; faults: {faults}"
         answered = sum(operation.is_answered for history in histories.values() for operation in history)
-        assert answered > 30, f"seed {seed}: only {answered} answered, faults {faults}"
+        assert answered > 30, f"seed {seed}: only {answered} operations were answered; faults: {faults}"
 
     assert check_member_output(run_scenario(ProcessCluster(tmp_path, seed), scenario)) > 30
 
--- a/wheatstile/store/applied_state.py
+++ b/wheatstile/store/applied_state.py
@@ -40,7 +40,7 @@
             await self.next_apply.wait()
 
     def clock_ms(self) -> int:
-        """Return the leader clock if this member is the leader, and the committed clock otherwise."""
+        """Return the time of the leader clock if it is running, and of the committed clock otherwise."""
         committed_ms = self.state_machine.clock_ms
         if self._leader_clock.term != self._node.term or self._node.role is not Role.LEADER:
             return committed_ms
--- a/wheatstile/store/client.py
+++ b/wheatstile/store/client.py
@@ -41,9 +41,9 @@
 MAX_ATTEMPT_S = 2.0
 """Timeout for the processing of one attempt by one member."""
 ATTEMPT_MARGIN_S = 0.5
-"""Added to the timeout of an attempt, so that the reply can arrive."""
+"""Time added to the timeout of an attempt, so that the reply of the member can arrive."""
 RETRY_DELAY_S = 0.05
-"""Delay before the next member is tried."""
+"""Delay between an attempt that failed and the attempt with the next member."""
 WATCH_TIMEOUT_S = 3.0
 """Time without a reply after which a watch tries the next member; a member sends a reply every second."""
 
@@ -91,7 +91,7 @@
         self._sequence = 0
 
     def close(self) -> None:
-        """Close the connections."""
+        """Close the connections to the members."""
         self._connections.close()
 
     async def write(
@@ -199,7 +199,7 @@
                 if not (has_error_reply and remaining_s < MAX_ATTEMPT_S):
                     last_failure = f"{target}: {str(error) or type(error).__name__}"
                 self._connections.discard(target)
-                await self._try_next_member(deadline_s)
+                await self._select_next_member(deadline_s)
                 continue
             if reply.error is ErrorCode.NONE:
                 return reply
@@ -210,7 +210,7 @@
             if reply.error is ErrorCode.NOT_LEADER and reply.leader in self._members:
                 self._target = reply.leader
             else:
-                await self._try_next_member(deadline_s)
+                await self._select_next_member(deadline_s)
         raise OutcomeUnknownError(last_failure)
 
     async def _attempt(self, request: Request, remaining_s: float) -> Reply:
@@ -220,8 +220,8 @@
         async with asyncio.timeout(min(remaining_s, MAX_ATTEMPT_S + ATTEMPT_MARGIN_S)):
             return await self._connections.request(self._target, bounded_request)
 
-    async def _try_next_member(self, deadline_s: float) -> None:
-        """Select the next member as the target, and wait, but not beyond the deadline."""
+    async def _select_next_member(self, deadline_s: float) -> None:
+        """Select the next member as the target, and wait `RETRY_DELAY_S`, but not beyond the deadline."""
         self._target = next(self._member_cycle)
         remaining_s = deadline_s - asyncio.get_running_loop().time()
         await asyncio.sleep(min(RETRY_DELAY_S, max(0.0, remaining_s)))
--- a/wheatstile/store/commands.py
+++ b/wheatstile/store/commands.py
@@ -78,10 +78,10 @@
 
 def validate(command: Command) -> None:
     """Check the limits of a command. Raises `InvalidCommandError`."""
-    clauses = len(command.operations) + len(command.preconditions)
-    if clauses > MAX_COMMAND_CLAUSES:
+    clause_count = len(command.operations) + len(command.preconditions)
+    if clause_count > MAX_COMMAND_CLAUSES:
         raise InvalidCommandError(
-            f"{clauses} operations and preconditions; the limit is {MAX_COMMAND_CLAUSES}"
+            f"{clause_count} operations and preconditions; the limit is {MAX_COMMAND_CLAUSES}"
         )
     written: set[str] = set()
     for operation in command.operations:
--- a/wheatstile/store/errors.py
+++ b/wheatstile/store/errors.py
@@ -24,7 +24,7 @@
 
 
 class InvalidCommandError(ReasonError):
-    """The command exceeds a limit, or writes a key twice."""
+    """The command violates a limit, or writes a key twice."""
 
 
 class RestoreRejectedError(ReasonError):
--- a/wheatstile/store/inspection.py
+++ b/wheatstile/store/inspection.py
@@ -1,4 +1,4 @@
-"""Summarises a member's directory for operators, without a running member and without changing a file."""
+"""Summarizes a member's directory for operators, without a running member and without changing a file."""
 
 from __future__ import annotations
 
@@ -36,10 +36,10 @@
 def inspect_directory(directory: Path) -> DirectorySummary:
     """Return a summary of a member's directory. Raises `CorruptStorageError`, OSError."""
     contents = read_directory(directory)
-    return _summarise(contents)
+    return _summarize(contents)
 
 
-def _summarise(contents: DirectoryContents) -> DirectorySummary:
+def _summarize(contents: DirectoryContents) -> DirectorySummary:
     header = contents.header
     hard_state = contents.hard_state or HardState(0, None, 0)
     snapshot = contents.snapshot or Snapshot(0, 0, Configuration(frozenset()), b"")
--- a/wheatstile/store/leader_clock.py
+++ b/wheatstile/store/leader_clock.py
@@ -29,6 +29,6 @@
         self._started_at_ns = time.monotonic_ns()
 
     def now_ms(self, committed_ms: int) -> int:
-        """Return the clock, which is never less than `committed_ms`."""
+        """Return the time of this clock, which is never less than `committed_ms`."""
         elapsed_ms = (time.monotonic_ns() - self._started_at_ns) // NS_PER_MS
         return max(committed_ms, self._base_ms + elapsed_ms)
--- a/wheatstile/store/member.py
+++ b/wheatstile/store/member.py
@@ -54,13 +54,13 @@
         self.applied = AppliedState(self.node, recovered.snapshot, self._trace)
         self._proposals = ProposalQueue(self.node, self.applied.clock_ms)
         self._reads = PendingReads(self.node, self.schedule_flush)
-        # Fails with StorageFailedError.
+        # This future never has a result. If the storage fails, it fails with StorageFailedError.
         self._storage_failure: asyncio.Future[None] = self._loop.create_future()
         self._is_flush_scheduled = False
         self._last_logged_role = Role.FOLLOWER
 
     def close(self) -> None:
-        """Close the files."""
+        """Close the files of the directory."""
         self._storage.close()
 
     async def run(self) -> None:
@@ -79,7 +79,7 @@
         return (self.node.commit_age_ticks + 1) * TICK_MS
 
     def status(self) -> MemberStatus:
-        """Return the status that clients can request."""
+        """Return the member's role, term, log indices, configuration and counters."""
         raft_log = self.node.log
         configuration = raft_log.configuration
         return MemberStatus(
--- a/wheatstile/store/pending_reads.py
+++ b/wheatstile/store/pending_reads.py
@@ -1,4 +1,4 @@
-"""Requests read indices for linearizable reads, and tracks the reads that wait for theirs."""
+"""Requests a read index for each linearizable read, and returns the index once it is confirmed."""
 
 from __future__ import annotations
 
--- a/wheatstile/store/protocol.py
+++ b/wheatstile/store/protocol.py
@@ -45,7 +45,7 @@
     REJECTED = "refused"  # the membership change or the leadership transfer is not possible now
     STALE = "stale"  # this member's state may be older than the read allows
     WATCH_COMPACTED = "behind"  # events that the watch requires were discarded
-    INVALID = "bad"  # the request is malformed or exceeds a limit
+    INVALID = "bad"  # the request is malformed or violates a limit
 
 
 class PeerHandshake(msgspec.Struct, frozen=True):
--- a/wheatstile/store/raft/messages.py
+++ b/wheatstile/store/raft/messages.py
@@ -103,9 +103,10 @@
 
 
 class HardState(msgspec.Struct, frozen=True):
-    """The values that must be on disk before a message is sent (paper, figure 2: persistent state).
+    """The values that a node stores before it sends a message.
 
-    `commit` is the commit index. With it, a restarted node can apply its log before it has found a leader.
+    `term` and `vote` must be on disk by then (paper, figure 2: persistent state). `commit` is the commit
+    index. With it, a restarted node can apply its log before it has found a leader.
     """
 
     term: int
--- a/wheatstile/store/raft/progress.py
+++ b/wheatstile/store/raft/progress.py
@@ -1,4 +1,4 @@
-"""The leader's view of one follower's log, and the flow control of its appends (etcd's `Progress`)."""
+"""The leader's view of one follower's log, and the flow control of appends to it (etcd's `Progress`)."""
 
 from __future__ import annotations
 
--- a/wheatstile/store/raft/read_index.py
+++ b/wheatstile/store/raft/read_index.py
@@ -12,7 +12,7 @@
 from wheatstile.store.raft.state import Leadership, PendingRead, RaftState
 
 MAX_PENDING_READS = 10_000
-"""Maximum number of pending reads on one node. It does not accept further ones."""
+"""Maximum number of pending reads on one node. The node does not accept further reads."""
 
 
 def request(state: RaftState, request_id: int) -> None:
--- a/wheatstile/store/raft/state.py
+++ b/wheatstile/store/raft/state.py
@@ -130,7 +130,7 @@
 
     @property
     def hard_state(self) -> HardState:
-        """The values that must be on disk before the next message is sent."""
+        """The values that the caller must store before it sends the next message."""
         return HardState(self.term, self.vote, self.log.commit_index)
 
     @property
--- a/wheatstile/store/raft/transfer.py
+++ b/wheatstile/store/raft/transfer.py
@@ -1,4 +1,4 @@
-"""Leadership transfer (§3.10): the leader completes a voter's log, then tells it to campaign at once."""
+"""Leadership transfer (§3.10): the leader completes a voter's log, then tells the voter to campaign."""
 
 from __future__ import annotations
 
--- a/wheatstile/store/state_machine.py
+++ b/wheatstile/store/state_machine.py
@@ -38,7 +38,10 @@
 
 
 class Version(msgspec.Struct, frozen=True, array_like=True):
-    """One version of a key. `expires_at_ms` is 0 if the version does not expire."""
+    """One version of a key.
+
+    `expires_at_ms` is the time of its `Expiration`, or 0 if it has none.
+    """
 
     revision: int
     change: ChangeKind
@@ -48,7 +51,7 @@
 
 
 class Session(msgspec.Struct, frozen=True, array_like=True):
-    """The last command of a client's session, which identifies a repeated command."""
+    """The last command of a client's session, by which a repeated command is recognized."""
 
     sequence: int
     result: CommandResult
@@ -67,7 +70,10 @@
 
 
 class Expiration(NamedTuple):
-    """The time when a key expires, or is discarded if deleted. Ignored if the key has a later revision."""
+    """The time when a key expires, or when a deleted key is discarded.
+
+    An expiration is ignored if the latest version of the key has another revision.
+    """
 
     at_ms: int
     key: str
@@ -123,7 +129,7 @@
         return result
 
     def _discard_old_sessions(self) -> None:
-        """Discard the oldest sessions above `MAX_SESSIONS`, and those unused for `SESSION_TTL_MS`."""
+        """Discard sessions unused for `SESSION_TTL_MS`, and the least recently used above `MAX_SESSIONS`."""
         while self.sessions:
             session_id, session = next(iter(self.sessions.items()))
             is_in_use = session.last_used_ms > self.clock_ms - SESSION_TTL_MS
--- a/wheatstile/store/storage.py
+++ b/wheatstile/store/storage.py
@@ -44,7 +44,7 @@
 
 
 class LogRecord(msgspec.Struct, frozen=True, array_like=True):
-    """A further record of the log, with the hard state and the entries of one `Ready`."""
+    """A record of the log after the header, with the hard state and the entries of one `Ready`."""
 
     hard_state: HardState | None
     entries: list[Entry]
