--- a/tests/store/test_raft_election.py
+++ b/tests/store/test_raft_election.py
@@ -8,7 +8,7 @@
 from wheatstile.store.raft.messages import Entry, EntryKind, HardState, Message, MessageKind, Role
 
 
-def test_a_follower_without_leader_contact_starts_a_pre_vote_in_its_term() -> None:
+def test_a_follower_without_leader_contact_starts_a_pre_vote_without_a_new_term() -> None:
     node = make_node()
     for _ in range(20):
         node.tick()
--- a/tests/store/test_storage.py
+++ b/tests/store/test_storage.py
@@ -55,7 +55,7 @@
 
 
 @pytest.mark.parametrize(("term", "remaining"), [(1, [5, 6]), (2, [])])
-def test_after_a_crash_between_snapshot_and_log_only_entries_that_follow_the_snapshot_remain(
+def test_only_entries_after_the_snapshot_remain_after_a_crash_between_snapshot_and_log(
     tmp_path: Path, term: int, remaining: list[int]
 ) -> None:
     """Entries of the old log that conflict with the snapshot are discarded."""
--- a/tests/store/test_store_client.py
+++ b/tests/store/test_store_client.py
@@ -67,7 +67,7 @@
             server.close()
 
 
-def test_a_client_follows_the_leader_that_a_member_names() -> None:
+def test_a_client_sends_its_requests_to_the_leader_that_a_member_names() -> None:
     async def scenario() -> None:
         follower = ScriptedMember(Reply(ErrorCode.NOT_LEADER, leader="c"))
         leader = ScriptedMember(WRITTEN, WRITTEN)
--- a/tests/store/test_store_server.py
+++ b/tests/store/test_store_server.py
@@ -33,7 +33,7 @@
 LAST_VALUE = "end"
 
 
-async def use_keys_under_faults(
+async def run_clients_under_faults(
     cluster: ProcessCluster, clients: Sequence[StoreClient], seed: int
 ) -> tuple[Histories, list[str]]:
     """Run concurrent clients while faults are injected, and return the histories and the faults."""
@@ -73,7 +73,7 @@
 def test_histories_under_faults_are_linearizable(tmp_path: Path, seed: int) -> None:
     async def scenario(cluster: ProcessCluster) -> None:
         clients = [cluster.client(timeout_s=3.0) for _ in range(CLIENT_COUNT)]
-        histories, faults = await use_keys_under_faults(cluster, clients, seed)
+        histories, faults = await run_clients_under_faults(cluster, clients, seed)
         await recover(cluster)
         for client in clients:
             client.close()
--- a/wheatstile/store/backup.py
+++ b/wheatstile/store/backup.py
@@ -23,7 +23,7 @@
 
 
 class BackupHeader(msgspec.Struct, frozen=True):
-    """The first record: the name of the cluster that was backed up, and the revision of its state."""
+    """The first record of a backup: the name of the original cluster, and the revision of its state."""
 
     format: int
     cluster: str
--- a/wheatstile/store/key_pattern.py
+++ b/wheatstile/store/key_pattern.py
@@ -12,7 +12,10 @@
 
 
 def matches_pattern(pattern: str, key: str) -> bool:
-    """Return whether `key` matches. `*` matches one part, and `>` at the end matches one or more parts."""
+    """Return whether `key` matches `pattern`.
+
+    `*` matches one part, and `>` at the end of the pattern matches one or more parts.
+    """
     pattern_parts = split_parts(pattern)
     key_parts = split_parts(key)
     last = len(pattern_parts) - 1
--- a/wheatstile/store/leader_clock.py
+++ b/wheatstile/store/leader_clock.py
@@ -1,8 +1,8 @@
 """Provides the store's clock while this member is the leader.
 
 The committed clock is the latest timestamp of an applied command. A leader advances this clock by its
-own monotonic clock, but only after it has applied the first entry of its term. By then it has applied the
-timestamps of all earlier leaders, so the clock never goes back. The clock stops while there is no leader.
+own monotonic clock, but only after it has applied the first entry of its term. The commands of all earlier
+leaders precede this entry, so the clock never goes back. The clock stops while there is no leader.
 """
 
 from __future__ import annotations
--- a/wheatstile/store/peer_transport.py
+++ b/wheatstile/store/peer_transport.py
@@ -70,7 +70,10 @@
         return int(fields[0]) if fields and fields[0].isdigit() else None
 
     async def _send_queued(self, peer: str) -> None:
-        """Connect to `peer` when a message is queued, send until the connection is lost, and repeat."""
+        """Connect to `peer` when a message is queued, send until the connection is lost, and repeat.
+
+        A message is discarded if the port of `peer` is not known.
+        """
         outbox = self._outboxes[peer]
         while True:
             message = await outbox.get()
--- a/wheatstile/store/proposal_queue.py
+++ b/wheatstile/store/proposal_queue.py
@@ -39,7 +39,8 @@
 class ProposalQueue:
     """Proposes commands in groups, and resolves their futures when their entries are applied.
 
-    `clock_ms` returns the store's clock, which is the timestamp of a command when it is proposed.
+    `clock_ms` returns the time of the store's clock, which a command receives as its timestamp when it is
+    proposed.
     """
 
     def __init__(self, node: RaftNode, clock_ms: Callable[[], int]) -> None:
@@ -84,9 +85,9 @@
         )
 
     def _propose(self, queued: QueuedCommand) -> None:
-        stamped = msgspec.structs.replace(queued.command, clock_ms=self._clock_ms())
+        timestamped = msgspec.structs.replace(queued.command, clock_ms=self._clock_ms())
         try:
-            index = self._node.propose(msgspec.msgpack.encode(stamped))
+            index = self._node.propose(msgspec.msgpack.encode(timestamped))
         except NotLeaderError as error:
             queued.result.set_exception(error)
             return
--- a/wheatstile/store/raft/messages.py
+++ b/wheatstile/store/raft/messages.py
@@ -105,7 +105,7 @@
 class HardState(msgspec.Struct, frozen=True):
     """The values that a node stores before it sends a message.
 
-    `term` and `vote` must be on disk by then (paper, figure 2: persistent state). `commit` is the commit
+    `term` and `vote` must be on disk first (paper, figure 2: persistent state). `commit` is the commit
     index. With it, a restarted node can apply its log before it has found a leader.
     """
 
--- a/wheatstile/store/raft/read_index.py
+++ b/wheatstile/store/raft/read_index.py
@@ -1,8 +1,8 @@
 """Linearizable reads that need no log entry, by the read index method (§6.4).
 
 The leader answers a read with its commit index, once a quorum has acknowledged a heartbeat that was sent
-after the read arrived. This proves that it was still the leader when the read arrived. A follower forwards
-its reads to the leader.
+after the read arrived. This proves that the node was still the leader when the read arrived. A follower
+forwards its reads to the leader.
 """
 
 from __future__ import annotations
