--- a/wheatstile/store/raft/read_index.py
+++ b/wheatstile/store/raft/read_index.py
@@ -1,8 +1,8 @@
 """Linearizable reads that need no log entry, by the read index method (§6.4).
 
 The leader answers a read with its commit index, once a quorum has acknowledged a heartbeat that was sent
-after the read arrived. This proves that it was still the leader when the read arrived. A follower forwards
-its reads to the leader.
+after the read arrived. This proves that the node was still the leader when the read arrived. A follower
+forwards its reads to the leader.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from wheatstile.store.raft.state import Leadership, PendingRead, RaftState
 
 MAX_PENDING_READS = 10_000
-"""Maximum number of pending reads on one node. It does not accept further ones."""
+"""Maximum number of pending reads on one node. The node does not accept further reads."""
 
 
 def request(state: RaftState, request_id: int) -> None:
