--- a/wheatstile/fault_proxy/commands.py
+++ b/wheatstile/fault_proxy/commands.py
@@ -132,7 +132,7 @@
 def parse_command(line: str) -> Command:
     """Parse one command. Raises CommandError, which gives the position of the invalid word, from 1."""
     if not line.split():
-        raise CommandError("the command is empty")
+        raise CommandError("an empty command")
     first, *arguments = line.split()
     name = _parse_name(first)
     if name is CommandName.HEAL and not arguments:
--- a/wheatstile/simulator/line.py
+++ b/wheatstile/simulator/line.py
@@ -60,6 +60,6 @@
     for part in parts:
         key, separator, value = part.partition("=")
         if not separator:
-            raise WireError(f"{name}: '{part}' is not key=value")
+            raise WireError(f"{name}: '{part}' is not name=value")
         values[key] = value
     return name, Fields(values)
--- a/wheatstile/store/state_machine.py
+++ b/wheatstile/store/state_machine.py
@@ -143,7 +143,7 @@
         if failure is not None:
             return failure
         if self._exceeds_max_keys(command.operations):
-            return CommandResult(False, reason=f"the number of keys would exceed the limit of {MAX_KEYS}")
+            return CommandResult(False, reason=f"{MAX_KEYS} keys at most")
         for operation in command.operations:
             self._execute_operation(index, operation)
         return CommandResult(True, index)
@@ -244,5 +244,5 @@
     """Return the result of a command whose sequence number is not higher than that of its session."""
     if command.sequence == session.sequence:
         return msgspec.structs.replace(session.result, repeated=True)
-    reason = f"sequence {command.sequence} precedes the last sequence of the session, {session.sequence}"
+    reason = f"sequence {command.sequence} is older than the session's last one, {session.sequence}"
     return CommandResult(False, reason=reason)
