--- a/benchmarks/soak/balancers.py
+++ b/benchmarks/soak/balancers.py
@@ -14,7 +14,7 @@
 
 from soak.discovery import DiscoveryService, EndpointList
 from soak.records import Notification, ProcessRecord, RunRecord
-from soak.servers import LOOPBACK, free_port
+from soak.servers import LOOPBACK, reserve_port
 
 ROOT = Path(__file__).parents[2]
 PROGRAM = (sys.executable, "-m", "wheatstile")
@@ -53,7 +53,8 @@
     ) -> None:
         self.name = name
         self.accepts_new_clients = False
-        self.listen = (LOOPBACK, free_port())
+        self._reservation = reserve_port()
+        self.listen = (LOOPBACK, int(self._reservation.getsockname()[1]))
         self.process_record = ProcessRecord(name, 0.0)
         self.discovery_services = [DiscoveryService(endpoints, lambda: self.process_record) for _ in range(2)]
         self._record = record
@@ -205,12 +206,13 @@
         return {kind: len(list((directory / kind).iterdir())) for kind in ("fd", "task")}
 
     def close(self) -> None:
-        """Kill the process and close the discovery services."""
+        """Kill the process, close the discovery services, and release the port."""
         if self._process and self._process.poll() is None:
             self._process.kill()
             self._process.wait()
         for service in self.discovery_services:
             service.close()
+        self._reservation.close()
 
 
 def errors_in_log(text: str) -> list[str]:
--- a/benchmarks/soak/servers.py
+++ b/benchmarks/soak/servers.py
@@ -196,7 +196,13 @@
         self.crash()
 
 
-def free_port() -> int:
-    """Return a port on which no process listens."""
-    with socket.create_server((LOOPBACK, 0)) as unused:
-        return int(unused.getsockname()[1])
+def reserve_port() -> socket.socket:
+    """Return a socket that is bound to a free port and does not listen.
+
+    Until the caller closes it, the kernel gives the port to no other socket that asks for any free port. A
+    process can still listen on the port if it sets SO_REUSEADDR.
+    """
+    reservation = socket.socket()
+    reservation.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    reservation.bind((LOOPBACK, 0))
+    return reservation
