--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_admission.py
@@ -8,7 +8,7 @@
 from wheatstile.decisions.server_load import OVERLOAD_THRESHOLD
 
 
-def test_full_fleet_rejects_most_requests_without_a_health_check() -> None:
+def test_overloaded_fleet_rejects_most_requests_without_a_health_check() -> None:
     harness = BalancerHarness("a", "b", loads={"a": 1.0, "b": 1.0})
     harness.request("first")
     assert of_type(harness.log, api.Reject)
@@ -18,7 +18,7 @@
     assert 20 < len(of_type(harness.log[previous_count:], api.Reject)) < 40
 
 
-def test_servers_are_checked_again_once_the_reports_of_a_full_fleet_expire() -> None:
+def test_servers_are_checked_again_once_the_reports_of_an_overloaded_fleet_expire() -> None:
     harness = BalancerHarness("a", "b", loads={"a": 1.0, "b": 1.0})
     harness.request("first")
     harness.loads = {"a": 0.2, "b": 0.2}
@@ -64,7 +64,7 @@
     assert 50 < recovered[1] < 70
 
 
-def test_full_fleet_rejects_with_a_retry_after() -> None:
+def test_overloaded_fleet_rejects_with_a_retry_after() -> None:
     harness = BalancerHarness("a", "b", loads={"a": OVERLOAD_THRESHOLD + 0.1, "b": OVERLOAD_THRESHOLD + 0.2})
     harness.request("r")
     harness.run(2 * SECOND_US)
--- a/tests/decisions/test_candidate_selection.py
+++ b/tests/decisions/test_candidate_selection.py
@@ -39,23 +39,23 @@
 
 
 @pytest.mark.parametrize("group", ["g1", "g2", "g3"])
-def test_affinity_group_with_full_candidates_uses_the_same_servers_at_every_balancer(group: str) -> None:
-    """If both candidates of a group are full, the group must not spread over all other servers."""
+def test_group_with_overloaded_candidates_uses_the_same_servers_at_every_balancer(group: str) -> None:
+    """If both candidates of a group are overloaded, the group must not spread over all other servers."""
     first = BalancerHarness(*NAMES, fleet_size=50)
     checks = of_type(
         first.dispatch(api.Request("r", "web", SECOND_US, "k", affinity_group=group)), api.CheckHealth
     )
-    full = {check.server: OVERLOAD_THRESHOLD + 0.1 for check in checks}
-    assert len(full) == 2
+    overloaded = {check.server: OVERLOAD_THRESHOLD + 0.1 for check in checks}
+    assert len(overloaded) == 2
     chosen: set[str] = set()
     for seed in range(2, 8):
-        loads = dict.fromkeys(NAMES, 0.4) | full
+        loads = dict.fromkeys(NAMES, 0.4) | overloaded
         harness = BalancerHarness(*NAMES, fleet_size=50, seed=seed, loads=loads)
         harness.request("r", affinity_group=group)
         harness.run(SECOND_US)
         chosen.update(harness.attempted_servers)
     assert len(chosen) <= 2
-    assert not chosen & set(full)
+    assert not chosen & set(overloaded)
 
 
 def test_server_in_another_zone_is_chosen_only_if_clearly_less_loaded() -> None:
--- a/tests/decisions/test_event_order.py
+++ b/tests/decisions/test_event_order.py
@@ -1,4 +1,7 @@
-"""Tests rules 1 and 2 for any order of events, including late, repeated and unknown ones."""
+"""Tests rules 1 and 2 (one attempt at a time, one final answer) for any order of events.
+
+The events include late, repeated and unknown ones.
+"""
 
 from collections.abc import Callable
 from dataclasses import dataclass
--- a/tests/decisions/test_health_checks.py
+++ b/tests/decisions/test_health_checks.py
@@ -12,16 +12,16 @@
     harness.connect("c0", "a")
     harness.server("a").load.record_report({"load": 0.6}, harness.now_us)
     harness.server("a").load.record_message_latency(500.0)
-    moves = []
+    migrations = []
     for _ in range(2):
         harness.report_latency("c0", "a", 400.0)
         while not harness.pending_checks:
             harness.run_to_next_timer()
         assert harness.pending_checks.pop() == "a"
-        moves.append(of_type(harness.answer_check("a", api.AttemptOutcome.OVERLOADED), api.Migrate))
+        migrations.append(of_type(harness.answer_check("a", api.AttemptOutcome.OVERLOADED), api.Migrate))
         harness.run(SECOND_US)
     # A second rejection in a row counts as an unanswered check.
-    assert moves == [[], [api.Migrate("c0")]]
+    assert migrations == [[], [api.Migrate("c0")]]
 
 
 def test_rejected_check_is_a_failure_while_latency_grows() -> None:
@@ -31,8 +31,8 @@
     harness.report_latency("c0", "a", 4000.0)
     while not harness.pending_checks:
         harness.run_to_next_timer()
-    moves = of_type(harness.answer_check("a", api.AttemptOutcome.OVERLOADED), api.Migrate)
-    assert moves == [api.Migrate("c0")]
+    migrations = of_type(harness.answer_check("a", api.AttemptOutcome.OVERLOADED), api.Migrate)
+    assert migrations == [api.Migrate("c0")]
 
 
 def test_no_health_check_is_sent_while_checks_are_disabled() -> None:
--- a/tests/decisions/test_rebalancing.py
+++ b/tests/decisions/test_rebalancing.py
@@ -16,8 +16,8 @@
     harness = BalancerHarness("a", "b", "c", loads={"a": 2.0, "b": 0.5, "c": 0.5})
     harness.connect_many(60, "a")
     harness.report_latency("c0", "a", 400.0)
-    moved = of_type(harness.run(SECOND_US // 2), api.Migrate)
-    assert 30 <= len(moved) <= 55
+    migrated = of_type(harness.run(SECOND_US // 2), api.Migrate)
+    assert 30 <= len(migrated) <= 55
     remaining = min(connection.id for connection in harness.balancer.connections.established)
     assert not of_type(harness.report_latency(remaining, "a", 400.0), api.CheckHealth)
 
@@ -75,7 +75,7 @@
 def test_load_checks_rebalance_an_overloaded_server(
     reports_latency: bool, other_loads: float, is_rebalanced: bool
 ) -> None:
-    """Load checks replace latency reports, and cause no migration while the whole fleet is full."""
+    """Load checks replace latency reports, and cause no migration while the whole fleet is overloaded."""
     loads = {"a": 1.4, "b": other_loads, "c": other_loads}
     harness = BalancerHarness("a", "b", "c", loads=loads, reports_message_latency=reports_latency)
     for number in range(8):
--- a/tests/decisions/test_request_lifecycle.py
+++ b/tests/decisions/test_request_lifecycle.py
@@ -69,7 +69,7 @@
     assert harness.request("r") == []
 
 
-def test_request_with_full_candidates_draws_others_while_the_fleet_has_capacity() -> None:
+def test_request_with_overloaded_candidates_draws_others_while_the_fleet_has_capacity() -> None:
     loads = dict.fromkeys("abcd", OVERLOAD_THRESHOLD + 0.1) | dict.fromkeys("ef", 0.1)
     harness = BalancerHarness(*"abcdef", loads=loads)
     for index in range(60):
--- a/tests/net/test_client_floods.py
+++ b/tests/net/test_client_floods.py
@@ -41,7 +41,7 @@
 
 
 def test_flood_of_lines_on_an_established_session_is_relayed_in_order(balancer: Balancer) -> None:
-    """Every line and every answer arrives once and unchanged. Another client is served meanwhile."""
+    """Every line and every answer arrives once and unchanged. Another client is served at the same time."""
     balancer.start()
     client, server = balancer.establish(1)
     lines = [f"PING {number}" for number in range(FLOOD_LINES)]
--- a/tests/net/test_connection_close.py
+++ b/tests/net/test_connection_close.py
@@ -80,14 +80,14 @@
     """The oldest idle client sends its request in the event loop iteration that would evict it."""
     balancer.start(files=DESCRIPTORS)
     idle = [balancer.client() for _ in range(2 * DESCRIPTORS)]
-    idle.append(balancer.pinged_client())  # by now all are accepted, and the first ones evicted
+    idle.append(balancer.pinged_client())  # answered after all are accepted and the first evicted
     oldest = next(client for client in idle if not has_ended(client))
     first_line = b"OPEN 0000000000000001 key1 c=web,d=9000,g=abc\r\n"
     oldest.sock.sendall(before)
     if before.startswith(b"PING"):
         assert oldest.line() == "PONG"
     else:
-        balancer.counters()  # by now the balancer has read the partial line
+        balancer.counters()  # returns after the balancer has read the partial line
         first_line = first_line.removeprefix(before)
     with balancer.paused():
         oldest.sock.sendall(first_line)
@@ -109,7 +109,7 @@
     balancer.start()
     client = balancer.client()
     if is_shutdown:
-        balancer.counters()  # by now the balancer has accepted the client
+        balancer.counters()  # returns after the balancer has accepted the client
         balancer.terminate()
     assert client.lines_to_the_end() == [answer]
     balancer.open(1, client=client)
@@ -125,7 +125,7 @@
     balancer.settings = balancer.settings | {"discovery": "pushed"}
     balancer.start()
     watch, _ = balancer.discovery.watch()
-    watch.begin_watch()  # from now on the balancer opens no connections itself
+    watch.begin_watch()  # while the watch is open, the balancer opens no connections itself
     _idle = use_up_descriptors(balancer)
     with balancer.paused():
         client = balancer.open(1)
@@ -169,7 +169,7 @@
     balancer.begin_shutdown()
     with balancer.paused():
         server.sock.sendall(b"whole\r\nhalf")
-        time.sleep(3.2)  # until the end of the migrations
+        time.sleep(3.2)  # the migrations end within this time
     lines = client.lines_to_the_end()
     assert lines in (["whole", "MOVE"], ["MOVE"])
     client.close()
--- a/tests/net/test_discovery_watcher.py
+++ b/tests/net/test_discovery_watcher.py
@@ -27,7 +27,7 @@
     watch.send("HTTP/1.1 503 Busy", "Content-Length: 0", "")
     watch, _ = balancer.discovery.watch()
     watch.begin_watch()
-    watch.send_endpoint_list(2, balancer.member("s1"))  # at the address of the test server
+    watch.send_endpoint_list(2, balancer.member("s1"))  # now has the address of the test server
     watch.send_endpoint_list(3, balancer.member("s2", host_port="127.0.0.1:1", phase="draining"))
     watch.send("1", "\n")
     watch.send_endpoint_list(4, balancer.member("s3", phase="odd"))
@@ -49,7 +49,7 @@
     watch.begin_watch()
     watch.send_endpoint_list(2, balancer.member("s2"))
     watch.close()
-    balancer.discovery.watch()  # by now the balancer has handled the third failure
+    balancer.discovery.watch()  # opened after the balancer has handled the third failure
     assert balancer.stop().count("endpoint_watch_ended") == 2
 
 
@@ -88,7 +88,7 @@
     balancer.start()
     watch, _ = balancer.discovery.watch()
     watch.begin_watch()
-    for _ in range(20):  # one byte every half second, for 10 s
+    for _ in range(20):  # sends one byte every half second for 10 s
         with suppress(OSError):  # the balancer may have closed the watch
             watch.send("1", "{")
         if select.select([balancer.discovery.sock], [], [], 0.5)[0]:
--- a/tests/net/test_graceful_shutdown.py
+++ b/tests/net/test_graceful_shutdown.py
@@ -52,7 +52,7 @@
     balancer.begin_shutdown()
     with balancer.paused():
         client.close()
-        time.sleep(3.2)  # until the end of the migrations
+        time.sleep(3.2)  # the migrations end within this time
     assert server.line() == ""
     assert balancer.wait() == 0
 
@@ -64,7 +64,7 @@
     balancer.begin_shutdown()
     with balancer.paused():
         server.send("UP r")
-        time.sleep(3.2)  # until all clients without a session have been rejected
+        time.sleep(3.2)  # all clients without a session are rejected within this time
     lines = [client.line(), client.line(), client.line()]
     assert lines[0].split()[0] in ("UP", "BUSY")
     assert lines[1:] == (["MOVE", ""] if lines[0] == "UP r" else ["", ""])
--- a/tests/net/test_session_relay.py
+++ b/tests/net/test_session_relay.py
@@ -88,7 +88,7 @@
 def test_line_that_begins_with_a_final_keyword_does_not_end_the_session(
     balancer: Balancer, line: str
 ) -> None:
-    """Guards against disconnecting a client without MOVE after mistaking its server's last line for final."""
+    """Guards against mistaking such a line for a final one, and disconnecting the client without MOVE."""
     balancer.start()
     client, server = balancer.establish()
     server.send(line)
--- a/tests/process/test_restart.py
+++ b/tests/process/test_restart.py
@@ -80,18 +80,18 @@
 
 
 @pytest.fixture
-def fleet() -> Iterator[EchoServers]:
+def echo_servers() -> Iterator[EchoServers]:
     """Return three servers that accept every session."""
-    with closing(EchoServers(["s1", "s2", "s3"])) as fleet:
-        yield fleet
+    with closing(EchoServers(["s1", "s2", "s3"])) as echo_servers:
+        yield echo_servers
 
 
 @pytest.mark.parametrize("address_in_use", [False, True], ids=["address free", "address in use"])
 def test_restart_under_load_is_ready_in_time(
-    balancer: Balancer, fleet: EchoServers, address_in_use: bool
+    balancer: Balancer, echo_servers: EchoServers, address_in_use: bool
 ) -> None:
     """Restart three times. With `address_in_use`, the new process starts while the old one shuts down."""
-    members = [balancer.member(name, host_port=address) for name, address in fleet.addresses.items()]
+    members = [balancer.member(name, host_port=address) for name, address in echo_servers.addresses.items()]
     balancer.start(members, stderr=subprocess.DEVNULL)
     timeout_s = READY_TIMEOUT_BESIDE_PREDECESSOR_S if address_in_use else READY_TIMEOUT_S
     with closing(ReconnectingClients(balancer.listen)) as clients:
--- a/wheatstile/decisions/admission.py
+++ b/wheatstile/decisions/admission.py
@@ -1,4 +1,4 @@
-"""Admission control: the rate limit of repeated setups, and early rejection while the fleet is full."""
+"""Admission control: the rate limit of repeated setups, and early rejection while the fleet is overloaded."""
 
 from wheatstile import interface as api
 from wheatstile.decisions.connection_table import ConnectionTable
@@ -14,10 +14,10 @@
 MIN_RATE = 1.0
 RATE_INCREASE_PER_S = 0.6  # per connection, since failures are proportional to connections
 RATE_DECREASE_FACTOR = 0.7  # multiplies the rate at each failure
-MIN_CONNECTIONS_PER_SERVER = 27  # fleet-wide assumption; lower bound for a balancer with few connections
+MIN_CONNECTIONS_PER_SERVER = 27  # assumed for the fleet; lower bound for a balancer with few connections
 PEAK_DECAY_PER_S = 0.01  # fraction of the peak by which it falls per second
 MAX_PEAK_DECAY_TIME_S = 1.0  # maximum time between two setups that is counted for the decay
-EARLY_REJECTION_RATIO = 0.7  # fraction of the requests that a full fleet rejects early
+EARLY_REJECTION_RATIO = 0.7  # fraction of the requests that are rejected early while the fleet is overloaded
 OVERLOAD_OUTCOMES = (api.AttemptOutcome.ERROR, api.AttemptOutcome.TIMEOUT)  # outcomes that reduce the rate
 
 
@@ -69,14 +69,14 @@
 
 
 class EarlyRejection:
-    """Rejects most requests without a health check while the fleet is full."""
+    """Rejects most requests without a health check while the fleet is overloaded."""
 
     def __init__(self, context: EventContext, fleet_load: FleetLoad) -> None:
         self._context = context
         self._fleet_load = fleet_load
 
     def should_reject(self) -> bool:
-        """Return whether to reject a request at once: random, and only while the fleet is full."""
+        """Return whether to reject a request at once, drawn at random while the fleet is overloaded."""
         if self._fleet_load.mean() <= OVERLOAD_THRESHOLD:
             return False
         return self._context.random.random() < EARLY_REJECTION_RATIO
--- a/wheatstile/decisions/exploration.py
+++ b/wheatstile/decisions/exploration.py
@@ -101,9 +101,9 @@
         return move
 
     def on_connection_ended(self, connection: Connection, has_failed: bool) -> None:
-        """Return the client to the origin of its move if the connection failed and it reconnects in time.
+        """Send the client of a failed connection back to the origin of its move, if there was one.
 
-        The failure counts as a load above X_i.
+        The failure counts as a load above X_i. The client must reconnect before the move expires.
         """
         move = connection.exploration_move
         if move and has_failed and connection.key:
@@ -111,7 +111,10 @@
             self._pending[connection.key] = move
 
     def _draw_skip_count(self) -> int:
-        """Draw how many connections to skip before one explores, instead of one draw per connection."""
+        """Draw the number of connections to skip before the next one that explores.
+
+        This replaces one draw per connection.
+        """
         return int(log(1 - self._context.random.random()) / log(1 - gamma_at(self._slot)))
 
     def _explore_from(self, next_index: int) -> None:
@@ -126,7 +129,7 @@
                 self._health_checks.check_server_of(connection, self._compare)
 
     def _explore(self, connection: Connection) -> None:
-        """Migrate a connection to another server, drawn at random, after a health check measured X_i."""
+        """Migrate a connection to another server, drawn at random. A health check has just measured X_i."""
         origin = connection.server
         target = self._selector.pick(None, excluded=origin)
         if not connection.is_established or not origin or not target:
--- a/wheatstile/decisions/health_checks.py
+++ b/wheatstile/decisions/health_checks.py
@@ -30,7 +30,7 @@
         return not self._waiters.keys().isdisjoint(servers)
 
     def check(self, server: Server, callback: CheckCallback, connection: Connection) -> None:
-        """Call back with the connection after a check of the server; at once if checks are disabled."""
+        """Check a server, then call `callback` with the connection; at once if checks are disabled."""
         if not self._context.health_checks_enabled:
             callback(connection)
             return
--- a/wheatstile/decisions/lookup_table.py
+++ b/wheatstile/decisions/lookup_table.py
@@ -31,9 +31,9 @@
 class WeightedLookupTable(Generic[Item]):
     """A hash table of items, from which every balancer draws the same items with the same seed.
 
-    An item has one entry if all weights are equal, else its weight divided by the mean weight, rounded up.
-    Its acceptance ratio compensates for the rounding. The number of slots is a power of two, and at least
-    four times the number of entries.
+    An item has one entry if all weights are equal. Otherwise its number of entries is its weight divided by
+    the mean weight, rounded up, and its acceptance ratio compensates for the rounding. The number of slots is
+    a power of two, and at least four times the number of entries.
     """
 
     def __init__(self, items: Sequence[Item], weights: Sequence[float]) -> None:
--- a/wheatstile/decisions/rebalancing.py
+++ b/wheatstile/decisions/rebalancing.py
@@ -17,7 +17,7 @@
 )
 
 US_PER_MS = 1000
-REBALANCE_INTERVAL_US = 1_000_000  # time until load reports, which lag, show the effect
+REBALANCE_INTERVAL_US = 1_000_000  # load reports lag, and show the effect only after this time
 # Spreads the health checks, since all balancers learn of a high latency at the same moment.
 MAX_REBALANCE_JITTER_US = REBALANCE_INTERVAL_US / 2
 UNREACHABLE_RECHECK_US = REBALANCE_INTERVAL_US // 2  # delay after which a paused server may answer again
@@ -73,7 +73,7 @@
         self._health_checks.check_server_of(connection, self.rebalance)
 
     def on_health_check_succeeded(self, server: Server) -> None:
-        """Rebalance a server after any health check, not only a load check, that reports severe overload."""
+        """Rebalance a server if any health check reports a severe overload, unless latencies are reported."""
         if self._context.settings.reports_message_latency:
             return
         if self._fleet_load.load_of(server) <= SEVERE_OVERLOAD_THRESHOLD:
@@ -83,7 +83,7 @@
             self.on_load_checked(connections[0])
 
     def on_message_latency(self, connection: Connection, latency_ms: float) -> None:
-        """Schedule a rebalance of a server that misses its latency objective, at most once per interval."""
+        """Schedule a rebalance of a server that misses a latency objective, once per rebalance interval."""
         server = connection.server
         if not connection.is_established or not server:
             return
@@ -137,6 +137,6 @@
         return True
 
     def _is_settled(self, connection: Connection) -> bool:
-        """Return whether a connection is old enough to be migrated; any age is, if latencies are reported."""
+        """Return whether a connection is old enough to be migrated. If latencies are reported, any age is."""
         age_us = self._context.now_us - connection.established_at_us
         return self._context.settings.reports_message_latency or age_us >= SETTLING_TIME_US
--- a/wheatstile/decisions/request_placement.py
+++ b/wheatstile/decisions/request_placement.py
@@ -13,7 +13,7 @@
 from wheatstile.decisions.server_load import OVERLOAD_THRESHOLD
 
 CANDIDATE_TIMEOUT_US = 50_000  # timeout of both health checks; several round trips
-MAX_TOKEN_WAIT_TIMEOUTS = 4  # maximum delay between two tries for a token, in CANDIDATE_TIMEOUT_US
+MAX_TOKEN_WAIT_TIMEOUTS = 4  # maximum delay between two tries, in multiples of CANDIDATE_TIMEOUT_US
 
 _WAITING = ConnectionPhase.WAITING  # cached, since access to an enum member is slow in Python 3.11
 _ATTEMPTING = ConnectionPhase.ATTEMPTING
--- a/wheatstile/decisions/retry_policy.py
+++ b/wheatstile/decisions/retry_policy.py
@@ -9,7 +9,7 @@
 
 
 class RetryPolicy:
-    """Decides on further attempts. After one that may have run, only harmless repeats are allowed."""
+    """Decides on further attempts. After an attempt that may have run, only a harmless repeat is allowed."""
 
     def __init__(self, context: EventContext) -> None:
         self._context = context
--- a/wheatstile/decisions/server_load.py
+++ b/wheatstile/decisions/server_load.py
@@ -9,8 +9,8 @@
 SEVERE_OVERLOAD_THRESHOLD = 0.8  # above this load, a single report is sufficient evidence despite its noise
 UNREACHABLE_LOAD = 1e6  # recorded for a server that does not answer a health check
 MIN_LOAD_AT_GROWING_LATENCY = 1.0  # lower bound of the load while message latency is growing
-COUNT_METRICS = (LoadMetric.IN_FLIGHT, LoadMetric.QUEUE_LENGTH)  # no known capacity to divide them by
-HALF_THRESHOLD_COUNT = 100  # a count that is read as a load of half of OVERLOAD_THRESHOLD
+COUNT_METRICS = (LoadMetric.IN_FLIGHT, LoadMetric.QUEUE_LENGTH)  # the capacity to divide them by is unknown
+HALF_THRESHOLD_COUNT = 100  # this count corresponds to a load of half of OVERLOAD_THRESHOLD
 LOAD_METRIC_PREFERENCE = (LoadMetric.LOAD, LoadMetric.BUSY_SHARE, LoadMetric.BACKLOG_S, *COUNT_METRICS)
 
 
--- a/wheatstile/decisions/slow_start_budget.py
+++ b/wheatstile/decisions/slow_start_budget.py
@@ -2,8 +2,8 @@
 
 from random import Random
 
-FIRST_ATTEMPT_COST = 1  # in tokens
-RETRY_COST = 2  # in tokens; higher, since most attempts in a reconnect burst are retries
+FIRST_ATTEMPT_COST = 1  # tokens that a first attempt requires; any attempt is charged this number
+RETRY_COST = 2  # tokens that a retry requires; higher, since most attempts in a reconnect burst are retries
 USED_DRAW = 1.0  # replaces a draw that has been used; it is not below any probability
 
 
--- a/wheatstile/decisions/token_bucket.py
+++ b/wheatstile/decisions/token_bucket.py
@@ -18,7 +18,7 @@
 
 
 class AdaptiveTokenBucket:
-    """A bucket that is refilled with `rate * scale / rate_period_s` tokens a second.
+    """A bucket that is refilled with `rate * scale / rate_period_s` tokens per second.
 
     The caller passes the scale with each call. Here it is the number of connections, since the number of
     failures is proportional to it.
--- a/wheatstile/interface/actions.py
+++ b/wheatstile/interface/actions.py
@@ -21,7 +21,7 @@
     """Reject a request as its final answer; a retry by the client is harmless."""
 
     id: str
-    retry_after_us: int = 0  # how long the client should wait before a retry; 0: not specified
+    retry_after_us: int = 0  # time that the client should wait before a retry; 0: not specified
 
 
 @dataclass(slots=True)
--- a/wheatstile/interface/events.py
+++ b/wheatstile/interface/events.py
@@ -25,7 +25,7 @@
     expires_in_us: int  # time until the client stops waiting
     key: str = ""  # identifies the client across reconnections; empty: unknown
     tenant: str = ""
-    midflow: bool = False  # the packets belong to a connection that a server may still have open
+    midflow: bool = False  # the client's packets belong to a connection that a server may still have open
     reconnecting: bool = False  # the client reconnects after a broken connection or a migration
     client_retry: bool = False  # the client marks the request as a repeat
     load_hint: float = 0.0  # load that the client expects to cause
@@ -50,7 +50,7 @@
     id: str
     attempt: int  # number of the attempt, from 0
     server: str
-    elapsed_us: int  # since the attempt was started
+    elapsed_us: int  # time since the start of the attempt
 
 
 @dataclass(slots=True)
@@ -61,7 +61,7 @@
     attempt: int  # number of the attempt, from 0
     server: str
     outcome: AttemptOutcome
-    elapsed_us: int = 0  # since the attempt was started
+    elapsed_us: int = 0  # time since the start of the attempt
     closed: bool = False  # the client has its final answer, or has disconnected
     report: LoadReport | None = None
 
--- a/wheatstile/interface/settings.py
+++ b/wheatstile/interface/settings.py
@@ -44,7 +44,7 @@
     zone: str
     classes: dict[str, ServiceClass]
     max_attempts: int
-    slow_start_initial_capacity: float  # minimum fraction of full capacity of a starting server
+    slow_start_initial_capacity: float  # minimum fraction of its full capacity that a starting server has
     slow_start_duration_us: int  # time from the start of a server to its full capacity
     slow_start_overload_factor: float  # multiple of its current capacity that a starting server withstands
     slow_start_overload_window_us: int = 1_500_000  # window over which that multiple is measured
--- a/wheatstile/net/client_connection.py
+++ b/wheatstile/net/client_connection.py
@@ -15,11 +15,11 @@
 from wheatstile.net.session_relay import SessionRelay, relay_client
 from wheatstile.net.session_setup import SessionSetup, SetupContext
 
-RETRY_AFTER_MS = 1000  # for rejections during the shutdown or when file descriptors run out
+RETRY_AFTER_MS = 1000  # sent with rejections during the shutdown and when file descriptors run out
 
 
 class ConnectionOwner(SetupContext, Protocol):
-    """Interface of the listener that a client connection uses."""
+    """The part of the listener's interface that a client connection uses."""
 
     decision_loop: DecisionLoop
     limits: ClientLimits
--- a/wheatstile/net/client_listener.py
+++ b/wheatstile/net/client_listener.py
@@ -22,9 +22,9 @@
 log = structlog.get_logger()
 
 MAX_RECENT_IDS = 1 << 12  # recently used session ids that are kept, to detect a repeated request
-RESERVED_DESCRIPTORS = 20  # for standard streams, event loop, listener, discovery and spare descriptor
+RESERVED_DESCRIPTORS = 20  # used by standard streams, event loop, listener, discovery and spare descriptor
 PENDING_SHARE = 1 / 8  # minimum share of the descriptors for connections without a session
-DESCRIPTORS_PER_SESSION = 2  # one for the client connection, one for the server connection
+DESCRIPTORS_PER_SESSION = 2  # the client connection and the server connection
 ACCEPT_RETRY_S = 0.01
 
 
--- a/wheatstile/net/decision_loop.py
+++ b/wheatstile/net/decision_loop.py
@@ -1,4 +1,4 @@
-"""Decision loop: passes events to the decision module and its actions to the network code.
+"""The decision loop. It passes events to the decision module, and the module's actions to the network code.
 
 The loop is independent of the network protocol. Protocol code registers its sessions, dispatches events, and
 receives the actions of the decision module unchanged.
@@ -50,7 +50,7 @@
 
 
 class DecisionLoop:
-    """Runs one instance of the decision module: passes it events and dispatches its actions.
+    """Runs one instance of the decision module: passes it events and carries out its actions.
 
     Attributes:
         counters: all counters of the process, by name.
@@ -131,5 +131,5 @@
             self._health_checks.check_health(action.server)
         elif isinstance(action, api.WatchEndpoints):
             self._endpoint_watch.watch()
-        elif action.id in self.sessions:  # the client may have disconnected meanwhile
+        elif action.id in self.sessions:  # the client may have already disconnected
             self.sessions[action.id].on_action(action)
--- a/wheatstile/net/discovery_client.py
+++ b/wheatstile/net/discovery_client.py
@@ -8,7 +8,7 @@
 from wheatstile.net.endpoint_stream import DiscoveryError, EndpointStreamDecoder, Keepalive, ResponseStarted
 
 HOSTS_PATH = "/discovery/hosts"
-RESPONSE_TIMEOUT_S = 5.0  # from the start of a call to the headers of the response
+RESPONSE_TIMEOUT_S = 5.0  # maximum time from the start of a call to the headers of the response
 # Maximum time between two messages; discovery sends a keepalive every 2 s. Discovery counts a change
 # as delivered after 6 s: the other 3 s are for the backoff (at most 1.5 s) and the next call.
 IDLE_TIMEOUT_S = 3.0
--- a/wheatstile/net/discovery_watcher.py
+++ b/wheatstile/net/discovery_watcher.py
@@ -78,9 +78,9 @@
     def set_address(self, address: Address) -> None:
         """Switch to discovery at another address. Cancelling the old watch does not count as a failure.
 
-        The current list stays in use meanwhile. Its revision is not valid at the new address, and changes
-        after any revision may omit some that the old address never sent. So the watcher fetches the complete
-        list before it watches for changes.
+        The current list stays in use until the new address sends one. Its revision is not valid there, and a
+        watch from any revision may omit changes that the old address never sent. So the watcher fetches the
+        complete list before it watches for changes.
         """
         if address == self.address:
             return
--- a/wheatstile/net/first_line_reader.py
+++ b/wheatstile/net/first_line_reader.py
@@ -12,7 +12,7 @@
 
 
 class FirstLineReader:
-    """Reads the line by which a client requests a session. `stop` stops waiting for it."""
+    """Reads the line with which a client requests a session. `stop` ends the wait for it."""
 
     def __init__(self, stream: ClientStream, counters: Counter[str]) -> None:
         self._stream = stream
--- a/wheatstile/net/graceful_shutdown.py
+++ b/wheatstile/net/graceful_shutdown.py
@@ -15,14 +15,14 @@
 class GracefulShutdown:
     """Migrates a listener's sessions, then closes the listener and the remaining connections."""
 
-    def __init__(self, clients: ClientListener) -> None:
-        self._clients = clients
+    def __init__(self, client_listener: ClientListener) -> None:
+        self._client_listener = client_listener
 
     async def migrate_sessions(self, duration_s: float) -> None:
-        """Migrate all sessions, evenly over `duration_s`. New clients are still served meanwhile."""
+        """Migrate all sessions, evenly over `duration_s`. New clients are still served during that time."""
         loop = asyncio.get_running_loop()
         end_s = loop.time() + duration_s
-        while self._clients.decision_loop.sessions and (remaining_s := end_s - loop.time()) > 0:
+        while self._client_listener.decision_loop.sessions and (remaining_s := end_s - loop.time()) > 0:
             established = self._established()
             if established:
                 established[0].migrate(MigrationReason.SHUTDOWN)
@@ -32,7 +32,7 @@
         """Return the connections whose session can be migrated, oldest first."""
         return [
             connection
-            for connection in self._clients.connections.values()
+            for connection in self._client_listener.connections.values()
             if connection.session and connection.session.can_migrate
         ]
 
@@ -45,12 +45,12 @@
 
         Returns when all connections are closed. Each peer has LINGER_S to read its last line.
         """
-        self._clients.decision_loop.dispatch(api.ShutdownStarted())
-        while self._clients.accept(listener):
+        self._client_listener.decision_loop.dispatch(api.ShutdownStarted())
+        while self._client_listener.accept(listener):
             pass
         listener.close()
-        while self._clients.connections:
-            for connection in self._clients.connections.values():
+        while self._client_listener.connections:
+            for connection in self._client_listener.connections.values():
                 connection.migrate(MigrationReason.SHUTDOWN)  # the session may have just been established
                 connection.reject()
-            await asyncio.wait(self._clients.connections, timeout=CLOSE_POLL_INTERVAL_S)
+            await asyncio.wait(self._client_listener.connections, timeout=CLOSE_POLL_INTERVAL_S)
--- a/wheatstile/net/health_checker.py
+++ b/wheatstile/net/health_checker.py
@@ -26,7 +26,7 @@
     def __init__(self, limits: UpstreamLimits) -> None:
         self.limits = limits
         self._open_count = 0
-        self._idle: dict[HealthChecker, None] = {}  # in the order in which they became idle
+        self._idle: dict[HealthChecker, None] = {}  # longest idle first
 
     @property
     def max_open(self) -> int:
--- a/wheatstile/net/open_request.py
+++ b/wheatstile/net/open_request.py
@@ -1,4 +1,4 @@
-"""Sans-I/O parser for the OPEN line, by which a client requests a session."""
+"""Sans-I/O parser for the OPEN line, with which a client requests a session."""
 
 import re
 from dataclasses import dataclass
@@ -9,7 +9,7 @@
 OPEN_LINE_PATTERN = re.compile(rb"OPEN (?P<id>[0-9a-f]{16}) (?P<key>[!-~]+) (?P<fields>[!-~]+)\r\n")
 FIELD_PATTERN = re.compile(rb"[a-z][a-z0-9_]*=[!-+\--<>-~]+")
 TIMEOUT_PATTERN = re.compile("[0-9]{1,9}")
-LOAD_HINT_PATTERN = re.compile(r"[0-9]{1,15}(\.[0-9]{1,15})?")  # length-limited, so that it is finite
+LOAD_HINT_PATTERN = re.compile(r"[0-9]{1,15}(\.[0-9]{1,15})?")  # limited in length, so the value is finite
 REQUIRED_FIELDS = {"c", "d", "g"}
 FLAGS = ("r", "again")
 FLAG_SET = "1"
--- a/wheatstile/net/session.py
+++ b/wheatstile/net/session.py
@@ -38,7 +38,7 @@
     Attributes:
         migration: completed with the reason when the client must be told to reconnect.
         attempt: the current attempt, or the established connection to the server.
-        established: whether the client is being sent the server's answer; its lines are then relayed.
+        established: whether the server has accepted the session; the client's lines are relayed from then on.
         unsent_answer: the part of the server's first answer that has not been sent to the client yet.
         actions: actions of the decision module that have not been carried out yet.
         final_answer_decided: set when the decision module decides the final answer, even during an attempt.
--- a/wheatstile/net/session_setup.py
+++ b/wheatstile/net/session_setup.py
@@ -12,12 +12,12 @@
 from wheatstile.net.upstream_attempt import AttemptResult, OpenLineProvider
 from wheatstile.net.upstream_pool import UpstreamPool
 
-REOPEN_TIMEOUT_S = 40.0  # for a session that was established before this process started
+REOPEN_TIMEOUT_S = 40.0  # limit for a session that was established before this process started
 ANSWER_GRACE_S = 0.02  # a request without an answer fails this long after the client's timeout
 
 
 class SetupContext(Protocol):
-    """Interface of the listener that the setup of a session uses."""
+    """The part of the listener's interface that the setup of a session uses."""
 
     upstreams: UpstreamPool
 
@@ -39,7 +39,7 @@
         self._max_timeout_ms = context.max_timeout_ms(session.request)
 
     async def run(self) -> bytes | None:
-        """Return the client's final answer, or None once the session is established.
+        """Set up the session. Return the client's final answer, or None if the session is established.
 
         Raises ClientDisconnectedError or ProtocolError if the client disconnects or violates the protocol.
         """
@@ -52,7 +52,7 @@
                     return await self._reopen(request.reopen_at)
                 return await self._run_attempts()
         except TimeoutError:
-            # Safeguard: the decision module should have decided an answer within the client's timeout.
+            # Safeguard: the decision module should have decided the final answer within the client's timeout.
             self._decision_loop.counters["sessions_overdue"] += 1
             self._decision_loop.dispatch(api.ClientDisconnected(self._session.id))
             return ERROR_LINE
@@ -127,9 +127,10 @@
         """Reopen a session that was established before this process started.
 
         After a restart all balancers reopen all their connections at once, and a lost packet is retransmitted
-        after 1 s. Connecting may therefore take the whole timeout. The decision module learns of a success.
+        after 1 s. Connecting may therefore take the whole timeout. Only a success is reported to the decision
+        module.
 
-        Returns the client's final answer, or None once the session is established.
+        Returns the client's final answer, or None if the session is established.
         """
         request = self._session.request
         timeout_s = min(request.timeout_ms / 1000, REOPEN_TIMEOUT_S)
--- a/wheatstile/net/unresponsive_upstream_detector.py
+++ b/wheatstile/net/unresponsive_upstream_detector.py
@@ -14,15 +14,15 @@
 class UnresponsiveUpstreamDetector:
     """Migrates clients whose server does not answer their lines."""
 
-    def __init__(self, clients: ClientListener) -> None:
-        self._clients = clients
+    def __init__(self, client_listener: ClientListener) -> None:
+        self._client_listener = client_listener
 
     async def run(self) -> None:
         """Check all sessions every CHECK_INTERVAL_S. Never returns."""
         while True:
             await asyncio.sleep(CHECK_INTERVAL_S)
-            now_us = self._clients.decision_loop.now()
-            for connection in list(self._clients.connections.values()):
+            now_us = self._client_listener.decision_loop.now()
+            for connection in list(self._client_listener.connections.values()):
                 session = connection.session
                 if session and session.unanswered_us(now_us) > UNRESPONSIVE_AFTER_US:
                     connection.migrate(MigrationReason.UPSTREAM_UNRESPONSIVE)
--- a/wheatstile/net/upstream.py
+++ b/wheatstile/net/upstream.py
@@ -25,7 +25,7 @@
     is_slow: bool = False
 
     def on_client_line(self, session_id: str, now_us: int) -> None:
-        """Record that a line of the client has been sent to the server."""
+        """Record that a line of the client is being sent to the server."""
         self.unanswered_since_us[session_id] = self.unanswered_since_us[session_id] or now_us
 
     def on_upstream_line(self, session_id: str, now_us: int) -> None:
--- a/wheatstile/net/upstream_attempt.py
+++ b/wheatstile/net/upstream_attempt.py
@@ -1,4 +1,4 @@
-"""Attempt to open a session at a server. If it succeeds, its connection becomes the session's."""
+"""Attempt to open a session at a server. The connection of a successful attempt is kept for the session."""
 
 import asyncio
 from collections.abc import Callable
@@ -26,7 +26,7 @@
     """Result of an attempt.
 
     Attributes:
-        outcome: OK if the session is established, or if the server ended it immediately with a final line.
+        outcome: OK if the session is established, or if the server ended it immediately with `BYE`.
         line: the server's answer, or b"" if there is none.
         report: the load report in the answer, if any.
         established: whether the session is established.
--- a/wheatstile/process/graceful_shutdown.py
+++ b/wheatstile/process/graceful_shutdown.py
@@ -46,7 +46,7 @@
 
 
 async def answer_pending_clients(client_listener: ClientListener, listener: socket.socket) -> None:
-    """Answer the remaining clients and close the listening socket. No other task may accept from it.
+    """Answer the remaining clients and close the listening socket. No other task may accept from the socket.
 
     The timeout of LINGER_S starts with this call and not with SIGTERM, so a shutdown that is late still has
     the time to answer every client.
