--- a/tests/decisions/test_event_order.py
+++ b/tests/decisions/test_event_order.py
@@ -98,14 +98,14 @@
         self._checked_actions = len(self.harness.log)
 
 
-EventAction = Callable[[RuleChecker, Step], None]
-ALWAYS_POSSIBLE: tuple[EventAction, ...] = (
+StepMethod = Callable[[RuleChecker, Step], None]
+ALWAYS_POSSIBLE: tuple[StepMethod, ...] = (
     RuleChecker.request,
     RuleChecker.pass_time,
     RuleChecker.update_list,
     RuleChecker.answer_check,
 )
-WITH_AN_ATTEMPT: tuple[EventAction, ...] = (
+REQUIRES_ATTEMPT: tuple[StepMethod, ...] = (
     RuleChecker.end_attempt,
     RuleChecker.establish,
     RuleChecker.report_latency,
@@ -116,16 +116,16 @@
 
 @hypothesis_settings(max_examples=60, deadline=None, derandomize=True)
 @given(
-    st.lists(st.tuples(st.sampled_from(ALWAYS_POSSIBLE + WITH_AN_ATTEMPT), STEPS), max_size=60),
+    st.lists(st.tuples(st.sampled_from(ALWAYS_POSSIBLE + REQUIRES_ATTEMPT), STEPS), max_size=60),
     st.integers(0, 5),
     st.sampled_from(list(api.Idempotency)),
 )
 def test_actions_obey_the_rules_for_any_order_of_events(
-    script: list[tuple[EventAction, Step]], seed: int, idempotency: api.Idempotency
+    script: list[tuple[StepMethod, Step]], seed: int, idempotency: api.Idempotency
 ) -> None:
     checker = RuleChecker(seed, idempotency)
     for apply_event, step in script:
-        if apply_event in WITH_AN_ATTEMPT:
+        if apply_event in REQUIRES_ATTEMPT:
             if not checker.attempts_in_flight:
                 continue
             apply_event(checker, step)
--- a/tests/decisions/test_retry_policy.py
+++ b/tests/decisions/test_retry_policy.py
@@ -55,10 +55,10 @@
 )
 def test_non_idempotent_request_that_may_have_run_fails(outcome: api.AttemptOutcome) -> None:
     harness = BalancerHarness("a", "b", "c", classes=NON_IDEMPOTENT)
-    after = fail_first_attempt(harness, outcome) + harness.run(10 * SECOND_US)
-    assert not of_type(after, api.StartAttempt)
-    assert not of_type(after, api.Reject)
-    assert of_type(after, api.Fail) == [api.Fail("r")]
+    later_actions = fail_first_attempt(harness, outcome) + harness.run(10 * SECOND_US)
+    assert not of_type(later_actions, api.StartAttempt)
+    assert not of_type(later_actions, api.Reject)
+    assert of_type(later_actions, api.Fail) == [api.Fail("r")]
 
 
 @pytest.mark.parametrize(
@@ -103,10 +103,10 @@
     harness.end_attempt("r", api.AttemptOutcome.TIMEOUT, elapsed_us=200_000)
     harness.answer_checks()
     harness.run(11 * SECOND_US)
-    after = harness.log[previous_count:]
-    assert not of_type(after, api.StartAttempt)
-    assert not of_type(after, api.Reject)
-    assert of_type(after, api.Fail)
+    later_actions = harness.log[previous_count:]
+    assert not of_type(later_actions, api.StartAttempt)
+    assert not of_type(later_actions, api.Reject)
+    assert of_type(later_actions, api.Fail)
 
 
 @pytest.mark.parametrize(
--- a/tests/net/test_connection_close.py
+++ b/tests/net/test_connection_close.py
@@ -91,16 +91,16 @@
         first_line = first_line.removeprefix(before)
     with balancer.paused():
         oldest.sock.sendall(first_line)
-        newcomers = [balancer.client() for _ in range(5)]
+        new_clients = [balancer.client() for _ in range(5)]
     server, line = balancer.server.accept_session()
     assert line.startswith("OPEN 0000000000000001 key1 ")
     server.send("UP r")
     assert oldest.line() == "UP r"
-    assert balancer.counters()["client_connections_evicted"] > len(newcomers)
+    assert balancer.counters()["client_connections_evicted"] > len(new_clients)
 
 
 @pytest.mark.parametrize(
-    ("is_shutdown", "answer"), [(False, "ERR"), (True, "BUSY 1000")], ids=["time-out", "shutdown"]
+    ("is_shutdown", "answer"), [(False, "ERR"), (True, "BUSY 1000")], ids=["timeout", "shutdown"]
 )
 def test_request_after_the_end_of_its_connection_is_not_forwarded(
     balancer: Balancer, is_shutdown: bool, answer: str
--- a/tests/net/test_open_request.py
+++ b/tests/net/test_open_request.py
@@ -20,14 +20,14 @@
 
 def test_malformed_open_line_gets_one_error_and_is_not_forwarded(balancer: Balancer) -> None:
     balancer.start()
-    good = "OPEN 0000000000000001 k c=web,d=900,g=a"
-    bad = [
-        "HELLO", good + " ", good + ",d=1", good + ",again=2", good + ",h=x",
-        good.replace("d=900", "d=-1"), good.replace(",g=a", ""), good.replace("web", "none"),
-        good.replace("0001", "001"), good.replace(" k ", "  "), "open" + good[4:], good + "\0",
-        good + ",x=" + "y" * 5000, good + "\r\nOPEN 0000000000000002 k c=web,d=900,g=a",
+    valid = "OPEN 0000000000000001 k c=web,d=900,g=a"
+    invalid = [
+        "HELLO", valid + " ", valid + ",d=1", valid + ",again=2", valid + ",h=x",
+        valid.replace("d=900", "d=-1"), valid.replace(",g=a", ""), valid.replace("web", "none"),
+        valid.replace("0001", "001"), valid.replace(" k ", "  "), "open" + valid[4:], valid + "\0",
+        valid + ",x=" + "y" * 5000, valid + "\r\nOPEN 0000000000000002 k c=web,d=900,g=a",
     ]  # fmt: skip
-    for line in bad:
+    for line in invalid:
         client = balancer.client()
         client.send(line)
         assert (client.line(), client.line()) == ("ERR", ""), line[:80]
--- a/tests/net/test_repeat_window.py
+++ b/tests/net/test_repeat_window.py
@@ -41,11 +41,11 @@
     client = balancer.open(1)
     first, _ = balancer.server.accept_session()
     sent_s = time.monotonic()
-    ahead = balancer.server.fill_backlog()
+    backlog_sockets = balancer.server.fill_backlog()
     first.send("ERR")
     balancer.server.wait_for_connect()
     with balancer.paused():
-        second = balancer.server.accept_waiting(ahead)
+        second = balancer.server.accept_waiting(backlog_sockets)
         time.sleep(max(0.0, sent_s + AFTER_THE_WINDOW_S - time.monotonic()))
     assert second.line() == ""
     assert [line.split()[0] for line in client.lines_to_the_end()] == [answer]
@@ -58,11 +58,11 @@
     balancer.start()
     client = balancer.open(1)
     first, _ = balancer.server.accept_session()
-    ahead = balancer.server.fill_backlog()
+    backlog_sockets = balancer.server.fill_backlog()
     first.send("ERR")
     balancer.server.wait_for_connect()
     with balancer.paused():
-        second = balancer.server.accept_waiting(ahead)
+        second = balancer.server.accept_waiting(backlog_sockets)
     assert second.line().startswith("OPEN 0000000000000001 ")
     second.send("UP r2")
     assert client.line() == "UP r2"
--- a/tests/net/test_session_reopen.py
+++ b/tests/net/test_session_reopen.py
@@ -20,10 +20,10 @@
 @pytest.mark.parametrize("settings", [SHORT_CONNECT])
 def test_session_is_reopened_at_a_server_that_is_slow_to_accept(balancer: Balancer) -> None:
     balancer.start()
-    ahead = balancer.server.fill_backlog()
+    backlog_sockets = balancer.server.fill_backlog()
     client = balancer.open(3, 4294967, ",at=s1")
     assert select.select([client.sock], [], [], 0.5)[0] == []  # the balancer is still connecting
-    for sock in ahead:
+    for sock in backlog_sockets:
         sock.close()
     while not (line := balancer.server.accept().line()):
         pass
--- a/tests/net/test_session_setup.py
+++ b/tests/net/test_session_setup.py
@@ -53,11 +53,11 @@
 @pytest.mark.parametrize("reset", [False, True])
 def test_client_that_disconnects_while_connecting_is_not_forwarded(balancer: Balancer, reset: bool) -> None:
     balancer.start()
-    ahead = balancer.server.fill_backlog()
+    backlog_sockets = balancer.server.fill_backlog()
     client = balancer.open(1)
     balancer.server.wait_for_connect()
     with balancer.paused():
-        server = balancer.server.accept_waiting(ahead)  # the connect succeeds before the client disconnects
+        server = balancer.server.accept_waiting(backlog_sockets)  # the connect succeeds before the disconnect
         client.close(reset)
     assert server.line() == ""
     balancer.server.sock.listen(100)
@@ -65,7 +65,7 @@
 
 
 def assert_upstream_ended(server: Peer, reset: bool) -> None:
-    """Check that the server's connection ends without a line, by a reset only if the client reset its own.
+    """Check that the server's connection ends without a line. It may be reset only if the client's was.
 
     If the balancer reads the client's reset before the server's line, it resets the server's connection.
     """
@@ -153,7 +153,7 @@
     rules = SETTINGS["rules"] | {"drainGraceUs": drain_grace_us}
     balancer.settings = SLOW_CONNECT | {"rules": rules}
     other = Listener()
-    ahead = balancer.server.fill_backlog()
+    backlog_sockets = balancer.server.fill_backlog()
     balancer.start()
     watch, _ = balancer.discovery.watch()
     watch.begin_watch()
@@ -163,7 +163,7 @@
         2, balancer.member(phase="draining"), balancer.member("s2", host_port=other.address)
     )
     balancer.wait_for_counter("events_endpoint_update", 2)
-    server = balancer.server.accept_waiting(ahead)
+    server = balancer.server.accept_waiting(backlog_sockets)
     assert server.line() == ""
     second, line = other.accept_session()
     assert "0000000000000001" in line
@@ -173,7 +173,7 @@
 
 def test_server_removed_while_connecting_gets_no_open_line(balancer: Balancer) -> None:
     other = Listener()
-    ahead = balancer.server.fill_backlog()
+    backlog_sockets = balancer.server.fill_backlog()
     balancer.start()
     watch, _ = balancer.discovery.watch()
     watch.begin_watch()
@@ -181,5 +181,5 @@
     balancer.server.wait_for_connect()
     watch.send_endpoint_list(2, balancer.member("s2", host_port=other.address), complete=True)
     balancer.wait_for_counter("events_endpoint_update", 2)
-    assert balancer.server.accept_waiting(ahead).line() == ""
+    assert balancer.server.accept_waiting(backlog_sockets).line() == ""
     assert "0000000000000001" in other.accept_session()[1]
--- a/tests/net/test_upstream_attempt.py
+++ b/tests/net/test_upstream_attempt.py
@@ -77,12 +77,12 @@
 def test_slow_connect_is_used_with_the_remaining_time(balancer: Balancer) -> None:
     """The open line carries at most the remainder of the client's timeout."""
     balancer.start()
-    ahead = balancer.server.fill_backlog()
+    backlog_sockets = balancer.server.fill_backlog()
     started_s = time.monotonic()
     client = balancer.open(1, timeout_ms=9000)
     balancer.server.wait_for_connect()
     with balancer.paused():
-        server = balancer.server.accept_waiting(ahead)
+        server = balancer.server.accept_waiting(backlog_sockets)
         time.sleep(max(0.0, started_s + 1.5 - time.monotonic()))
     line = server.line()
     assert line.startswith("OPEN 0000000000000001 ")
@@ -98,7 +98,7 @@
     balancer.start()
     watch, _ = balancer.discovery.watch()
     watch.begin_watch()
-    ahead = balancer.server.fill_backlog()
+    backlog_sockets = balancer.server.fill_backlog()
     other = Listener()
     client = balancer.open(1)
     balancer.server.wait_for_connect()
@@ -108,4 +108,4 @@
     assert not balancer.server.is_connecting()
     server.send("UP r")
     assert client.line() == "UP r"
-    assert len(ahead) > 0  # keeps the connections open, so that the backlog is full until here
+    assert len(backlog_sockets) > 0  # this use keeps the sockets open, and so the backlog full, until the end
--- a/tests/process/test_reload.py
+++ b/tests/process/test_reload.py
@@ -46,7 +46,7 @@
     return KEYS_IN_MESSAGES.get(key, key)
 
 
-def watch_on_discovery_of_variable(balancer: Balancer, discovery_in_file: Listener) -> Peer:
+def start_with_discovery_variable(balancer: Balancer, discovery_in_file: Listener) -> Peer:
     """Start the balancer with RELAY_DISCOVERY, which has priority over the file. Return its open watch."""
     balancer.path.write_text(json.dumps(balancer.config() | {"discovery": discovery_in_file.address}))
     balancer.launch(RELAY_DISCOVERY=balancer.discovery.address)
@@ -58,7 +58,7 @@
 
 def test_reload_moves_the_watch_to_the_discovery_of_the_file(balancer: Balancer) -> None:
     new_discovery = Listener()
-    old_watch = watch_on_discovery_of_variable(balancer, new_discovery)
+    old_watch = start_with_discovery_variable(balancer, new_discovery)
     old_watch.send_endpoint_list(70, balancer.member("s2"))
     client, server = balancer.establish()
 
--- a/tests/process/test_start.py
+++ b/tests/process/test_start.py
@@ -121,7 +121,7 @@
     with open("/dev/full", "wb") as full:
         balancer.start(stderr=full)
         client, _server = balancer.establish()
-        balancer.terminate()  # the shutdown is logged too
+        balancer.terminate()  # the shutdown also writes to the log
         assert client.line() == "MOVE"
         assert balancer.wait() == 0
 
@@ -135,4 +135,4 @@
         balancer.pinged_client().close()  # the answer shows that the signal has been handled
     client.send("still served")
     assert server.line() == "still served"
-    balancer.counters()  # the log continues once it is read again
+    balancer.counters()  # the balancer writes to the log again once it is read
--- a/wheatstile/decisions/candidate_selection.py
+++ b/wheatstile/decisions/candidate_selection.py
@@ -36,7 +36,7 @@
         self._retry_policy = retry_policy
 
     def is_eligible(self, server: Server, connection: Connection | None) -> bool:
-        """Return whether a connection may go to a server. None stands for a connection without attempts."""
+        """Return whether a connection may go to a server. A connection of None counts as without attempts."""
         if not server.endpoint.is_ready:
             return False
         if connection is None or connection.attempts == 0:
--- a/wheatstile/decisions/lookup_table.py
+++ b/wheatstile/decisions/lookup_table.py
@@ -61,8 +61,8 @@
         """Yield the items of this number of draws, except items that are skipped or do not accept the draw.
 
         No random number is used for the acceptance ratio of a skipped item. The generator for equal weights
-        (31 bits) favours some items by a few percent; the one for unequal weights (64 bits, Knuth's MMIX)
-        does not.
+        (31 bits) draws some items a few percent too often; the one for unequal weights (64 bits, Knuth's
+        MMIX) does not.
         """
         multiplier = self._generator.multiplier  # local variables are faster, and this loop runs most often
         increment = self._generator.increment
--- a/wheatstile/decisions/rebalancing.py
+++ b/wheatstile/decisions/rebalancing.py
@@ -115,9 +115,9 @@
             self._context.set_timer(REBALANCE_INTERVAL_US, kind, remaining[0].id)
 
     def rebalance(self, connection: Connection) -> None:
-        """Migrate connections of a connection's server, by the fraction of its load above OVERLOAD_THRESHOLD.
+        """Migrate a random share of the settled connections at a connection's server.
 
-        At UNREACHABLE_LOAD that fraction is nearly 1.
+        The share is the fraction of the server's load above OVERLOAD_THRESHOLD: nearly 1 at UNREACHABLE_LOAD.
         """
         server = connection.server
         if server is None:
--- a/wheatstile/interface/settings.py
+++ b/wheatstile/interface/settings.py
@@ -47,7 +47,7 @@
     slow_start_initial_capacity: float  # minimum fraction of its full capacity that a starting server has
     slow_start_duration_us: int  # time from the start of a server to its full capacity
     slow_start_overload_factor: float  # multiple of its current capacity that a starting server withstands
-    slow_start_overload_window_us: int = 1_500_000  # window over which that multiple is measured
+    slow_start_overload_window_us: int = 1_500_000  # window over which the overload factor is measured
     poll_endpoints: bool = False  # True if the endpoint list must be polled
     poll_interval_us: int = 10_000_000  # after this time a balancer is expected to know a changed list
     health_checks_enabled: bool = True
--- a/wheatstile/net/discovery_watcher.py
+++ b/wheatstile/net/discovery_watcher.py
@@ -20,7 +20,7 @@
 class EndpointObserver(Protocol):
     """Applies endpoint lists from discovery, alone or merged with other sources."""
 
-    def on_update(self, result: EndpointSnapshot, kind: api.EndpointUpdateKind) -> None:
+    def on_update(self, snapshot: EndpointSnapshot, kind: api.EndpointUpdateKind) -> None:
         """Handle a complete endpoint list, or changes to it."""
 
     def on_keepalive(self) -> None:
@@ -37,10 +37,10 @@
         self.decision_loop = decision_loop
         self.upstreams = upstreams
 
-    def on_update(self, result: EndpointSnapshot, kind: api.EndpointUpdateKind) -> None:
+    def on_update(self, snapshot: EndpointSnapshot, kind: api.EndpointUpdateKind) -> None:
         """Update the upstream pool, then the decision module."""
-        self.upstreams.update(result.members, kind is not api.EndpointUpdateKind.DELTA)
-        self.decision_loop.dispatch(api.EndpointUpdate(kind, result.endpoints))
+        self.upstreams.update(snapshot.members, kind is not api.EndpointUpdateKind.DELTA)
+        self.decision_loop.dispatch(api.EndpointUpdate(kind, snapshot.endpoints))
 
     def on_keepalive(self) -> None:
         """Do nothing."""
@@ -62,13 +62,13 @@
         self._is_first_message = True  # whether the next message is the first one of the current watch
         self._watch: asyncio.Task[None] | None = None
 
-    def on_update(self, result: EndpointSnapshot, kind: api.EndpointUpdateKind) -> None:
+    def on_update(self, snapshot: EndpointSnapshot, kind: api.EndpointUpdateKind) -> None:
         """Pass a list to the observer and store its revision.
 
         A complete list may lower the revision, since revisions may start again when discovery restarts.
         """
-        self.revision = result.revision if result.complete else max(self.revision, result.revision)
-        self.observer.on_update(result, kind)
+        self.revision = snapshot.revision if snapshot.complete else max(self.revision, snapshot.revision)
+        self.observer.on_update(snapshot, kind)
 
     def watch(self) -> None:
         """Start a watch, unless one is running."""
