--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -98,9 +98,9 @@
     def _decide(self, index: int) -> None:
         """Dispatch one request, check that an attempt was started, and disconnect the client."""
         request_id = f"r{index}"
-        self._harness.log.clear()
+        self._harness.actions.clear()
         self._harness.request(request_id, key=request_id, affinity_group=request_id)
-        assert any(isinstance(action, api.StartAttempt) for action in self._harness.log)
+        assert any(isinstance(action, api.StartAttempt) for action in self._harness.actions)
         self._harness.dispatch(api.ClientDisconnected(request_id))
 
     def _begin_check(self, index: int) -> None:
--- a/benchmarks/servers_file.py
+++ b/benchmarks/servers_file.py
@@ -242,7 +242,7 @@
     while time.monotonic() < end_s:
         number += 1
         started_ns = time.monotonic_ns()
-        client = balancer.open(phase * 100_000 + number, group=f"g{number}")
+        client = balancer.send_open(phase * 100_000 + number, group=f"g{number}")
         assert client.line().startswith("UP")
         durations.record_since(started_ns)
         client.close()
--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_admission.py
@@ -11,11 +11,11 @@
 def test_overloaded_fleet_rejects_most_requests_without_a_health_check() -> None:
     harness = BalancerHarness("a", "b", loads={"a": 1.0, "b": 1.0})
     harness.request("first")
-    assert of_type(harness.log, api.Reject)
-    previous_count = len(harness.log)
+    assert of_type(harness.actions, api.Reject)
+    previous_count = len(harness.actions)
     for index in range(40):
         harness.dispatch(api.Request(f"r{index}", "web", 2 * SECOND_US))
-    assert 20 < len(of_type(harness.log[previous_count:], api.Reject)) < 40
+    assert 20 < len(of_type(harness.actions[previous_count:], api.Reject)) < 40
 
 
 def test_servers_are_checked_again_once_the_reports_of_an_overloaded_fleet_expire() -> None:
@@ -25,7 +25,7 @@
     harness.run(LOAD_REPORT_TTL_US)
     for index in range(20):
         harness.request(f"r{index}")
-    assert len(of_type(harness.log, api.Reject)) == 1
+    assert len(of_type(harness.actions, api.Reject)) == 1
     assert len(harness.attempts) == 20
 
 
@@ -68,7 +68,7 @@
     harness = BalancerHarness("a", "b", loads={"a": OVERLOAD_THRESHOLD + 0.1, "b": OVERLOAD_THRESHOLD + 0.2})
     harness.request("r")
     harness.run(2 * SECOND_US)
-    rejection = of_type(harness.log, api.Reject)[0]
+    rejection = of_type(harness.actions, api.Reject)[0]
     assert 0 < rejection.retry_after_us <= 1_500_000
     assert not harness.attempts
 
--- a/tests/decisions/test_determinism.py
+++ b/tests/decisions/test_determinism.py
@@ -20,7 +20,7 @@
 for i in range(0, 100, 3):
     harness.establish(f'r{i}')
 harness.run(30_000_000)
-print(harness.log)
+print(harness.actions)
 """
 
 
@@ -30,7 +30,7 @@
     for index in range(200):
         harness.request(f"r{index}", key=f"k{index}")
     harness.run(10 * SECOND_US)
-    return harness.log
+    return harness.actions
 
 
 def test_same_seed_and_events_give_the_same_actions() -> None:
--- a/tests/decisions/test_endpoint_watch.py
+++ b/tests/decisions/test_endpoint_watch.py
@@ -23,7 +23,7 @@
     delays: list[int] = []
     for seed in range(40):
         harness = BalancerHarness("a", poll_endpoints=True, poll_interval_us=poll_interval_us, seed=seed)
-        delays += watch_delays_us(harness.log)
+        delays += watch_delays_us(harness.actions)
     assert len(delays) == 40
     assert max(delays) < poll_interval_us
 
--- a/tests/decisions/test_event_order.py
+++ b/tests/decisions/test_event_order.py
@@ -85,7 +85,7 @@
 
     def check_new_actions(self) -> None:
         """Check the new actions: one attempt at a time, one final answer, and no action after it."""
-        for action in self.harness.log[self._checked_actions :]:
+        for action in self.harness.actions[self._checked_actions :]:
             if isinstance(action, api.StartAttempt):
                 assert action.id not in self.ended, "an attempt after the end"
                 assert action.id not in self.attempts_in_flight, "two attempts in flight"
@@ -95,7 +95,7 @@
             elif isinstance(action, (api.Reject, api.Fail, api.Migrate)):
                 assert action.id not in self.ended, "a second final answer"
                 self.ended.add(action.id)
-        self._checked_actions = len(self.harness.log)
+        self._checked_actions = len(self.harness.actions)
 
 
 StepMethod = Callable[[RuleChecker, Step], None]
--- a/tests/decisions/test_exploration.py
+++ b/tests/decisions/test_exploration.py
@@ -92,7 +92,7 @@
     migrated = [move.id for move in of_type(harness.run(SLOT_US), api.Migrate)]
     assert ("moved" in migrated) is goes_back
     if goes_back:
-        first_move = of_type(harness.log, api.Migrate)[0]
+        first_move = of_type(harness.actions, api.Migrate)[0]
         harness.request("back", key=key_of(first_move), reconnecting=True)
         assert harness.attempted_servers[-1] == "a"
 
@@ -110,7 +110,7 @@
 def test_failed_connection_after_a_move_counts_as_a_higher_load() -> None:
     harness = BalancerHarness("a", "b", loads={"a": 0.4, "b": 0.3})
     assert migrate_one_by_exploration(harness) == "b"
-    key = key_of(of_type(harness.log, api.Migrate)[0])
+    key = key_of(of_type(harness.actions, api.Migrate)[0])
     harness.dispatch(api.AttemptEnded("moved", 0, "b", api.AttemptOutcome.RESET, closed=True))
     harness.request("back", key=key, reconnecting=True)
     assert harness.attempted_servers[-1] == "a"
--- a/tests/decisions/test_fleet_load.py
+++ b/tests/decisions/test_fleet_load.py
@@ -22,7 +22,7 @@
     for number in range(200):
         harness.request(f"r{number}", key=f"k{number}")
         harness.run(SECOND_US // 10)
-    assert not of_type(harness.log, api.Reject)
+    assert not of_type(harness.actions, api.Reject)
     assert harness.balancer.fleet_load.mean() < OVERLOAD_THRESHOLD
 
 
--- a/tests/decisions/test_health_checks.py
+++ b/tests/decisions/test_health_checks.py
@@ -40,7 +40,7 @@
     harness.connect("c0", "a")
     harness.report_latency("c0", "a", 400.0)
     harness.run(20 * SECOND_US)
-    assert not of_type(harness.log, api.CheckHealth)
+    assert not of_type(harness.actions, api.CheckHealth)
 
 
 def test_answered_check_does_not_end_an_ejection() -> None:
--- a/tests/decisions/test_rebalancing.py
+++ b/tests/decisions/test_rebalancing.py
@@ -110,7 +110,7 @@
     harness = BalancerHarness("a", "b", loads={"a": load, "b": 0.2}, reports_message_latency=reports_latency)
     harness.connect_many(40, "a")
     harness.request("new")
-    assert bool(of_type(harness.log, api.Migrate)) == is_rebalanced
+    assert bool(of_type(harness.actions, api.Migrate)) == is_rebalanced
 
 
 def test_endpoint_change_makes_load_checks_more_frequent() -> None:
@@ -131,16 +131,16 @@
         harness.establish(f"r{number}")
     harness.loads = {"a": 1.3, "b": 0.3}
     harness.request("next")
-    assert not of_type(harness.log, api.Migrate)
+    assert not of_type(harness.actions, api.Migrate)
     harness.run(30 * SECOND_US)
-    assert of_type(harness.log, api.Migrate)
+    assert of_type(harness.actions, api.Migrate)
 
 
 def test_overloaded_server_is_checked_until_its_load_falls() -> None:
     harness = BalancerHarness("a", "b", loads={"a": 0.85, "b": 0.3}, reports_message_latency=False)
     for index in range(100):
         harness.connect(f"c{index}", "a" if index < 8 else "b")
-    while not checks_of("a", harness.log):
+    while not checks_of("a", harness.actions):
         harness.run_to_next_timer()
     harness.answer_checks()
     assert checks_of("a", harness.run(4 * SECOND_US + SECOND_US // 2)) >= 4
--- a/tests/decisions/test_request_lifecycle.py
+++ b/tests/decisions/test_request_lifecycle.py
@@ -94,7 +94,7 @@
     harness = BalancerHarness("a", "b", health_checks_enabled=False, load_metrics=())
     harness.request("r")
     assert harness.attempts
-    assert not of_type(harness.log, api.CheckHealth)
+    assert not of_type(harness.actions, api.CheckHealth)
 
 
 @pytest.mark.parametrize(
@@ -120,8 +120,8 @@
     harness = BalancerHarness(*names, loads=dict.fromkeys(names, OVERLOAD_THRESHOLD + 0.1))
     harness.request("r:1", expires_in_us=4 * SECOND_US)
     harness.run(4 * SECOND_US)
-    assert 6 <= len(of_type(harness.log, api.CheckHealth)) <= 14
-    assert of_type(harness.log, api.Reject)
+    assert 6 <= len(of_type(harness.actions, api.CheckHealth)) <= 14
+    assert of_type(harness.actions, api.Reject)
 
 
 def test_timer_that_fires_early_does_not_stop_a_request() -> None:
@@ -133,7 +133,7 @@
         timer = min(harness.timers)
         harness.now_us = max(harness.now_us + 1, timer.due_us - 300)
         harness.fire(timer)
-        if of_type(harness.log, api.Reject):
+        if of_type(harness.actions, api.Reject):
             break
-    assert of_type(harness.log, api.Reject)
+    assert of_type(harness.actions, api.Reject)
     assert harness.now_us < requested_at_us + SECOND_US
--- a/tests/decisions/test_retry_policy.py
+++ b/tests/decisions/test_retry_policy.py
@@ -19,11 +19,11 @@
 def fail_first_attempt(harness: BalancerHarness, outcome: api.AttemptOutcome) -> list[api.Action]:
     """End the first attempt of a request "r" with this outcome. Return the actions of the next second."""
     harness.request("r", 10 * SECOND_US)
-    previous_count = len(harness.log)
+    previous_count = len(harness.actions)
     harness.end_attempt("r", outcome)
     harness.answer_checks()
     harness.run(SECOND_US)
-    return harness.log[previous_count:]
+    return harness.actions[previous_count:]
 
 
 def test_timeout_leaves_time_for_another_attempt() -> None:
@@ -99,11 +99,11 @@
     )
     harness.request("r", 10 * SECOND_US)
     harness.now_us += 200_000
-    previous_count = len(harness.log)
+    previous_count = len(harness.actions)
     harness.end_attempt("r", api.AttemptOutcome.TIMEOUT, elapsed_us=200_000)
     harness.answer_checks()
     harness.run(11 * SECOND_US)
-    later_actions = harness.log[previous_count:]
+    later_actions = harness.actions[previous_count:]
     assert not of_type(later_actions, api.StartAttempt)
     assert not of_type(later_actions, api.Reject)
     assert of_type(later_actions, api.Fail)
--- a/tests/net/test_client_connection.py
+++ b/tests/net/test_client_connection.py
@@ -57,7 +57,7 @@
 @pytest.mark.parametrize("settings", [SHORT_DEADLINE])
 def test_client_timeout_is_bounded_by_the_deadline_of_the_class(balancer: Balancer) -> None:
     balancer.start()
-    client = balancer.open(1, 999999999)
+    client = balancer.send_open(1, 999999999)
     server = balancer.server.accept_session()[0]  # sends no answer
     assert server.line() == ""
     assert client.line().split()[0] in ("BUSY", "ERR")
@@ -70,14 +70,14 @@
 def test_client_that_disconnects_in_the_backlog_is_not_forwarded(balancer: Balancer, reset: bool) -> None:
     balancer.start()
     with balancer.paused():
-        balancer.open(1).close(reset)
+        balancer.send_open(1).close(reset)
     balancer.check_serving(11)
 
 
 def test_client_that_sends_more_and_disconnects_is_not_forwarded(balancer: Balancer) -> None:
     balancer.start()
     with balancer.paused():
-        client = balancer.open(1)
+        client = balancer.send_open(1)
         client.send("and more")
         client.close()
     balancer.check_serving(2)
@@ -86,7 +86,7 @@
 @pytest.mark.parametrize("reset", [False, True])
 def test_client_that_disconnects_as_its_last_line_is_sent(balancer: Balancer, reset: bool) -> None:
     balancer.start([])
-    client = balancer.open(1, timeout_ms=200)
+    client = balancer.send_open(1, timeout_ms=200)
     assert re.search("^BUSY", client.line())
     client.close(reset)
     assert "client_connections_failed" not in balancer.wait_for_counter("sessions_rejected", 1)
@@ -98,7 +98,7 @@
     silent = balancer.pinged_client()
     with balancer.paused():
         time.sleep(FIRST_LINE_TIMEOUT_S + 0.1)
-        balancer.open(1, client=requesting)
+        balancer.send_open(1, client=requesting)
     server, line = balancer.server.accept_session()
     assert "0000000000000001" in line
     server.send("UP r")
--- a/tests/net/test_client_floods.py
+++ b/tests/net/test_client_floods.py
@@ -30,7 +30,7 @@
 def test_flood_of_commands_during_an_attempt_ends_it(balancer: Balancer) -> None:
     """The server answers in the same event loop iteration. The client gets only one final answer."""
     balancer.start()
-    client = balancer.open(1)
+    client = balancer.send_open(1)
     server, _ = balancer.server.accept_session()
     with balancer.paused():
         client.send(*["PING"] * FLOOD_LINES)
--- a/tests/net/test_client_listener.py
+++ b/tests/net/test_client_listener.py
@@ -16,7 +16,7 @@
 
 def try_to_establish(balancer: Balancer, number: int) -> tuple[Peer, Peer] | None:
     """Establish a session. Return the peers (client, server), or None if the client was rejected."""
-    client = balancer.open(number)
+    client = balancer.send_open(number)
     session = balancer.server.accept_session_unless_readable(client.sock)
     if session is None:
         assert re.search("^BUSY [1-9]", client.line())
@@ -75,8 +75,8 @@
     balancer.start([balancer.member("s1"), balancer.member("s2", phase="draining")])
     client, server = balancer.establish(0)
     for number in range(1, MAX_RECENT_IDS + 104):
-        balancer.open(number, 0).line()
-    repeat = balancer.open(0)
+        balancer.send_open(number, 0).line()
+    repeat = balancer.send_open(0)
     assert (repeat.line(), repeat.line()) == ("ERR", "")
     balancer.terminate()
     assert (client.line(), client.line()) == ("MOVE", "")
--- a/tests/net/test_connection_close.py
+++ b/tests/net/test_connection_close.py
@@ -112,12 +112,12 @@
         balancer.counters()  # returns after the balancer has accepted the client
         balancer.terminate()
     assert client.lines_to_the_end() == [answer]
-    balancer.open(1, client=client)
+    balancer.send_open(1, client=client)
     if not is_shutdown:
         assert balancer.check_serving(2)["attempts_established"] == 1
         balancer.terminate()
     assert balancer.wait() == 0
-    assert not balancer.server.has_waiting()
+    assert not balancer.server.has_waiting_connection()
 
 
 def test_request_in_the_backlog_is_answered_without_a_descriptor(balancer: Balancer) -> None:
@@ -128,7 +128,7 @@
     watch.begin_watch()  # while the watch is open, the balancer opens no connections itself
     _idle = use_up_descriptors(balancer)
     with balancer.paused():
-        client = balancer.open(1)
+        client = balancer.send_open(1)
     assert client.lines_to_the_end() == ["BUSY 1000"]
     resource.prlimit(balancer.process.pid, resource.RLIMIT_NOFILE, (1024, 1024))
     balancer.check_serving(2)
@@ -142,7 +142,7 @@
     balancer.start(files=DESCRIPTORS)
     with balancer.paused():
         idle = [balancer.client() for _ in range(2 * DESCRIPTORS)]
-        client = balancer.open(1)
+        client = balancer.send_open(1)
         idle += [balancer.client() for _ in range(idle_after_request)]
     server, _ = balancer.server.accept_session()
     server.send("UP r")
@@ -193,7 +193,7 @@
     """The client reads nothing until the balancer has closed, and has sent lines that are never read."""
     balancer.server.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
     balancer.start()
-    client = balancer.open(1, client=connect_with_small_receive_buffer(balancer))
+    client = balancer.send_open(1, client=connect_with_small_receive_buffer(balancer))
     server, _ = balancer.server.accept_session()
     server.send("UP r")
     assert client.line() == "UP r"
--- a/tests/net/test_discovery_watcher.py
+++ b/tests/net/test_discovery_watcher.py
@@ -79,7 +79,7 @@
     watch.send_endpoint_list(4, balancer.member(phase="ready"))
     watch.send_endpoint_list(6, balancer.member("s2", phase="draining"))
     balancer.wait_for_counter("events_endpoint_update", 3)
-    client = balancer.open(timeout_ms=300)
+    client = balancer.send_open(timeout_ms=300)
     assert re.search("^BUSY", client.line())
     assert select.select([balancer.server.sock], [], [], 0)[0] == []
 
--- a/tests/net/test_graceful_shutdown.py
+++ b/tests/net/test_graceful_shutdown.py
@@ -31,7 +31,7 @@
 def test_unanswered_clients_are_answered_in_time(balancer: Balancer) -> None:
     balancer.start()
     established, _server = balancer.establish(1)
-    waiting = balancer.open(2)
+    waiting = balancer.send_open(2)
     attempt = balancer.server.accept_session()[0]
     _silent = balancer.client()
     terminated_s = time.monotonic()
@@ -59,7 +59,7 @@
 
 def test_session_established_as_the_shutdown_ends_is_answered_once_and_migrated(balancer: Balancer) -> None:
     balancer.start()
-    client = balancer.open()
+    client = balancer.send_open()
     server, _ = balancer.server.accept_session()
     balancer.begin_shutdown()
     with balancer.paused():
@@ -93,7 +93,7 @@
     with balancer.paused():
         time.sleep(1.9)  # without a session to migrate, the listener is closed 1.7 s after the signal
         for number, client in enumerate(clients, 1):
-            balancer.open(number, client=client)
+            balancer.send_open(number, client=client)
     for client in clients:
         assert re.search("^BUSY [1-9]", client.line())
     assert balancer.wait() == 0
@@ -103,7 +103,7 @@
     balancer.start()
     balancer.begin_shutdown()
     with balancer.paused():
-        clients = [balancer.open(number) for number in range(1, 21)]
+        clients = [balancer.send_open(number) for number in range(1, 21)]
         silent = balancer.client()
         time.sleep(3.8)  # longer than the whole shutdown
     for client in clients:
--- a/tests/net/test_health_checker.py
+++ b/tests/net/test_health_checker.py
@@ -21,7 +21,7 @@
     """
     balancer.start()
     balancer.establish(1)
-    client = balancer.open(2)
+    client = balancer.send_open(2)
     health_check = balancer.server.health_checks.pop()
     assert health_check.line() == "STATS"
     return health_check, client
@@ -65,7 +65,7 @@
     health_check, client = start_with_pending_check(balancer)
     health_check.send("PONG x0=0.3", "PONG x0=0.99")
     serve_waiting_client(balancer, client)
-    _client = balancer.open(3)
+    _client = balancer.send_open(3)
     assert health_check.line() == ""
     new_connection = balancer.server.accept()
     assert new_connection.line() == "STATS"
--- a/tests/net/test_open_request.py
+++ b/tests/net/test_open_request.py
@@ -9,7 +9,7 @@
 
 def test_open_line_is_forwarded_unchanged_except_for_the_timeout(balancer: Balancer) -> None:
     balancer.start()
-    _client = balancer.open(7, 8765, ",r=1,x=1.50,again=1")
+    _client = balancer.send_open(7, 8765, ",r=1,x=1.50,again=1")
     line = balancer.server.accept_session()[1]
     before, _, rest = line.partition("d=")
     timeout_ms, _, after = rest.partition(",")
@@ -31,14 +31,14 @@
         client = balancer.client()
         client.send(line)
         assert (client.line(), client.line()) == ("ERR", ""), line[:80]
-    _client = balancer.open(9)
+    _client = balancer.send_open(9)
     assert "0000000000000009" in balancer.server.accept_session()[1]
 
 
 def test_repeated_session_id_is_not_forwarded(balancer: Balancer) -> None:
     balancer.start()
     client, server = balancer.establish(5)
-    repeat = balancer.open(5)
+    repeat = balancer.send_open(5)
     assert (repeat.line(), repeat.line()) == ("ERR", "")
     client.send("still")
     assert server.line() == "still"
--- a/tests/net/test_session_reopen.py
+++ b/tests/net/test_session_reopen.py
@@ -10,7 +10,7 @@
 
 def test_session_is_reopened_at_its_server(balancer: Balancer) -> None:
     balancer.start()
-    client = balancer.open(3, 4294967, ",at=s1")
+    client = balancer.send_open(3, 4294967, ",at=s1")
     server, line = balancer.server.accept_session()
     assert line.endswith("c=web,d=4294967,g=abc,at=s1"), line
     server.send("UP r3")
@@ -21,7 +21,7 @@
 def test_session_is_reopened_at_a_server_that_is_slow_to_accept(balancer: Balancer) -> None:
     balancer.start()
     backlog_sockets = balancer.server.fill_backlog()
-    client = balancer.open(3, 4294967, ",at=s1")
+    client = balancer.send_open(3, 4294967, ",at=s1")
     assert select.select([client.sock], [], [], 0.5)[0] == []  # the balancer is still connecting
     for sock in backlog_sockets:
         sock.close()
--- a/tests/net/test_session_setup.py
+++ b/tests/net/test_session_setup.py
@@ -15,7 +15,7 @@
 @pytest.mark.parametrize("settings", [{}])
 def test_first_attempt_is_closed_before_the_next_is_opened(balancer: Balancer) -> None:
     balancer.start([balancer.member("s1"), balancer.member("s2")])
-    client = balancer.open()
+    client = balancer.send_open()
     first = balancer.server.accept_session()[0]
     first.send("ERR")
     second = balancer.server.accept_session()[0]
@@ -27,7 +27,7 @@
 @pytest.mark.parametrize("settings", [{}])
 def test_client_that_disconnects_ends_its_attempt(balancer: Balancer) -> None:
     balancer.start()
-    client = balancer.open()
+    client = balancer.send_open()
     server = balancer.server.accept_session()[0]
     client.close()
     assert server.line() == ""
@@ -36,7 +36,7 @@
 @pytest.mark.parametrize("settings", [{}])
 def test_rejection_has_a_retry_after_time(balancer: Balancer) -> None:
     balancer.start([])
-    keyword, _, retry_after_ms = balancer.open(timeout_ms=300).line().partition(" ")
+    keyword, _, retry_after_ms = balancer.send_open(timeout_ms=300).line().partition(" ")
     assert keyword == "BUSY"
     assert 0 < int(retry_after_ms) <= 2000
 
@@ -44,7 +44,7 @@
 @pytest.mark.parametrize("settings", [WITHOUT_HEALTH_CHECKS])
 def test_attempt_without_an_answer_times_out_before_its_client(balancer: Balancer) -> None:
     balancer.start()
-    client = balancer.open(timeout_ms=1200)
+    client = balancer.send_open(timeout_ms=1200)
     first = balancer.server.accept_session()[0]
     assert first.line() == ""  # closed before the client's timeout expires
     assert client.line().split()[0] in ("BUSY", "ERR")
@@ -54,10 +54,11 @@
 def test_client_that_disconnects_while_connecting_is_not_forwarded(balancer: Balancer, reset: bool) -> None:
     balancer.start()
     backlog_sockets = balancer.server.fill_backlog()
-    client = balancer.open(1)
+    client = balancer.send_open(1)
     balancer.server.wait_for_connect()
     with balancer.paused():
-        server = balancer.server.accept_waiting(backlog_sockets)  # the connect succeeds before the disconnect
+        # The connect succeeds before the disconnect.
+        server = balancer.server.accept_waiting_connection(backlog_sockets)
         client.close(reset)
     assert server.line() == ""
     balancer.server.sock.listen(100)
@@ -80,7 +81,7 @@
     balancer: Balancer, reset: bool
 ) -> None:
     balancer.start()
-    client = balancer.open(1)
+    client = balancer.send_open(1)
     server, _ = balancer.server.accept_session()
     with balancer.paused():
         server.send("ERR")
@@ -94,7 +95,7 @@
     balancer: Balancer, reset: bool
 ) -> None:
     balancer.start()
-    client = balancer.open(1)
+    client = balancer.send_open(1)
     server, _ = balancer.server.accept_session()
     with balancer.paused():
         server.send("UP r")
@@ -107,7 +108,7 @@
 def test_client_that_disconnects_during_a_health_check_is_not_forwarded(balancer: Balancer) -> None:
     balancer.start()
     balancer.establish(1)  # opens the health check connection
-    client = balancer.open(2)
+    client = balancer.send_open(2)
     health_check = balancer.server.health_checks[0]
     assert health_check.line() == "STATS"
     with balancer.paused():
@@ -120,7 +121,7 @@
 def test_deferred_request_is_served_though_a_reload_removes_its_class(balancer: Balancer) -> None:
     balancer.start()
     balancer.establish(1)
-    client = balancer.open(2)
+    client = balancer.send_open(2)
     health_check = balancer.server.health_checks[0]
     assert health_check.line() == "STATS"
     balancer.reload(settings=SETTINGS | {"classes": [SETTINGS["classes"][0] | {"name": "other"}]})
@@ -137,7 +138,7 @@
     watch, _ = balancer.discovery.watch()
     watch.begin_watch()
     balancer.establish(1)
-    client = balancer.open(2)
+    client = balancer.send_open(2)
     assert balancer.server.health_checks[0].line() == "STATS"  # gets no answer
     other = Listener()
     watch.send_endpoint_list(2, balancer.member("s2", host_port=other.address), complete=True)
@@ -157,13 +158,13 @@
     balancer.start()
     watch, _ = balancer.discovery.watch()
     watch.begin_watch()
-    client = balancer.open()
+    client = balancer.send_open()
     balancer.server.wait_for_connect()
     watch.send_endpoint_list(
         2, balancer.member(phase="draining"), balancer.member("s2", host_port=other.address)
     )
     balancer.wait_for_counter("events_endpoint_update", 2)
-    server = balancer.server.accept_waiting(backlog_sockets)
+    server = balancer.server.accept_waiting_connection(backlog_sockets)
     assert server.line() == ""
     second, line = other.accept_session()
     assert "0000000000000001" in line
@@ -177,9 +178,9 @@
     balancer.start()
     watch, _ = balancer.discovery.watch()
     watch.begin_watch()
-    _client = balancer.open()
+    _client = balancer.send_open()
     balancer.server.wait_for_connect()
     watch.send_endpoint_list(2, balancer.member("s2", host_port=other.address), complete=True)
     balancer.wait_for_counter("events_endpoint_update", 2)
-    assert balancer.server.accept_waiting(backlog_sockets).line() == ""
+    assert balancer.server.accept_waiting_connection(backlog_sockets).line() == ""
     assert "0000000000000001" in other.accept_session()[1]
--- a/tests/net/test_upstream_attempt.py
+++ b/tests/net/test_upstream_attempt.py
@@ -21,7 +21,7 @@
 ) -> None:
     """A line without a line ending is not an answer. An idempotent request is retried."""
     balancer.start()
-    client = balancer.open(1)
+    client = balancer.send_open(1)
     first, _ = balancer.server.accept_session()
     first.sock.sendall(part.encode())
     first.close(reset)
@@ -40,19 +40,19 @@
     """A non-idempotent request fails with ERR. `BUSY` would permit the client to retry it."""
     balancer.settings = balancer.settings | with_class("fragile")
     balancer.start()
-    client = balancer.open(1)
+    client = balancer.send_open(1)
     server, _ = balancer.server.accept_session()
     server.sock.sendall(part.encode())
     server.close()
     assert client.lines_to_the_end() == ["ERR"]
-    assert not balancer.server.has_waiting()
+    assert not balancer.server.has_waiting_connection()
 
 
 @pytest.mark.parametrize("answer", [b"UP " + b"r" * 100_000, b"UP r"], ids=["flood", "partial line"])
 def test_answer_without_an_end_is_closed_before_the_next_attempt(balancer: Balancer, answer: bytes) -> None:
     """A line that is too long fails the attempt immediately, a partial line at the attempt's timeout."""
     balancer.start()
-    client = balancer.open(1, timeout_ms=6000)
+    client = balancer.send_open(1, timeout_ms=6000)
     first, _ = balancer.server.accept_session()
     with suppress(ConnectionError):  # the balancer may close the connection during the flood
         first.sock.sendall(answer)
@@ -79,10 +79,10 @@
     balancer.start()
     backlog_sockets = balancer.server.fill_backlog()
     started_s = time.monotonic()
-    client = balancer.open(1, timeout_ms=9000)
+    client = balancer.send_open(1, timeout_ms=9000)
     balancer.server.wait_for_connect()
     with balancer.paused():
-        server = balancer.server.accept_waiting(backlog_sockets)
+        server = balancer.server.accept_waiting_connection(backlog_sockets)
         time.sleep(max(0.0, started_s + 1.5 - time.monotonic()))
     line = server.line()
     assert line.startswith("OPEN 0000000000000001 ")
@@ -100,7 +100,7 @@
     watch.begin_watch()
     backlog_sockets = balancer.server.fill_backlog()
     other = Listener()
-    client = balancer.open(1)
+    client = balancer.send_open(1)
     balancer.server.wait_for_connect()
     watch.send_endpoint_list(2, balancer.member("s2", host_port=other.address))
     server, line = other.accept_session()
--- a/tests/process/test_reload.py
+++ b/tests/process/test_reload.py
@@ -50,7 +50,7 @@
     """Start the balancer with RELAY_DISCOVERY, which has priority over the file. Return its open watch."""
     balancer.path.write_text(json.dumps(balancer.config() | {"discovery": discovery_in_file.address}))
     balancer.launch(RELAY_DISCOVERY=balancer.discovery.address)
-    balancer.ready()
+    balancer.wait_until_ready()
     watch, _ = balancer.discovery.watch()
     watch.begin_watch()
     return watch
--- a/tests/process/test_restart.py
+++ b/tests/process/test_restart.py
@@ -105,6 +105,6 @@
             launched_at = time.monotonic()
             balancer.launch(stderr=subprocess.DEVNULL)
             assert predecessor.wait(TIMEOUT_S) == 0
-            balancer.ready()
+            balancer.wait_until_ready()
             assert time.monotonic() - launched_at < timeout_s
             clients.wait_for_all(before=established)
--- a/tests/process/test_start.py
+++ b/tests/process/test_start.py
@@ -81,7 +81,7 @@
     balancer.path.write_text(text)  # read by the reload
 
     balancer.wait_for_event("config_reloaded")
-    balancer.ready()
+    balancer.wait_until_ready()
 
 
 def test_sighup_while_the_program_is_loaded_ends_nothing(balancer: Balancer) -> None:
@@ -105,7 +105,7 @@
         balancer.process.send_signal(signal.SIGHUP)
 
     balancer.wait_for_event("serving_started")
-    balancer.ready()
+    balancer.wait_until_ready()
 
 
 @pytest.mark.parametrize("settings", [{}])
--- a/tests/store/test_backup.py
+++ b/tests/store/test_backup.py
@@ -15,7 +15,7 @@
 
 import pytest
 from process_cluster import ProcessCluster, run_scenario
-from store_command import run_store_command
+from store_cli import run_store_command
 from support.program_process import ProgramProcess
 
 from wheatstile.store.client import StoreClient
--- a/tests/store/test_store_server.py
+++ b/tests/store/test_store_server.py
@@ -18,7 +18,7 @@
 from process_cluster import ProcessCluster, check_member_output, run_scenario
 from process_faults import inject_faults
 from register_user import Histories, RegisterUser
-from store_command import run_store_command
+from store_cli import run_store_command
 
 from wheatstile.store.client import StoreClient
 from wheatstile.store.errors import OutcomeUnknownError
--- a/tests/support/balancer.py
+++ b/tests/support/balancer.py
@@ -150,9 +150,9 @@
         self.path.write_text(json.dumps(self.config(members)) if text is None else text)
         self.launch(files, stderr)
         if text is None:
-            self.ready()
+            self.wait_until_ready()
 
-    def ready(self) -> None:
+    def wait_until_ready(self) -> None:
         """Wait until the process answers PING."""
         deadline_s = time.monotonic() + TIMEOUT_S
         while True:
@@ -187,7 +187,7 @@
         assert client.line() == "PONG"
         return client
 
-    def open(
+    def send_open(
         self,
         number: int = 1,
         timeout_ms: int = 9000,
@@ -210,7 +210,7 @@
 
     def establish(self, number: int = 1, group: str = "abc") -> tuple[Peer, Peer]:
         """Establish a session at `server`, and return the connections of the client and of the server."""
-        client = self.open(number, group=group)
+        client = self.send_open(number, group=group)
         server, _ = self.server.accept_session()
         server.send("UP r1")
         assert client.line() == "UP r1"
--- a/tests/support/balancer_harness.py
+++ b/tests/support/balancer_harness.py
@@ -59,7 +59,7 @@
         self.now_us = START_US
         self.loads = loads or dict.fromkeys(names, 0.4)
         self.unresponsive: set[str] = set()
-        self.log: list[api.Action] = []  # all actions so far
+        self.actions: list[api.Action] = []  # all actions so far
         self.pending_checks: list[str] = []  # servers whose health checks are not answered yet
         self.timers: list[PendingTimer] = []
         self._timer_numbers = count()
@@ -75,7 +75,7 @@
                 assert action.delay_us > 0
                 due_us = self.now_us + action.delay_us
                 self.timers.append(PendingTimer(due_us, next(self._timer_numbers), action.token))
-        self.log += actions
+        self.actions += actions
         return actions
 
     def dispatch(self, event: api.Event) -> list[api.Action]:
@@ -169,7 +169,7 @@
     @property
     def attempts(self) -> list[api.StartAttempt]:
         """All attempts so far."""
-        return of_type(self.log, api.StartAttempt)
+        return of_type(self.actions, api.StartAttempt)
 
     @property
     def attempted_servers(self) -> list[str]:
@@ -179,8 +179,8 @@
     def final_answers(self, id: str) -> list[api.Reject | api.Fail]:
         """Return the final answers to a request."""
         answers: list[api.Reject | api.Fail] = []
-        answers += of_type(self.log, api.Reject)
-        answers += of_type(self.log, api.Fail)
+        answers += of_type(self.actions, api.Reject)
+        answers += of_type(self.actions, api.Fail)
         return [answer for answer in answers if answer.id == id]
 
     def server(self, name: str) -> Server:
--- a/tests/support/peer.py
+++ b/tests/support/peer.py
@@ -138,7 +138,7 @@
     def fill_backlog(self) -> list[socket.socket]:
         """Fill the backlog with connections, and return their sockets, which stay open.
 
-        The next connect then remains pending until `accept_waiting` accepts these connections.
+        The next connect then remains pending until `accept_waiting_connection` accepts these connections.
         """
         self.sock.listen(0)
         backlog_sockets: list[socket.socket] = []
@@ -152,7 +152,7 @@
                 return backlog_sockets
             backlog_sockets.append(sock)
 
-    def has_waiting(self) -> bool:
+    def has_waiting_connection(self) -> bool:
         """Return whether the backlog contains an established connection."""
         return bool(select.select([self.sock], [], [], 0)[0])
 
@@ -169,8 +169,8 @@
             assert time.monotonic() < deadline_s, f"no connect to {self.address} is pending"
             time.sleep(POLL_INTERVAL_S)
 
-    def accept_waiting(self, backlog_sockets: list[socket.socket]) -> Peer:
-        """Accept the connections of `fill_backlog` and the pending connection, and return the latter."""
+    def accept_waiting_connection(self, backlog_sockets: list[socket.socket]) -> Peer:
+        """Accept the connections of `fill_backlog` and the one that waits after them. Return the latter."""
         backlog_addresses = {sock.getsockname() for sock in backlog_sockets}
         while True:
             peer = self.accept()
--- a/tests/support/served_balancer.py
+++ b/tests/support/served_balancer.py
@@ -88,7 +88,7 @@
     def open_client(self, group: str | None = None) -> Peer:
         """Send an OPEN line on a new connection, by default for a new affinity group."""
         number = next(self._numbers)
-        return self.open(number, CLIENT_DEADLINE_MS, group=group or f"g{next(self._numbers)}")
+        return self.send_open(number, CLIENT_DEADLINE_MS, group=group or f"g{next(self._numbers)}")
 
     def reply_to_new_client(self) -> str:
         """Return the keyword of the reply to a new client, and close its connection."""
--- a/wheatstile/cli/description_changes.py
+++ b/wheatstile/cli/description_changes.py
@@ -10,7 +10,7 @@
 from wheatstile.descriptions.strictness import is_narrower, is_stricter
 from wheatstile.interface import Idempotency
 
-NO_CLASS = "none"
+NO_CLASS_LABEL = "none"
 
 _keyword = IDEMPOTENCY_KEYWORDS.keyword
 
@@ -73,4 +73,4 @@
 
 
 def _class_name(route: Route) -> str:
-    return route.service_class or NO_CLASS
+    return route.service_class or NO_CLASS_LABEL
--- a/wheatstile/cli/descriptions.py
+++ b/wheatstile/cli/descriptions.py
@@ -70,8 +70,8 @@
     for warning in compiled.warnings:
         click.echo(str(warning), err=True)
     click.echo(
-        f"valid: {len(compilation.source.descriptions)} descriptions, {len(compiled.routes)} routes, "
-        f"{len(compiled.warnings)} warnings"
+        f"valid: {len(compilation.description_set.descriptions)} descriptions, "
+        f"{len(compiled.routes)} routes, {len(compiled.warnings)} warnings"
     )
     for name, policy in sorted(compiled.classes.items()):
         click.echo(f"class {name}: {_format_class(policy)}")
@@ -164,7 +164,7 @@
     drawn_routes = compilation.descriptions.routes
     titles = {
         description.file: description.title or description.file
-        for description in compilation.source.descriptions
+        for description in compilation.description_set.descriptions
     }
     try:
         draw(drawn_routes, titles).save_svg(out)
--- a/wheatstile/decisions/request_lifecycle.py
+++ b/wheatstile/decisions/request_lifecycle.py
@@ -52,12 +52,12 @@
         if event.id in self._connections:
             return
         connection = self._add_request(event)
-        if self._try_follow_exploration(connection) or self._try_mid_flow(event, connection):
+        if self._try_follow_exploration(connection) or self._try_probable_server(event, connection):
             return
         if self._is_shutting_down or self._early_rejection.should_reject():
             self._final_answer.send(connection)
         else:
-            self._request_placement.place(connection)
+            self._request_placement.place_request(connection)
 
     def on_existing(self, event: api.ExistingConnection, server: Server) -> None:
         """Add a connection that was open before this balancer started."""
@@ -142,7 +142,7 @@
         self._attempt_starter.start(connection, move.destination)
         return True
 
-    def _try_mid_flow(self, event: api.Request, connection: Connection) -> bool:
+    def _try_probable_server(self, event: api.Request, connection: Connection) -> bool:
         """Send a mid-flow request to the server that probably has its connection. Return whether it was sent.
 
         Any other server would have to set up the connection again.
@@ -162,7 +162,7 @@
         elif move and self._selector.is_available(move.origin, connection):
             self._attempt_starter.start(connection, move.origin)
         else:
-            self._request_placement.place(connection)
+            self._request_placement.place_request(connection)
 
 
 def _is_current_attempt(connection: Connection, event: api.AttemptEnded) -> bool:
--- a/wheatstile/decisions/request_placement.py
+++ b/wheatstile/decisions/request_placement.py
@@ -43,7 +43,7 @@
         self._attempt_starter = attempt_starter
         self._final_answer = final_answer
 
-    def place(self, connection: Connection) -> None:
+    def place_request(self, connection: Connection) -> None:
         """Draw two candidates and check both. A repeated setup must first acquire a token."""
         if self._retry_policy.is_repeat_window_over(connection):
             self._final_answer.send(connection)
@@ -87,7 +87,7 @@
         if is_expired or (best and self._fleet_load.is_overloaded()):
             self._final_answer.send(connection)
         elif is_timed_out:
-            self.place(connection)
+            self.place_request(connection)
         elif best:
             # Load reports lag, so an immediate check would return the same loads.
             doublings = connection.candidate_draws - 1
--- a/wheatstile/descriptions/reader.py
+++ b/wheatstile/descriptions/reader.py
@@ -49,7 +49,7 @@
     """Compiled descriptions, and the descriptions before compilation."""
 
     descriptions: CompiledDescriptions
-    source: DescriptionSet
+    description_set: DescriptionSet
 
 
 def read_descriptions(paths: Iterable[str | Path]) -> DescriptionSet:
@@ -165,7 +165,7 @@
     section = operator.settings.descriptions if operator else Descriptions()
     if classes is not None:
         classes = operator_rules.override(classes)
-    source = read_descriptions(paths)
+    description_set = read_descriptions(paths)
     options = CompileOptions(max_attempts, section.require_class, strict or section.strict)
-    compiled = compile_descriptions(source.descriptions, operator_rules.rules, classes, options)
-    return Compilation(compiled, source)
+    compiled = compile_descriptions(description_set.descriptions, operator_rules.rules, classes, options)
+    return Compilation(compiled, description_set)
--- a/wheatstile/descriptions/worker.py
+++ b/wheatstile/descriptions/worker.py
@@ -51,7 +51,7 @@
     return CompilationSummary(
         classes={name: _compiled_class(policy) for name, policy in descriptions.classes.items()},
         route_count=len(descriptions.routes),
-        files=sorted(compilation.source.files),
+        files=sorted(compilation.description_set.files),
         warnings=[str(warning) for warning in descriptions.warnings[:MAX_REPORTED_FINDINGS]],
     )
 
